--- /dev/null
+++ b/tests/decision_trace.cpp
@@ -0,0 +1,227 @@
+// Writes every action that leaders decide in generated histories, and the bytes of fixed messages and
+// records, to standard output. Two versions of the sources that behave alike write the same;
+// tools/compare-traces compares them. Usage: decision_trace [HISTORIES]
+#include <spdlog/spdlog.h>
+
+#include <cstdlib>
+#include <iomanip>
+#include <iostream>
+#include <sstream>
+
+#include "histories.h"
+#include "protocol/cloud_messages.h"
+#include "protocol/peer_messages.h"
+#include "storage/records.h"
+
+namespace burlpoint::tests {
+namespace {
+
+constexpr std::uint64_t kDefaultHistories = 200;
+constexpr std::uint64_t kSeedFactor = 0x9e3779b97f4a7c15u;  // spreads consecutive numbers over all seeds
+
+std::string hex(std::string_view bytes) {
+    std::ostringstream out;
+    out << std::hex << std::setfill('0');
+    for (const char byte : bytes)
+        out << std::setw(2) << static_cast<unsigned>(static_cast<unsigned char>(byte));
+    return out.str();
+}
+
+std::string joinedIds(const std::vector<std::string>& ids) {
+    std::string out;
+    for (const auto& id : ids) out += " " + id;
+    return out;
+}
+
+// The trace has to stay the same when types and fields are renamed, so it uses words and numbers of its own.
+std::string describe(const std::vector<Order>& orders) { return hex(protocol::encodeReportReply(0, orders)); }
+
+std::string describe(const coordination::AnswerReport& action) {
+    return "answer-heartbeat " + std::to_string(action.request) +
+           (action.accepted ? " accepted " : " refused ") + describe(action.orders);
+}
+std::string describe(const coordination::SendOrders& action) {
+    return "command " + action.machine + " " + action.address + " " + std::to_string(action.session) + " " +
+           std::to_string(action.known.session) + "." + std::to_string(action.known.sequence) + " " +
+           describe(action.orders);
+}
+std::string describe(const coordination::WriteState& action) {
+    return "write " + hex(protocol::encodeTransaction(action.conditions, action.writes));
+}
+std::string describe(const coordination::RefreshReplica&) { return "refresh"; }
+std::string describe(const coordination::Rent& action) {
+    return "scale-out " + hex(protocol::encodeRental(action.request));
+}
+std::string describe(const coordination::Release& action) { return "scale-in" + joinedIds(action.machines); }
+std::string describe(const coordination::ListMachines&) { return "list-machines"; }
+std::string describe(const coordination::ListTypes&) { return "list-types"; }
+std::string describe(const coordination::Resign& action) {
+    return std::string("resign") + (action.deferToPeers ? " deferring" : "");
+}
+
+struct HistoryKind {
+    std::string name;
+    World::Faults faults;
+    Make makeJob;
+};
+
+std::vector<HistoryKind> historyKinds() {
+    World::Faults crashing;
+    crashing.crash = 0.12;
+    World::Faults cutOff;
+    cutOff.cut = 0.03;
+    cutOff.hang = 0.02;
+    cutOff.late = 0.12;
+    cutOff.lose = 0.1;
+    cutOff.crash = 0.03;
+    World::Faults lateCopies;
+    lateCopies.unreachable = 0.02;
+    lateCopies.copy = 0.4;
+    lateCopies.back = 0.01;
+    lateCopies.anew = 0.004;
+    lateCopies.sever = 0.03;
+    lateCopies.crash = 0.03;
+    return {{"every-failure", {}, randomJob},
+            {"pipelines", {}, partOfAGraph},
+            {"crashing-leaders", crashing, randomJob},
+            {"cut-off-workers", cutOff, randomJob},
+            {"late-copies", lateCopies, partOfAGraph}};
+}
+
+/// Plays the history of that number; false if a rule was broken in it.
+bool traceHistory(std::uint64_t number, const HistoryKind& kind) {
+    std::cout << "history " << number << " " << kind.name << "\n";
+    World world(number * kSeedFactor, kind.faults);
+    const auto began = world.now();
+    world.onAction = [&](const coordination::Action& action) {
+        const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(world.now() - began);
+        std::cout << at.count() << " " << std::visit([](const auto& a) { return describe(a); }, action)
+                  << "\n";
+    };
+    const auto wrong = play(world, Seconds(100), {}, kind.makeJob);
+    std::cout << "starts " << world.starts << " take-overs " << world.takeOvers << " verdict " << wrong
+              << "\n";
+    return wrong.empty();
+}
+
+JobSpec fullSpec() {
+    JobSpec spec;
+    spec.id = "wk-000412";
+    spec.jobClass = "train";
+    spec.team = "vision";
+    spec.kind = Kind::gang;
+    spec.priority = protocol::Priority::high;
+    spec.tasks = 16;
+    spec.cpus = 8.5;
+    spec.gpus = 1;
+    spec.memoryGb = 64;
+    spec.image = "img-07";
+    spec.imageGb = 6.25;
+    spec.types = std::vector<std::string>{"g8", "c4"};
+    spec.zone = "a";
+    spec.oneZone = spec.spot = true;
+    spec.estimate = Seconds(240);
+    spec.checkpoint = Seconds(30);
+    spec.save = Seconds(4);
+    spec.deadline = Seconds(900);
+    spec.dependencies = {"wk-000398", "wk-000405"};
+    return spec;
+}
+
+void writeEncoding(const std::string& name, std::string_view bytes) {
+    std::cout << "encoding " << name << " " << hex(bytes) << "\n";
+}
+
+void traceJobMessages() {
+    protocol::Packer packed;
+    protocol::packSpec(packed, fullSpec());
+    writeEncoding("job", packed.take());
+    writeEncoding("minimal-job", [] {
+        JobSpec minimal;
+        minimal.id = "wk-1";
+        protocol::Packer packer;
+        protocol::packSpec(packer, minimal);
+        return packer.take();
+    }());
+    writeEncoding("job-reply", protocol::jobReply("wk-1", protocol::JobState::running));
+    writeEncoding("job-counts", protocol::jobReply("wk-1", protocol::JobState::done, 3, 13));
+    writeEncoding("error", protocol::errorReply("some reason"));
+}
+
+void traceWorkerMessages() {
+    using protocol::ExitReason;
+    using protocol::TaskState;
+    Report report{"m-1", "10.0.0.1:9000", "g8", "a", true, 2, 88, 41, Seconds(12.5), {}};
+    for (const auto state : {TaskState::fetching, TaskState::waiting, TaskState::running, TaskState::saving})
+        report.tasks.push_back(
+            {{"wk-1", static_cast<std::uint32_t>(state), 7}, state, ExitReason::none, false});
+    for (const auto why : {ExitReason::done, ExitReason::stopped, ExitReason::peers, ExitReason::alone,
+                           ExitReason::error, ExitReason::noRoom, ExitReason::busy, ExitReason::unknown})
+        report.tasks.push_back({{"wk-2", static_cast<std::uint32_t>(why), 8},
+                                TaskState::exited,
+                                why,
+                                why == ExitReason::stopped});
+    writeEncoding("heartbeat", protocol::encodeReport(report));
+    const std::vector<Order> orders{{protocol::Op::start, {"wk-1", 0, 1}, Seconds(0)},
+                                    {protocol::Op::stop, {"wk-1", 1, 2}, Seconds(10.5)},
+                                    {protocol::Op::forget, {"wk-1", 2, 3}, Seconds(0)}};
+    writeEncoding("heartbeat-reply", protocol::encodeReportReply(41, orders));
+    writeEncoding("direct-command", protocol::encodeDirectOrders(41, 2, orders));
+    writeEncoding("elsewhere", protocol::encodeElsewhere("node-2"));
+    writeEncoding("elsewhere-unknown", protocol::encodeElsewhere(""));
+}
+
+void traceOtherMessages() {
+    writeEncoding("rental", protocol::encodeRental({"r-17", "g8", "a", true, 12}));
+    writeEncoding("release", protocol::encodeRelease({"m-1", "m-2"}));
+    writeEncoding("types", protocol::encodeMachineTypes(
+                               {{"g8", 96, 8, 768, 200, 1.5, 12, 4.5, Seconds(45), {"a", "b"}}}));
+    writeEncoding("transaction",
+                  protocol::encodeTransaction({{"a/b", 0}, {"c", 7}},
+                                              {{"a/b", storage::encodeToken(5), 7}, {"c", std::nullopt, 0}}));
+    writeEncoding("lease", protocol::encodeLease(std::chrono::milliseconds(5000)));
+    writeEncoding("peer-status",
+                  protocol::encodePeerStatus(
+                      {"node-1", 41, 40, 250, 41, 2500, {{"wk-1", 3}}, 431, 99, 12, {{"wk-2", 7}}, true}));
+    for (const auto& path : {protocol::paths::extendLease(7), protocol::paths::lease(7),
+                             protocol::paths::keyPage("bp/", "bp/job/wk 1", 500),
+                             protocol::paths::watch("bp/", 431, std::chrono::milliseconds(10'000)),
+                             protocol::paths::rentedPage("m-1", 500)})
+        writeEncoding("path", path);
+}
+
+void traceRecords() {
+    using storage::Final;
+    for (const auto final : {Final::open, Final::done, Final::cancelled}) {
+        const storage::JobRecord record{fullSpec(), final, 1'764'000'000'000, 16, 64, 1'764'000'100'000};
+        writeEncoding("job-record", storage::encodeJob(record));
+        writeEncoding("final-record", storage::encodeFinal(record, 200));
+    }
+    writeEncoding("leader-record", storage::encodeLeader({"node-1", 41}));
+    writeEncoding("token-record", storage::encodeToken(41));
+    writeEncoding("machine-record", storage::encodeMachine({"10.0.0.1:9000", "g8", "a", true}));
+    std::vector<bool> bits(37);
+    for (std::size_t i = 0; i < bits.size(); i += 3) bits[i] = true;
+    writeEncoding("bits", storage::encodeBits(bits, 4, 33));
+    for (const auto& key : {storage::keys::job("wk-1"), storage::keys::doneChunk("wk-1", 3),
+                            storage::keys::donePart("wk-1", 64, 96), storage::keys::machine("m-1")})
+        writeEncoding("key", key);
+}
+
+}  // namespace
+}  // namespace burlpoint::tests
+
+int main(int argc, char** argv) {
+    using namespace burlpoint::tests;
+    spdlog::set_level(spdlog::level::off);
+    const std::uint64_t histories = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : kDefaultHistories;
+    traceJobMessages();
+    traceWorkerMessages();
+    traceOtherMessages();
+    traceRecords();
+    const auto kinds = historyKinds();
+    bool good = true;
+    for (std::uint64_t number = 1; number <= histories; ++number)
+        good = traceHistory(number, kinds[number % kinds.size()]) && good;
+    return good ? EXIT_SUCCESS : EXIT_FAILURE;
+}
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -280,6 +280,7 @@
             broken.push_back("recount: " + wrong);
     for (auto& action : actions) {
         if (tenant_ != tenant) return;
+        if (onAction) onAction(action);
         std::visit([&](auto& a) { perform(a); }, action);
     }
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -2,6 +2,7 @@
 
 #include <gtest/gtest.h>
 
+#include <functional>
 #include <map>
 #include <memory>
 #include <random>
@@ -94,6 +95,8 @@
         std::size_t derived = 0;           // jobs cancelled with one that they need
     } met;
     std::set<std::string> completed;  // "job/task"
+    /// Called with each action that a leader decides, before it is carried out; for recording decisions.
+    std::function<void(const coordination::Action&)> onAction;
 
     // What machines and tasks are like.
     Seconds shortestRun{2}, longestRun{12}, slowestFetch{3};
