--- a/src/bookkeeping/fleet.h
+++ b/src/bookkeeping/fleet.h
@@ -4,12 +4,14 @@
 
 #include <algorithm>
 #include <array>
+#include <compare>
 #include <functional>
 #include <map>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
+#include <tuple>
 #include <unordered_map>
 #include <vector>
 
@@ -83,12 +85,17 @@
     bool seen = false;  // scratch for one report's sweep
 };
 
-/// Names an attempt among the placements of a machine.
+/// Names an attempt among the placements of a machine. Ordered by the job's id, so that decisions do not
+/// depend on where jobs lie in memory.
 struct AttemptKey {
     const Job* job;
     std::uint32_t task;
     std::uint64_t attempt;
-    auto operator<=>(const AttemptKey&) const = default;
+    bool operator==(const AttemptKey&) const = default;
+    std::strong_ordering operator<=>(const AttemptKey& other) const {
+        if (job != other.job) return job->spec.id <=> other.job->spec.id;
+        return std::tie(task, attempt) <=> std::tie(other.task, other.attempt);
+    }
 };
 
 /// Where a worker's message stands among its messages: sessions rise with each start of the worker, sequences
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -159,4 +159,9 @@
     mutable std::optional<Image> image_;  // looked up when it is first asked for
 };
 
+/// Orders jobs by their ids, so that walks over a set of them do not depend on where they lie in memory.
+struct JobIdLess {
+    bool operator()(const Job* a, const Job* b) const { return a->spec.id < b->spec.id; }
+};
+
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/state_replica.h
+++ b/src/bookkeeping/state_replica.h
@@ -89,7 +89,7 @@
                           std::uint64_t version);
 
     std::unordered_map<std::string, std::unique_ptr<Job>> jobs_;
-    std::set<Job*> open_;
+    std::set<Job*, JobIdLess> open_;
     std::vector<const Job*> cancelled_;
     std::unordered_map<std::string, std::vector<Job*>> dependents_;  // of jobs that are not done
     // A job is accepted after all that it needs, so that in this order each is looked at once.
--- a/src/coordination/state_writer.h
+++ b/src/coordination/state_writer.h
@@ -132,7 +132,8 @@
     const std::map<std::string, protocol::MachineType>& types_;
     const DayClock& dayClock_;
 
-    std::set<bookkeeping::Job*> unstored_;  // with done tasks whose bits are to be stored
+    std::set<bookkeeping::Job*, bookkeeping::JobIdLess>
+        unstored_;  // with done tasks whose bits are to be stored
     bool typesUnstored_ = false;
 
     std::optional<Transaction> underWay_;
