--- a/src/bookkeeping/fleet.cpp
+++ b/src/bookkeeping/fleet.cpp
@@ -39,8 +39,8 @@
     if (!slot) {
         slot = std::make_unique<Machine>();
         slot->id = id;
-        slot->knownSince = now;
-        slot->busyUntil = now;
+        slot->firstSeenAt = now;
+        slot->lastBusyAt = now;
     }
     return *slot;
 }
@@ -49,7 +49,7 @@
     const auto found = machines_.find(id);
     if (found == machines_.end()) return;
     auto& machine = *found->second;
-    setRoster(machine, RosterState::absent);
+    setRegistration(machine, RegistrationState::absent);
     reserve(machine, nullptr);
     for (const auto& [image, gb] : machine.images) std::erase(byImage_[image], &machine);
     machines_.erase(found);
@@ -60,15 +60,15 @@
     count(machine);
 }
 
-void Fleet::setRoster(Machine& machine, RosterState roster) {
-    machine.roster = roster;
+void Fleet::setRegistration(Machine& machine, RegistrationState registration) {
+    machine.registration = registration;
     count(machine);
 }
 
 void Fleet::count(Machine& machine) {
-    const bool counts = machine.roster == RosterState::stored && !machine.reconciled;
-    if (counts == machine.counted) return;
-    machine.counted = counts;
+    const bool counts = machine.registration == RegistrationState::stored && !machine.reconciled;
+    if (counts == machine.countedUnreconciled) return;
+    machine.countedUnreconciled = counts;
     const Offering offering{machine.type, machine.zone, machine.spot};
     if (counts)
         ++unreconciled_[offering];
@@ -128,12 +128,12 @@
         else
             total -= need;
     };
-    const bool service = spec.kind == protocol::Kind::service;
+    const bool service = spec.kind == protocol::JobKind::service;
     const auto priority = static_cast<std::size_t>(job.priority());
     change(machine.used);
     change(teamUse_[spec.team]);
     if (spec.gpus <= 0) change(machine.plainUse[service ? kReplicaUse : priority]);
-    if (!service && (spec.kind != protocol::Kind::gang || spec.tasks == 1))
+    if (!service && (spec.kind != protocol::JobKind::gang || spec.tasks == 1))
         change(machine.stoppable[priority]);
     if (!added && machine.placements.empty()) {  // no residue of rounding
         machine.used = {};
@@ -148,7 +148,7 @@
     const auto [at, fresh] = machine.placements.emplace(AttemptKey{&job, task, attempt}, placement);
     if (!fresh) return at->second;
     account(machine, job, true);
-    job.addLive(task, machine.id, machine.zone);
+    job.addPlaced(task, machine.id, machine.zone);
     if (state == PlacementState::running) ++job.run->running;
     return at->second;
 }
@@ -158,7 +158,7 @@
     auto& placement = at->second;
     Job& job = *placement.job;
     if (placement.state == PlacementState::running) --job.run->running;
-    job.dropLive(placement.task, machine.id, machine.zone);
+    job.removePlaced(placement.task, machine.id, machine.zone);
     const auto next = machine.placements.erase(at);
     account(machine, job, false);
     return next;
@@ -198,7 +198,7 @@
 
 std::vector<std::pair<Machine*, Placement*>> Fleet::placementsOf(const Job& job) {
     std::vector<std::pair<Machine*, Placement*>> out;
-    if (!job.run || job.run->liveTotal == 0) return out;
+    if (!job.run || job.run->placedTotal == 0) return out;
     for (const auto& [id, tasks] : job.run->machines) {
         auto* machine = find(id);
         auto at = machine->placements.lower_bound(AttemptKey{&job, 0, 0});
--- a/src/bookkeeping/fleet.h
+++ b/src/bookkeeping/fleet.h
@@ -15,6 +15,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/image.h"
 #include "bookkeeping/job.h"
 #include "protocol/cloud_messages.h"
@@ -64,7 +65,7 @@
 /// How far an attempt has come, as far as the leader knows.
 enum class PlacementState {
     planned,  // room kept, nothing sent yet
-    sent,     // the start left in a report response, not seen yet
+    sent,     // the start left in a heartbeat response, not seen yet
     fetching,
     waiting,
     running,
@@ -77,12 +78,12 @@
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
     PlacementState state = PlacementState::planned;
-    std::uint64_t sentSequence = 0;  // of the report whose response carried the start
+    std::uint64_t sentSequence = 0;  // of the heartbeat whose response carried the start
     Time since{};                    // of the state
     Time runningSince{};
     bool stopping = false;
     Seconds grace{0};
-    bool seen = false;  // scratch for one report's sweep
+    bool seen = false;  // scratch for one heartbeat's sweep
 };
 
 /// Names an attempt among the placements of a machine. Ordered by the job's id, so that decisions do not
@@ -98,17 +99,19 @@
     }
 };
 
-/// Where a worker's message stands among its messages: sessions rise with each start of the worker, sequences
-/// with each message of a session. The lesser of two was made first.
-struct MessageOrder {
-    std::uint64_t session = 0;
+/// Where a worker's message stands among its messages: incarnations rise with each start of the worker,
+/// sequences with each message of a incarnation. The lesser of two was made first.
+struct HeartbeatVersion {
+    std::uint64_t incarnation = 0;
     std::uint64_t sequence = 0;
-    auto operator<=>(const MessageOrder&) const = default;
+    auto operator<=>(const HeartbeatVersion&) const = default;
 };
-inline MessageOrder orderOf(const protocol::Report& report) { return {report.session, report.sequence}; }
+inline HeartbeatVersion heartbeatVersionOf(const protocol::Heartbeat& heartbeat) {
+    return {heartbeat.incarnation, heartbeat.sequence};
+}
 
-/// Is the machine's entry in the stored roster?
-enum class RosterState { absent, writing, stored };
+/// Is the machine's entry in the stored machine registry?
+enum class RegistrationState { absent, writing, stored };
 
 /// A machine and what this leader knows of it and of its worker.
 struct Machine {
@@ -117,23 +120,24 @@
     std::string type;
     std::string zone;
     bool spot = false;
-    const MachineType* kind = nullptr;  // its type's description, once that is known
-
-    std::uint64_t session = 0;   // of the newest message
-    std::uint64_t sequence = 0;  // of the newest message
-    Time newestAt{};             // when that came
-    MessageOrder newestMessage() const { return {session, sequence}; }
-    /// It showed our token: nothing that an earlier leader sent can start any more, and its list is whole.
+    const MachineType* typeInfo = nullptr;  // its type's description, once that is known
+
+    std::uint64_t incarnation = 0;  // of the newest message
+    std::uint64_t sequence = 0;     // of the newest message
+    Time lastMessageAt{};           // when that came
+    HeartbeatVersion latestVersion() const { return {incarnation, sequence}; }
+    /// It showed our fencing token: nothing that an earlier leader sent can start any more, and its list is
+    /// whole.
     bool acknowledged = false;
     /// Nothing of earlier leaders can be on it, as it was heard or its lease ran out.
-    bool reconciled = false;  // changed by Fleet::setReconciled
-    bool counted = false;     // among Fleet::unreconciled
-    bool reports = false;     // a report of it was answered and its lease is not over
-    Time lastReport{};
-    Time leaseUntil = Time::max();  // the worker has forgotten its tasks by then
-    std::optional<Time> recallAt;   // the cloud takes it away
-
-    RosterState roster = RosterState::absent;  // changed by Fleet::setRoster
+    bool reconciled = false;           // changed by Fleet::setReconciled
+    bool countedUnreconciled = false;  // among Fleet::unreconciled
+    bool sendsHeartbeats = false;      // a heartbeat of it was answered and its lease is not over
+    Time lastHeartbeat{};
+    Time leaseUntil = Time::max();       // the worker has forgotten its tasks by then
+    std::optional<Time> interruptionAt;  // the cloud takes it away
+
+    RegistrationState registration = RegistrationState::absent;  // changed by Fleet::setRegistration
     std::map<AttemptKey, Placement> placements;
     Resources used;
     /// What tasks without accelerators use, by priority; at kReplicaUse what replicas use.
@@ -143,20 +147,20 @@
 
     std::vector<CachedImage> images;  // inferred cache, most recently used first
     bool draining = false;            // takes no more tasks
-    bool releasing = false;           // its deletion was asked for
+    bool deletionRequested = false;   // its deletion was asked for
     bool failed = false;              // the cloud says that it stopped by itself
-    Time knownSince{};                // rented or first seen
-    Time busyUntil{};                 // when it last had a task
+    Time firstSeenAt{};               // rented or first seen
+    Time lastBusyAt{};                // when it last had a task
     Time probedAt{};                  // when a probe was last answered
     bool probing = false;
-    /// Answers in a row that did not get through, as its next report shows.
-    std::uint32_t undelivered = 0;
-    std::uint32_t staleReports = 0;  // reports in a row older than the newest message
+    /// Answers in a row that did not get through, as its next heartbeat shows.
+    std::uint32_t undeliveredResponses = 0;
+    std::uint32_t staleHeartbeats = 0;  // reports in a row older than the newest message
     /// Its worker has begun to count its messages anew, so that late copies can't be told from news: nothing
     /// of it is believed any more, and it is replaced.
     bool quarantined = false;
     std::optional<Time> unreachableSince;  // nothing seems to reach it
-    Time quietUntil{};                     // no new starts after a refusal
+    Time startBackoffUntil{};              // no new starts after a refusal
     const Job* reservedFor = nullptr;      // changed by Fleet::reserve
     Time reservedUntil{};
     bool holding = false;             // only what comes free by itself is kept; nothing was stopped for it
@@ -176,8 +180,9 @@
     auto operator<=>(const Offering&) const = default;
 };
 
-/// All machines, what may be on them and what the teams use through that. Whatever a report's handling asks
-/// for is kept as an index or a running total, so that its cost does not grow with the number of machines.
+/// All machines, what may be on them and what the teams use through that. Whatever a heartbeat's handling
+/// asks for is kept as an index or a running total, so that its cost does not grow with the number of
+/// machines.
 class Fleet {
   public:
     std::map<std::string, std::unique_ptr<Machine>>& machines() { return machines_; }
@@ -203,7 +208,7 @@
     void setPriority(Job& job, protocol::Priority priority);
 
     void setReconciled(Machine& machine, bool reconciled);
-    void setRoster(Machine& machine, RosterState roster);
+    void setRegistration(Machine& machine, RegistrationState registration);
     /// Rostered machines, by shape, that an earlier leader's tasks may be on.
     const std::map<Offering, std::uint32_t>& unreconciled() const { return unreconciled_; }
 
--- a/src/bookkeeping/image.h
+++ b/src/bookkeeping/image.h
@@ -7,7 +7,7 @@
 namespace burlpoint::bookkeeping {
 
 /// A task image, by its name. Each name is kept once for the life of the process, so that images are compared
-/// and hashed by the name's address: a report compares the images of a machine with those of all waiting
+/// and hashed by the name's address: a heartbeat compares the images of a machine with those of all waiting
 /// jobs. Only for the thread that owns the process's state.
 class Image {
   public:
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -7,13 +7,13 @@
 namespace keys = storage::keys;
 
 void Job::setDone(std::uint32_t task) {
-    if (task >= spec.tasks || isDone(task) || final != Final::open) return;
+    if (task >= spec.tasks || isDone(task) || terminalState != TerminalState::none) return;
     const bool wasWaiting = run && isWaiting(task);
     if (done.empty()) done.resize(spec.tasks);
     done[task] = true;
     ++doneCount;
     if (!run) return;
-    run->unstored.erase(task);
+    run->unpersistedTasks.erase(task);
     if (wasWaiting) --run->waiting;
 }
 
@@ -50,47 +50,47 @@
 
 bool Job::finish(std::uint32_t task) {
     if (isFinished(task)) return false;
-    if (run->live[task] == 0) --run->waiting;
-    run->unstored.insert(task);
+    if (run->placedCount[task] == 0) --run->waiting;
+    run->unpersistedTasks.insert(task);
     return true;
 }
 
-void Job::addLive(std::uint32_t task, const std::string& machine, const std::string& zone) {
+void Job::addPlaced(std::uint32_t task, const std::string& machine, const std::string& zone) {
     if (isWaiting(task)) --run->waiting;
-    ++run->live[task];
-    ++run->liveTotal;
+    ++run->placedCount[task];
+    ++run->placedTotal;
     ++run->zones[zone];
     ++run->machines[machine];
 }
 
-void Job::dropLive(std::uint32_t task, const std::string& machine, const std::string& zone) {
-    --run->live[task];
-    --run->liveTotal;
+void Job::removePlaced(std::uint32_t task, const std::string& machine, const std::string& zone) {
+    --run->placedCount[task];
+    --run->placedTotal;
     if (const auto found = run->zones.find(zone); --found->second == 0) run->zones.erase(found);
     if (const auto found = run->machines.find(machine); --found->second == 0) run->machines.erase(found);
     if (isWaiting(task)) {
         ++run->waiting;
-        run->hint = std::min(run->hint, task);
+        run->firstWaitingHint = std::min(run->firstWaitingHint, task);
     }
 }
 
 std::optional<std::uint32_t> Job::firstWaiting() {
     if (run->waiting == 0) return std::nullopt;
-    while (run->hint < spec.tasks && !isWaiting(run->hint)) ++run->hint;
-    return run->hint < spec.tasks ? std::optional(run->hint) : std::nullopt;
+    while (run->firstWaitingHint < spec.tasks && !isWaiting(run->firstWaitingHint)) ++run->firstWaitingHint;
+    return run->firstWaitingHint < spec.tasks ? std::optional(run->firstWaitingHint) : std::nullopt;
 }
 
 void Job::beginRun(bool inherited, Time now) {
     run = std::make_unique<JobRun>(spec.tasks);
     run->inherited = inherited;
     run->waitingSince = now;
-    run->priority = urgency;
-    run->waiting = final == Final::open ? spec.tasks - doneCount : 0;
+    run->priority = effectivePriority;
+    run->waiting = terminalState == TerminalState::none ? spec.tasks - doneCount : 0;
 }
 
 protocol::JobState Job::state(std::uint32_t runningTasks) const {
-    if (final == Final::done) return protocol::JobState::done;
-    if (final == Final::cancelled) return protocol::JobState::cancelled;
+    if (terminalState == TerminalState::done) return protocol::JobState::done;
+    if (terminalState == TerminalState::cancelled) return protocol::JobState::cancelled;
     return runningTasks > 0 ? protocol::JobState::running : protocol::JobState::queued;
 }
 
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -11,76 +11,75 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/image.h"
 #include "protocol/settings.h"
 #include "storage/records.h"
-#include "transport/http.h"
 
 namespace burlpoint::bookkeeping {
 
 using protocol::JobSpec;
 using protocol::Priority;
-using protocol::Seconds;
-using storage::Final;
-using transport::Clock;
-using transport::Time;
+using storage::TerminalState;
 
 /// Is the job a gang of several tasks, which begin and end together?
-inline bool isLargeGang(const JobSpec& spec) { return spec.kind == protocol::Kind::gang && spec.tasks > 1; }
+inline bool isLargeGang(const JobSpec& spec) {
+    return spec.kind == protocol::JobKind::gang && spec.tasks > 1;
+}
 
 /// What a leader knows of a job beyond the stored facts.
 struct JobRun {
     /// Nothing is on a machine; all of `tasks` count as not waiting until Job::beginRun says how many do.
-    explicit JobRun(std::uint32_t tasks) : live(tasks, 0) {}
+    explicit JobRun(std::uint32_t tasks) : placedCount(tasks, 0) {}
 
     /// Some task of the job is or was on a machine.
-    bool began() const { return launched > 0 || liveTotal > 0; }
+    bool began() const { return launchedTasks > 0 || placedTotal > 0; }
     /// None of the job's tasks has been on a machine for that time.
     bool hasWaitedUnstarted(Clock::duration time, Time now) const {
-        return liveTotal == 0 && now - waitingSince >= time;
+        return placedTotal == 0 && now - waitingSince >= time;
     }
 
     // Its tasks.
-    std::vector<std::uint8_t> live;                 // machines that each task is possibly on
-    std::uint32_t liveTotal = 0;                    // sum of `live`
+    std::vector<std::uint8_t> placedCount;          // machines that each task is possibly on
+    std::uint32_t placedTotal = 0;                  // sum of `live`
     std::uint32_t waiting = 0;                      // tasks neither finished nor possibly on a machine
     std::uint32_t running = 0;                      // tasks seen running
-    std::set<std::uint32_t> unstored;               // tasks seen done whose bit is not stored yet
-    std::uint32_t hint = 0;                         // no task before this one is waiting
+    std::set<std::uint32_t> unpersistedTasks;       // tasks seen done whose bit is not stored yet
+    std::uint32_t firstWaitingHint = 0;             // no task before this one is waiting
     std::map<std::string, std::uint32_t> zones;     // possible tasks per zone
     std::map<std::string, std::uint32_t> machines;  // and per machine
 
     // Its place among the jobs.
     bool inherited = false;                // accepted before this leader began
     int rank = 0;                          // of the leader's order, the higher the sooner
-    double place = 0;                      // within its rank, the lower the sooner
+    double positionInRank = 0;             // within its rank, the lower the sooner
     Priority priority = Priority::normal;  // its own, or that of a job that needs it
     bool guaranteed = false;               // within its team's guarantee
     bool overdue = false;                  // has been passed over for too long
     const protocol::Team* team = nullptr;
-    std::optional<Seconds> tightWait;  // the shortest wait aim of its class
-    Time readyAt{};                    // accepted and free to start, as far as clocks agree
+    std::optional<Seconds> shortestWaitObjective;  // the shortest wait aim of its class
+    Time readyAt{};                                // accepted and free to start, as far as clocks agree
     Time waitingSince{};
 
     // Pacing by the design.
-    std::uint32_t launched = 0;  // m: its tasks that were started
-    std::uint32_t paced = 0;     // md: its paced fetches
-    double pacedTotal = 0;       // Md: those expected at admission
-    bool admitted = false;       // Md is known
+    std::uint32_t launchedTasks = 0;  // m: its tasks that were started
+    std::uint32_t pacedFetches = 0;   // md: its paced fetches
+    double expectedPacedFetches = 0;  // Md: those expected at admission
+    bool admitted = false;            // Md is known
     // The first task that was started since the job was overdue and had not begun.
-    std::optional<std::uint32_t> firstTask;
+    std::optional<std::uint32_t> firstOverdueTask;
 
     // Gangs.
     std::uint64_t gangAttempt = 0;       // the attempt under way, 0: none
     std::set<std::string> machinesLeft;  // that a task of this attempt has gone from
 
     // Failures, and what is to be stored.
-    Time notBefore{};                           // back-off after failures
+    Time backoffUntil{};                        // back-off after failures
     std::map<std::string, Time> errorMachines;  // where a task of it failed since its last success
     bool succeeded = false;                     // a task of it has worked somewhere
-    Time nextBits{};                            // when its finished tasks are stored next
+    Time nextBitmapWrite{};                     // when its finished tasks are stored next
 
-    // What the other machines offer, looked up now and then and not for each report.
+    // What the other machines offer, looked up now and then and not for each heartbeat.
     std::uint32_t roomWithImage = 0;  // waiting tasks that machines with the image have room for
     Time cachedRoomUntil{};           // until when that counts
     bool imageWait = false;           // it should wait for such a machine
@@ -98,7 +97,7 @@
 /// A job as stored, and while this node leads, its run.
 struct Job {
     JobSpec spec;
-    Final final = Final::open;
+    TerminalState terminalState = TerminalState::none;
     std::uint64_t acceptedMs = 0;
     std::uint64_t readyMs = 0;  // when it was accepted, or the last job that it needs was done
     std::uint64_t endedMs = 0;  // when it was done itself
@@ -109,11 +108,11 @@
     std::uint32_t doneCount = 0;
     std::vector<std::uint64_t> chunkVersions;
     std::map<BitRange, std::uint64_t> partVersions;
-    std::uint32_t openDependencies = 0;       // not stored as done, as far as is known
-    bool derived = false;                     // cancelled with one that it needs, not by its own record
-    bool urgencyPropagated = false;           // to the jobs that it needs
-    Priority urgency = Priority::normal;      // the highest of its own and of those that need it
-    std::optional<std::uint64_t> dueMs = {};  // so that its deadline and theirs can be met
+    std::uint32_t openDependencies = 0;             // not stored as done, as far as is known
+    bool cancelledByDependency = false;             // cancelled with one that it needs, not by its own record
+    bool priorityPropagated = false;                // to the jobs that it needs
+    Priority effectivePriority = Priority::normal;  // the highest of its own and of those that need it
+    std::optional<std::uint64_t> dueAtMs = {};      // so that its deadline and theirs can be met
     std::unique_ptr<JobRun> run;
 
     /// The image of its tasks, `spec.image`, which must not change any more.
@@ -122,16 +121,16 @@
         return *image_;
     }
     bool ready() const { return openDependencies == 0; }
-    Priority priority() const { return run ? run->priority : urgency; }
+    Priority priority() const { return run ? run->priority : effectivePriority; }
     std::size_t chunks() const { return (spec.tasks + chunkTasks - 1) / chunkTasks; }
     bool isDone(std::uint32_t task) const {
-        return final == Final::done || (task < done.size() && done[task]);
+        return terminalState == TerminalState::done || (task < done.size() && done[task]);
     }
     bool isFinished(std::uint32_t task) const {
-        return isDone(task) || (run && run->unstored.contains(task));
+        return isDone(task) || (run && run->unpersistedTasks.contains(task));
     }
     bool isWaiting(std::uint32_t task) const {
-        return final == Final::open && !isFinished(task) && run->live[task] == 0;
+        return terminalState == TerminalState::none && !isFinished(task) && run->placedCount[task] == 0;
     }
     std::uint64_t chunkVersion(std::size_t chunk) const {
         return chunk < chunkVersions.size() ? chunkVersions[chunk] : 0;
@@ -147,8 +146,8 @@
     void setChunkVersion(std::size_t chunk, std::uint64_t version);
     /// The task was seen done; its bit is still to be stored. False if that was known.
     bool finish(std::uint32_t task);
-    void addLive(std::uint32_t task, const std::string& machine, const std::string& zone);
-    void dropLive(std::uint32_t task, const std::string& machine, const std::string& zone);
+    void addPlaced(std::uint32_t task, const std::string& machine, const std::string& zone);
+    void removePlaced(std::uint32_t task, const std::string& machine, const std::string& zone);
     /// The first waiting task, or none.
     std::optional<std::uint32_t> firstWaiting();
     /// Starts a run: nothing is on a machine so far.
--- a/src/coordination/machine_status.h
+++ b/src/bookkeeping/machine_status.h
@@ -9,21 +9,18 @@
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/state_replica.h"
 
-namespace burlpoint::coordination {
+namespace burlpoint::bookkeeping {
 
-using bookkeeping::Machine;
-using bookkeeping::StateReplica;
-
-/// May an earlier leader have given the machine a task? The roster entry of one that has not reported yet has
-/// no address, and no task is given under it.
+/// May an earlier leader have given the machine a task? The machine registry entry of one that has not
+/// reported yet has no address, and no task is given under it.
 inline bool mayHoldTasks(const StateReplica& replica, const std::string& machine) {
-    const auto stored = replica.roster.find(machine);
-    return stored != replica.roster.end() && !stored->second.record.address.empty();
+    const auto stored = replica.registeredMachines.find(machine);
+    return stored != replica.registeredMachines.end() && !stored->second.record.address.empty();
 }
 
 /// It has reported, here or to an earlier leader: if it is silent, it does not boot, it is lost.
 inline bool wasUp(const Machine& machine, const StateReplica& replica) {
-    return machine.session > 0 || mayHoldTasks(replica, machine.id);
+    return machine.incarnation > 0 || mayHoldTasks(replica, machine.id);
 }
 
 /// Tasks of several jobs have failed on it since one last worked: the machine is the likely cause.
@@ -32,4 +29,4 @@
     return machine.errorJobs.size() >= kFaultyAfter;
 }
 
-}  // namespace burlpoint::coordination
+}  // namespace burlpoint::bookkeeping
--- /dev/null
+++ b/src/bookkeeping/machine_types.h
@@ -0,0 +1,22 @@
+#pragma once
+
+/// The machine types that the cloud offers, and which of them a job's owner allows. Pure functions.
+
+#include <map>
+#include <string>
+
+#include "protocol/cloud_messages.h"
+#include "protocol/job_messages.h"
+
+namespace burlpoint::bookkeeping {
+
+/// The cloud's machine types by name.
+using MachineTypes = std::map<std::string, protocol::MachineType>;
+
+/// The type of that name; null: the cloud has not told of it so far.
+const protocol::MachineType* findType(const MachineTypes& types, const std::string& name);
+
+/// The job's owner allows it on such a machine. Says nothing of the machine's size.
+bool ownerAllows(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
+
+}  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/state_replica.cpp
+++ b/src/bookkeeping/state_replica.cpp
@@ -3,6 +3,9 @@
 #include <algorithm>
 #include <charconv>
 
+#include "base/clock.h"
+#include "protocol/errors.h"
+
 namespace burlpoint::bookkeeping {
 
 namespace keys = storage::keys;
@@ -42,7 +45,7 @@
     auto* known = find(id);
     if (known && known->version >= version) return;
     auto record = storage::decodeJob(value);
-    if (record.spec.id != id) throw protocol::Malformed("a job under another's key");
+    if (record.spec.id != id) throw protocol::MalformedMessage("a job under another's key");
     const bool fresh = !known;
     if (fresh) {
         auto job = std::make_unique<Job>();
@@ -54,67 +57,70 @@
     known->acceptedMs = record.acceptedMs;
     known->chunkTasks = record.chunkTasks;
     known->endedMs = record.endedMs;
-    if (record.final != Final::open) return close(*known, record.final, record.done, version, changes);
+    if (record.terminalState != TerminalState::none)
+        return close(*known, record.terminalState, record.done, version, changes);
     known->version = version;
     if (!fresh) return;
     open_.insert(known);
     if (const auto ahead = cancelledAhead_.find(id); ahead != cancelledAhead_.end())
-        return close(*known, Final::cancelled, 0, ahead->second, changes);
+        return close(*known, TerminalState::cancelled, 0, ahead->second, changes);
     enter(*known, changes);
 }
 
 /// An open job that was not known: what it waits for, and whether it is cancelled with one of these.
 void StateReplica::enter(Job& job, std::vector<Change>& changes) {
     job.readyMs = job.acceptedMs;
-    job.urgency = job.spec.priority;
-    job.dueMs = ownDueMs(job);
+    job.effectivePriority = job.spec.priority;
+    job.dueAtMs = ownDueMs(job);
     bool cancelled = false;
     for (const auto& id : job.spec.dependencies) {
         const auto* needed = find(id);
-        if (needed && needed->final == Final::done) {
+        if (needed && needed->terminalState == TerminalState::done) {
             job.readyMs = std::max(job.readyMs, needed->endedMs);
             continue;
         }
         ++job.openDependencies;
-        if (needed && needed->final == Final::cancelled)
+        if (needed && needed->terminalState == TerminalState::cancelled)
             cancelled = true;
         else
             dependents_[id].push_back(&job);
     }
-    if (!job.spec.dependencies.empty() || dependents_.contains(job.spec.id)) staleUrgency_.insert(&job);
+    if (!job.spec.dependencies.empty() || dependents_.contains(job.spec.id)) stalePriorities_.insert(&job);
     if (!cancelled) return;
-    end(job, Final::cancelled, 0);
-    job.derived = true;
+    end(job, TerminalState::cancelled, 0);
+    job.cancelledByDependency = true;
     cancelDependents(job, changes);
 }
 
 /// What the job's record says, or will say once it is read.
-void StateReplica::close(Job& job, Final final, std::uint32_t done, std::uint64_t version,
+void StateReplica::close(Job& job, TerminalState terminalState, std::uint32_t done, std::uint64_t version,
                          std::vector<Change>& changes) {
-    const auto before = job.final;
-    if (final == Final::cancelled && (before != Final::cancelled || job.derived)) cancelled_.push_back(&job);
-    job.derived = false;
+    const auto before = job.terminalState;
+    if (terminalState == TerminalState::cancelled &&
+        (before != TerminalState::cancelled || job.cancelledByDependency))
+        cancelled_.push_back(&job);
+    job.cancelledByDependency = false;
     cancelledAhead_.erase(job.spec.id);
     job.version = version;
-    end(job, final, done);
-    if (before != Final::open) return;
-    if (final == Final::done)
+    end(job, terminalState, done);
+    if (before != TerminalState::none) return;
+    if (terminalState == TerminalState::done)
         freeDependents(job, changes);
     else
         cancelDependents(job, changes);
 }
 
-void StateReplica::end(Job& job, Final final, std::uint32_t done) {
-    job.final = final;
+void StateReplica::end(Job& job, TerminalState terminalState, std::uint32_t done) {
+    job.terminalState = terminalState;
     job.doneCount = done;
     job.done = {};
     job.chunkVersions = {};
     job.partVersions = {};
     open_.erase(&job);
-    staleUrgency_.erase(&job);
+    stalePriorities_.erase(&job);
     if (job.run) {
         job.run->waiting = 0;
-        job.run->unstored.clear();
+        job.run->unpersistedTasks.clear();
     }
 }
 
@@ -131,9 +137,9 @@
         const auto dependents = std::move(found->second);
         dependents_.erase(found);
         for (auto* dependent : dependents) {
-            if (dependent->final != Final::open) continue;
-            end(*dependent, Final::cancelled, 0);
-            dependent->derived = true;
+            if (dependent->terminalState != TerminalState::none) continue;
+            end(*dependent, TerminalState::cancelled, 0);
+            dependent->cancelledByDependency = true;
             changes.push_back({ChangeKind::job, dependent->spec.id});
             ended.push_back(dependent);
         }
@@ -144,7 +150,7 @@
     const auto found = dependents_.find(job.spec.id);
     if (found == dependents_.end()) return;
     for (auto* dependent : found->second) {
-        if (dependent->final != Final::open) continue;
+        if (dependent->terminalState != TerminalState::none) continue;
         dependent->readyMs = std::max(dependent->readyMs, job.endedMs);
         if (--dependent->openDependencies == 0) changes.push_back({ChangeKind::job, dependent->spec.id});
     }
@@ -154,29 +160,31 @@
 /// What the job needs is no longer, or not yet, needed by it.
 void StateReplica::staleDependencies(const Job& job) {
     for (const auto& id : job.spec.dependencies)
-        if (auto* needed = find(id); needed && needed->final == Final::open) staleUrgency_.insert(needed);
+        if (auto* needed = find(id); needed && needed->terminalState == TerminalState::none)
+            stalePriorities_.insert(needed);
 }
 
-void StateReplica::updateUrgency() {
-    while (!staleUrgency_.empty()) {
-        auto& job = **staleUrgency_.begin();
-        staleUrgency_.erase(staleUrgency_.begin());
-        if (job.final == Final::open) updateUrgencyOf(job);
+void StateReplica::updateEffectivePriorities() {
+    while (!stalePriorities_.empty()) {
+        auto& job = **stalePriorities_.begin();
+        stalePriorities_.erase(stalePriorities_.begin());
+        if (job.terminalState == TerminalState::none) updateEffectivePriorityOf(job);
     }
 }
 
-void StateReplica::updateUrgencyOf(Job& job) {
+void StateReplica::updateEffectivePriorityOf(Job& job) {
     static const std::vector<Job*> kNone;
     const auto found = dependents_.find(job.spec.id);
     const auto& dependents = found == dependents_.end() ? kNone : found->second;
     auto urgency = job.spec.priority;
     for (const auto* dependent : dependents)
-        if (dependent->final == Final::open) urgency = std::max(urgency, dependent->urgency);
+        if (dependent->terminalState == TerminalState::none)
+            urgency = std::max(urgency, dependent->effectivePriority);
     const auto due = dueFor(job, dependents);
-    if (urgency == job.urgency && due == job.dueMs && job.urgencyPropagated) return;
-    job.urgency = urgency;
-    job.dueMs = due;
-    job.urgencyPropagated = true;
+    if (urgency == job.effectivePriority && due == job.dueAtMs && job.priorityPropagated) return;
+    job.effectivePriority = urgency;
+    job.dueAtMs = due;
+    job.priorityPropagated = true;
     staleDependencies(job);
 }
 
@@ -185,18 +193,18 @@
 std::optional<std::uint64_t> StateReplica::dueFor(const Job& job, const std::vector<Job*>& dependents) {
     auto due = ownDueMs(job);
     for (const auto* dependent : dependents) {
-        if (dependent->final != Final::open || !dependent->dueMs) continue;
-        const auto work = std::min(milliseconds(dependent->spec.estimate), *dependent->dueMs);
-        due = std::min(due.value_or(*dependent->dueMs), *dependent->dueMs - work);
+        if (dependent->terminalState != TerminalState::none || !dependent->dueAtMs) continue;
+        const auto work = std::min(milliseconds(dependent->spec.estimatedRunTime), *dependent->dueAtMs);
+        due = std::min(due.value_or(*dependent->dueAtMs), *dependent->dueAtMs - work);
     }
     return due;
 }
 
 void StateReplica::noteDone(Job& job, std::uint64_t version, std::uint64_t endedMs,
                             std::vector<Change>& changes) {
-    if (job.final != Final::open) return;
+    if (job.terminalState != TerminalState::none) return;
     job.endedMs = endedMs;
-    close(job, Final::done, job.spec.tasks, version, changes);
+    close(job, TerminalState::done, job.spec.tasks, version, changes);
 }
 
 void StateReplica::noteCancelled(const std::string& id, std::uint64_t version, std::vector<Change>& changes) {
@@ -206,8 +214,8 @@
         cancelledAhead_[id] = version;
         return;
     }
-    if (job->final != Final::open) return;
-    close(*job, Final::cancelled, job->doneCount, version, changes);
+    if (job->terminalState != TerminalState::none) return;
+    close(*job, TerminalState::cancelled, job->doneCount, version, changes);
     changes.push_back({ChangeKind::job, id});
 }
 
@@ -234,7 +242,7 @@
 /// False: the key covers nothing of the job, or its value is not new.
 bool StateReplica::applyBits(Job& job, std::string_view key, const msgpack::object& value,
                              std::uint64_t version) {
-    if (job.final != Final::open) return false;
+    if (job.terminalState != TerminalState::none) return false;
     const auto range = parseRange(job, key);
     if (!range || version <= job.versionOf(*range)) return false;
     std::vector<bool> bits(job.spec.tasks);
@@ -258,7 +266,7 @@
             applyMachine(change, changes);
         else if (key.starts_with(keys::kJobs))
             applyJobKey(change, changes);
-    } catch (const protocol::Malformed&) {
+    } catch (const protocol::MalformedMessage&) {
         return false;
     }
     return true;
@@ -273,7 +281,7 @@
 
 void StateReplica::applyToken(const protocol::KeyChange& change) {
     if (!change.value || change.version <= tokenVersion) return;
-    token = storage::decodeToken(*change.value);
+    fencingToken = storage::decodeToken(*change.value);
     tokenVersion = change.version;
 }
 
@@ -286,7 +294,7 @@
 
 void StateReplica::applyMachine(const protocol::KeyChange& change, std::vector<Change>& changes) {
     const auto id = change.key.substr(sizeof keys::kMachines - 1);
-    if (const auto known = roster.find(id); known != roster.end()) {
+    if (const auto known = registeredMachines.find(id); known != registeredMachines.end()) {
         // A transaction may write and delete a key at one revision; the deletion is then the later of the
         // two.
         const auto version = known->second.version;
@@ -294,10 +302,10 @@
         if (old) return;
     }
     if (change.value)
-        roster[id] = {storage::decodeMachine(*change.value), change.version};
+        registeredMachines[id] = {storage::decodeMachine(*change.value), change.version};
     else
-        roster.erase(id);
-    changes.push_back({ChangeKind::roster, id});
+        registeredMachines.erase(id);
+    changes.push_back({ChangeKind::machine, id});
 }
 
 /// A job's record or a part of its bitmap. Records are never deleted, and bits that are have had their use.
@@ -321,13 +329,13 @@
         leader.reset();
         changes.push_back({ChangeKind::leader, ""});
     }
-    for (auto it = roster.begin(); it != roster.end();) {
+    for (auto it = registeredMachines.begin(); it != registeredMachines.end();) {
         if (read.contains(keys::machine(it->first))) {
             ++it;
             continue;
         }
-        changes.push_back({ChangeKind::roster, it->first});
-        it = roster.erase(it);
+        changes.push_back({ChangeKind::machine, it->first});
+        it = registeredMachines.erase(it);
     }
 }
 
--- a/src/coordination/readiness.cpp
+++ b/src/coordination/api/readiness.cpp
@@ -1,10 +1,8 @@
-#include "coordination/readiness.h"
+#include "coordination/api/readiness.h"
 
 #include <algorithm>
 
 namespace burlpoint::coordination {
-
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
--- a/src/coordination/submission_queue.cpp
+++ b/src/coordination/api/submission_queue.cpp
@@ -1,18 +1,15 @@
-#include "coordination/submission_queue.h"
+#include "coordination/api/submission_queue.h"
 
 #include <algorithm>
 
 namespace burlpoint::coordination {
-
-using protocol::Seconds;
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
 
 constexpr std::size_t kMaxQueued = 400;  // in all queues, which bounds their memory
 constexpr std::size_t kMaxStoring = 8;   // transactions under way
-// Of the state service's changes. A leader's writes are paced by a budget of their own: were both one, its
+// Of the key-value store's changes. A leader's writes are paced by a budget of their own: were both one, its
 // node would turn users away whenever it has much to store.
 constexpr double kShare = 0.3;
 constexpr std::chrono::seconds kShortestRetry = 1s;
@@ -21,7 +18,7 @@
 }  // namespace
 
 SubmissionQueue::SubmissionQueue(const protocol::Settings& settings, Time now)
-    : changes_(settings.stateWriteRps * kShare, now, settings.minWriteRps() * kShare) {}
+    : changes_(settings.storeWritesPerSecond * kShare, now, settings.minWritesPerSecond() * kShare) {}
 
 std::optional<std::chrono::seconds> SubmissionQueue::retryAfter(Time now) {
     const Seconds expected(static_cast<double>(queued_) / changes_.rate(now));
--- a/src/coordination/user_api.h
+++ b/src/coordination/api/user_api.h
@@ -7,12 +7,14 @@
 #include <utility>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/state_replica.h"
-#include "coordination/state_watcher.h"
-#include "coordination/submission_queue.h"
+#include "coordination/api/submission_queue.h"
+#include "coordination/state/state_watcher.h"
 #include "protocol/settings.h"
-#include "storage/store.h"
-#include "transport/http.h"
+#include "storage/key_value_client.h"
+#include "transport/executor.h"
+#include "transport/http_message.h"
 
 /// The users' interface of a node: submissions, questions and cancellations. `UserApi` owns the queue of
 /// submissions and the counts of running tasks that users are shown.
@@ -24,11 +26,11 @@
                                              const std::vector<protocol::MachineType>& types);
 
 /// Answers users, on every node. Nothing is acknowledged before it is stored, and only a final state is told
-/// without asking the state service first. Where that does not answer, users get 503 with `Retry-After`.
+/// without asking the key-value store first. Where that does not answer, users get 503 with `Retry-After`.
 class UserApi {
   public:
     /// All of these must outlive this, which waits for answers of `state` and `watcher`.
-    UserApi(asio::io_context& io, const protocol::Settings& settings, storage::StateClient& state,
+    UserApi(asio::io_context& io, const protocol::Settings& settings, storage::KeyValueClient& state,
             bookkeeping::StateReplica& replica, StateWatcher& watcher);
 
     /// Answers the request by `reply`, called exactly once, perhaps later. False: the path is none of the
@@ -50,7 +52,7 @@
     void submit(const transport::Request& request, const transport::Reply& reply);
     /// A new job, as far as is known here, that could run.
     void admit(protocol::JobSpec spec, const transport::Reply& reply);
-    /// Admits a job once a read of the state service has shown all that it needs.
+    /// Admits a job once a read of the key-value store has shown all that it needs.
     void admitAfterRead(protocol::JobSpec spec, const transport::Reply& reply);
     /// A job that it needs and that was never accepted, as far as is known here.
     std::optional<std::string> missingDependency(const protocol::JobSpec& spec) const;
@@ -60,21 +62,21 @@
     void enqueue(protocol::JobSpec spec, const transport::Reply& reply);
     /// Stores what may be stored now, and turns away what has waited for too long.
     void serveQueue();
-    void serveLater(transport::Duration pause);
+    void serveLater(Duration pause);
     void store(Submission submission);
     /// What came of storing a submission.
-    void stored(const Submission& submission, const storage::TxnResult& result);
-    /// The state service did not store it for now: once more if time is left.
+    void stored(const Submission& submission, const storage::TransactionResult& result);
+    /// The key-value store did not store it for now: once more if time is left.
     void retryOrGiveUp(const Submission& submission);
 
     void status(const std::string& id, const transport::Reply& reply);
-    /// Cancels a job after a read of the state service; a write that fails is tried `tries` times in all.
+    /// Cancels a job after a read of the key-value store; a write that fails is tried `tries` times in all.
     void cancel(const std::string& id, const transport::Reply& reply, int tries);
     void writeCancelled(const std::string& id, const transport::Reply& reply, int tries);
     void answerState(const bookkeeping::Job& job, const transport::Reply& reply) const;
 
     const protocol::Settings& settings_;
-    storage::StateClient& state_;
+    storage::KeyValueClient& state_;
     bookkeeping::StateReplica& replica_;
     StateWatcher& watcher_;
     SubmissionQueue queue_;
--- a/src/coordination/rental_refusals.cpp
+++ b/src/coordination/autoscaling/capacity_errors.cpp
@@ -1,4 +1,4 @@
-#include "coordination/rental_refusals.h"
+#include "coordination/autoscaling/capacity_errors.h"
 
 #include <algorithm>
 
@@ -14,28 +14,28 @@
 
 }  // namespace
 
-void RentalRefusals::note(const Offering& offering, Time now) {
-    auto& refusal = refusals_[offering];
+void CapacityErrors::note(const Offering& offering, Time now) {
+    auto& refusal = capacityErrors_[offering];
     refusal.pause = std::clamp(refusal.pause * 2, kFirstPause, kLongestPause);
     refusal.until = now + refusal.pause;
 }
 
-void RentalRefusals::forget(const Offering& offering) { refusals_.erase(offering); }
+void CapacityErrors::forget(const Offering& offering) { capacityErrors_.erase(offering); }
 
-bool RentalRefusals::refused(const Offering& offering, Time now) const {
-    const auto found = refusals_.find(offering);
-    return found != refusals_.end() && found->second.until > now;
+bool CapacityErrors::refused(const Offering& offering, Time now) const {
+    const auto found = capacityErrors_.find(offering);
+    return found != capacityErrors_.end() && found->second.until > now;
 }
 
-bool RentalRefusals::refusedEverywhere(const MachineType& type, Time now) const {
+bool CapacityErrors::unavailableEverywhere(const MachineType& type, Time now) const {
     return std::all_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
         return refused({type.name, zone, false}, now);
     });
 }
 
-std::vector<Offering> RentalRefusals::refusedNow(Time now) const {
+std::vector<Offering> CapacityErrors::unavailableNow(Time now) const {
     std::vector<Offering> offerings;
-    for (const auto& [offering, refusal] : refusals_)
+    for (const auto& [offering, refusal] : capacityErrors_)
         if (refusal.until > now) offerings.push_back(offering);
     return offerings;
 }
--- a/src/coordination/rental_refusals.h
+++ b/src/coordination/autoscaling/capacity_errors.h
@@ -6,17 +6,16 @@
 #include <map>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
 
 namespace burlpoint::coordination {
 
 using bookkeeping::Offering;
 using protocol::MachineType;
-using transport::Clock;
-using transport::Time;
 
 /// The refusals per offering (type, zone, spot or ordinary) since it was last granted in full.
-class RentalRefusals {
+class CapacityErrors {
   public:
     /// The cloud gave fewer machines than were asked for, or none: the offering is left alone for a pause,
     /// which doubles with each refusal in a row up to a bound.
@@ -29,21 +28,21 @@
     bool refused(const Offering& offering, Time now) const;
 
     /// It was refused since it was last granted in full, whether or not the pause is over.
-    bool remembered(const Offering& offering) const { return refusals_.contains(offering); }
+    bool remembered(const Offering& offering) const { return capacityErrors_.contains(offering); }
 
     /// Ordinary machines of the type are refused in every zone that has the type.
-    bool refusedEverywhere(const MachineType& type, Time now) const;
+    bool unavailableEverywhere(const MachineType& type, Time now) const;
 
     /// All offerings whose pause is not over, in their order.
-    std::vector<Offering> refusedNow(Time now) const;
+    std::vector<Offering> unavailableNow(Time now) const;
 
   private:
-    struct Refusal {
+    struct CapacityError {
         Time until{};             // the end of the pause
         Clock::duration pause{};  // its length
     };
 
-    std::map<Offering, Refusal> refusals_;
+    std::map<Offering, CapacityError> capacityErrors_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -1,17 +1,17 @@
-#include "coordination/capacity_plan.h"
+#include "coordination/autoscaling/capacity_plan.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "coordination/machine_status.h"
+#include "bookkeeping/machine_status.h"
 
 namespace burlpoint::coordination {
 
 using bookkeeping::needOf;
 using bookkeeping::sizeOf;
-using protocol::Kind;
-using storage::Final;
+using protocol::JobKind;
+using storage::TerminalState;
 
 namespace {
 
@@ -39,27 +39,29 @@
 std::uint32_t zoneRoom(const JobSpec& spec, const std::map<std::string, std::uint32_t>& zones,
                        const std::string& zone) {
     const auto found = zones.find(zone);
-    if (spec.oneZone && !zones.empty() && found == zones.end()) return 0;
-    const std::uint32_t most = spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
+    if (spec.singleZone && !zones.empty() && found == zones.end()) return 0;
+    const std::uint32_t most = spec.spreadZones ? (spec.tasks + 1) / 2 : spec.tasks;
     const std::uint32_t here = found == zones.end() ? 0 : found->second;
     return here >= most ? 0 : most - here;
 }
 
-bool isOneZoneGang(const JobSpec& spec) { return spec.kind == Kind::gang && spec.oneZone && spec.tasks > 1; }
+bool isOneZoneGang(const JobSpec& spec) {
+    return spec.kind == JobKind::gang && spec.singleZone && spec.tasks > 1;
+}
 
 }  // namespace
 
 CapacityPlan::CapacityPlan(PlanInputs inputs) : in_(std::move(inputs)) {
     addMachines();
-    addPendingRentals();
+    addPendingRequests();
 }
 
 void CapacityPlan::addMachines() {
     for (const auto& [id, machine] : in_.fleet.machines()) {
         if (!isThere(*machine)) continue;
         Bin bin{{machine->type, machine->zone, machine->spot},
-                machine->kind,
-                sizeOf(*machine->kind) - machine->used,
+                machine->typeInfo,
+                sizeOf(*machine->typeInfo) - machine->used,
                 machine.get()};
         if (machine->isReserved(in_.now)) bin.reservedFor = machine->reservedFor;
         bins_.push_back(std::move(bin));
@@ -68,16 +70,16 @@
 
 /// It has room for tasks, or will have once it is up.
 bool CapacityPlan::isThere(const Machine& machine) const {
-    if (!machine.kind || machine.unreachableSince || machine.draining || machine.releasing ||
-        machine.failed || machine.recallAt || isFaulty(machine))
+    if (!machine.typeInfo || machine.unreachableSince || machine.draining || machine.deletionRequested ||
+        machine.failed || machine.interruptionAt || isFaulty(machine))
         return false;
-    const bool lost = machine.reconciled && !machine.reports && wasUp(machine, in_.replica);
+    const bool lost = machine.reconciled && !machine.sendsHeartbeats && wasUp(machine, in_.replica);
     return !lost;
 }
 
-void CapacityPlan::addPendingRentals() {
-    in_.pending.forEach([&](const RentalRequest& request) {
-        const auto* type = findType(in_.types, request.type);
+void CapacityPlan::addPendingRequests() {
+    in_.pending.forEach([&](const InstanceRequest& request) {
+        const auto* type = bookkeeping::findType(in_.types, request.type);
         if (!type) return;
         for (std::uint32_t i = 0; i < request.count; ++i)
             bins_.push_back({offeringOf(request), type, sizeOf(*type)});
@@ -85,7 +87,7 @@
 }
 
 void CapacityPlan::add(const Job& job) {
-    if (job.final != Final::open || job.run->waiting == 0) return;
+    if (job.terminalState != TerminalState::none || job.run->waiting == 0) return;
     if (job.run->errorMachines.size() >= kFailsEverywhere) return;  // nothing is rented for such a job
     const auto& spec = job.spec;
     const auto allowed = withinTeamLimits(spec, job.run->waiting);
@@ -99,7 +101,7 @@
         if (demand.waiting == 0) return;
         fill(demand, bin);
     }
-    rentFor(demand);
+    requestMachinesFor(demand);
 }
 
 std::set<std::string> CapacityPlan::neededMachines() const {
@@ -116,8 +118,8 @@
     if (!team) return tasks;
     const auto use = in_.fleet.teamUse(spec.team);
     auto& planned = planned_[spec.team];
-    tasks = std::min(tasks, tasksWithin(team->cpusMax, use.cpus + planned.cpus, spec.cpus));
-    tasks = std::min(tasks, tasksWithin(team->gpusMax, use.gpus + planned.gpus, spec.gpus));
+    tasks = std::min(tasks, tasksWithin(team->maxCpus, use.cpus + planned.cpus, spec.cpus));
+    tasks = std::min(tasks, tasksWithin(team->maxGpus, use.gpus + planned.gpus, spec.gpus));
     planned += {spec.cpus * tasks, spec.gpus * tasks, 0};
     return tasks;
 }
@@ -126,8 +128,8 @@
 /// of them at once to be through in time.
 std::uint32_t CapacityPlan::atOnce(const Job& job, std::uint32_t tasks) const {
     const auto& spec = job.spec;
-    if (spec.kind != Kind::array || spec.estimate <= Seconds(0)) return tasks;
-    const double rounds = std::max(1.0, horizonOf(job) / spec.estimate);
+    if (spec.kind != JobKind::array || spec.estimatedRunTime <= Seconds(0)) return tasks;
+    const double rounds = std::max(1.0, horizonOf(job) / spec.estimatedRunTime);
     return static_cast<std::uint32_t>(std::ceil(tasks / rounds));
 }
 
@@ -137,12 +139,12 @@
     const Seconds horizon = in_.policy.backlogHorizon;
     if (spec.deadline && spec.dependencies.empty()) {
         const Seconds waited = in_.now - job.run->waitingSince;
-        return std::max(*spec.deadline * kShareOfTimeLeft - waited, spec.estimate);
+        return std::max(*spec.deadline * kShareOfTimeLeft - waited, spec.estimatedRunTime);
     }
-    if (!job.dueMs) return horizon;
+    if (!job.dueAtMs) return horizon;
     // Of a pipeline, what is left of the time until it has to be through.
     const Seconds left = in_.dueAt(job) - in_.now;
-    return std::max(std::min(horizon, left * kShareOfTimeLeft), spec.estimate);
+    return std::max(std::min(horizon, left * kShareOfTimeLeft), spec.estimatedRunTime);
 }
 
 /// The zone that has room for most of the gang already, of those where the rest may be rented; none: there is
@@ -153,7 +155,8 @@
     ZoneMerit best;
     for (const auto& [zone, room] : roomPerZone(demand)) {
         const auto& spec = demand.job.spec;
-        if (room < demand.waiting && !rentableIn(zone, spec, in_.types, in_.refusals, in_.now)) continue;
+        if (room < demand.waiting && !isObtainableIn(zone, spec, in_.types, in_.capacityErrors, in_.now))
+            continue;
         const auto found = asked.find(zone);
         const ZoneMerit merit{std::min(room, demand.waiting),
                               found == asked.end() ? 0 : -static_cast<int>(found->second)};
@@ -170,7 +173,8 @@
     for (const auto& zone : in_.settings.zones) rooms[zone] = 0;
     for (const auto& bin : bins_) {
         const auto& [type, zone, spot] = bin.offering;
-        if (!bin.room.covers(demand.need) || !allows(demand.job.spec, type, zone, spot)) continue;
+        if (!bin.room.covers(demand.need) || !bookkeeping::ownerAllows(demand.job.spec, type, zone, spot))
+            continue;
         if (bin.reservedFor && bin.reservedFor != &demand.job) continue;
         rooms[zone] += bin.room.times(demand.need);
     }
@@ -195,7 +199,8 @@
 void CapacityPlan::fill(Demand& demand, Bin& bin) const {
     const auto& spec = demand.job.spec;
     const auto& [type, zone, spot] = bin.offering;
-    if (bin.room.cpus < demand.need.cpus - kSlack || !allows(spec, type, zone, spot)) return;
+    if (bin.room.cpus < demand.need.cpus - kSlack || !bookkeeping::ownerAllows(spec, type, zone, spot))
+        return;
     if (bin.reservedFor && bin.reservedFor != &demand.job) return;
     const auto fits = tasksFor(demand, bin.room, zone);
     if (fits == 0) return;
@@ -208,13 +213,14 @@
 }
 
 /// Plans machines to be rented for what is left of the job, as far as there are any to be had.
-void CapacityPlan::rentFor(Demand& demand) {
+void CapacityPlan::requestMachinesFor(Demand& demand) {
     if (demand.waiting == 0) return;
-    const bool plainRentable = plainMachineRentable(demand.job.spec, in_.types, in_.refusals, in_.now);
+    const bool plainObtainable =
+        plainMachineObtainable(demand.job.spec, in_.types, in_.capacityErrors, in_.now);
     while (demand.waiting > 0) {
-        const auto offering = cheapest(demand, plainRentable);
+        const auto offering = cheapest(demand, plainObtainable);
         if (!offering) return;
-        ++toRent_[*offering];
+        ++missingMachines_[*offering];
         const auto& type = in_.types.at(offering->type);
         bins_.push_back({*offering, &type, sizeOf(type)});
         const auto before = demand.waiting;
@@ -225,21 +231,23 @@
 
 /// The cheapest machine per task for what is left of the job, so that unused room counts against large ones;
 /// none: there is none to be had. Of equals the first is taken.
-std::optional<Offering> CapacityPlan::cheapest(const Demand& demand, bool plainRentable) const {
+std::optional<Offering> CapacityPlan::cheapest(const Demand& demand, bool plainObtainable) const {
     const auto& spec = demand.job.spec;
     std::optional<Offering> best;
     double bestCost = 0;
     for (const auto& [name, type] : in_.types) {
         const auto size = sizeOf(type);
         if (!size.covers(demand.need)) continue;
-        if (type.gpus > 0 && spec.gpus <= 0 && plainRentable) continue;
+        if (type.gpus > 0 && spec.gpus <= 0 && plainObtainable) continue;
         for (const auto& zone : type.zones) {
             const auto count = tasksFor(demand, size, zone);
             if (count == 0) continue;
-            for (const bool spot : kSpotChoices) {
+            for (const bool spot : kPurchaseOptions) {
                 const double cost = priceOf(type, spot) / count;
                 if (best && cost >= bestCost) continue;
-                if (!allows(spec, name, zone, spot) || !worthRenting(spec, type, spot, in_.types)) continue;
+                if (!bookkeeping::ownerAllows(spec, name, zone, spot) ||
+                    !isWorthItsPrice(spec, type, spot, in_.types))
+                    continue;
                 Offering offering{name, zone, spot};
                 if (!mayAskFor(offering)) continue;
                 best = std::move(offering);
@@ -251,10 +259,10 @@
 }
 
 bool CapacityPlan::mayAskFor(const Offering& offering) const {
-    if (in_.refusals.refused(offering, in_.now)) return false;
-    if (!in_.refusals.remembered(offering)) return true;
-    const auto found = toRent_.find(offering);
-    return found == toRent_.end() || found->second < kMaxAfterRefusal;
+    if (in_.capacityErrors.refused(offering, in_.now)) return false;
+    if (!in_.capacityErrors.remembered(offering)) return true;
+    const auto found = missingMachines_.find(offering);
+    return found == missingMachines_.end() || found->second < kMaxAfterRefusal;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/capacity_plan.h
+++ b/src/coordination/autoscaling/capacity_plan.h
@@ -12,11 +12,13 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
+#include "bookkeeping/machine_types.h"
 #include "bookkeeping/state_replica.h"
-#include "coordination/rental_refusals.h"
-#include "coordination/rental_requests.h"
-#include "coordination/rental_rules.h"
+#include "coordination/autoscaling/capacity_errors.h"
+#include "coordination/autoscaling/instance_request_queue.h"
+#include "coordination/autoscaling/instance_selection.h"
 
 namespace burlpoint::coordination {
 
@@ -26,7 +28,6 @@
 using bookkeeping::Resources;
 using bookkeeping::StateReplica;
 using protocol::Policy;
-using protocol::Seconds;
 using protocol::Settings;
 
 /// What a plan is made from. All of it outlives the plan and stays as it is meanwhile. `types` is what the
@@ -37,8 +38,8 @@
     const StateReplica& replica;
     const Fleet& fleet;
     const MachineTypes& types;
-    const RentalRequests& pending;
-    const RentalRefusals& refusals;
+    const InstanceRequestQueue& pending;
+    const CapacityErrors& capacityErrors;
     std::function<Time(const Job&)> dueAt;  // asked only of jobs that have a time due
     Time now;
 };
@@ -55,7 +56,7 @@
     void add(const Job& job);
 
     /// How many machines are missing per offering, beyond those asked for already.
-    const std::map<Offering, std::uint32_t>& toRent() const { return toRent_; }
+    const std::map<Offering, std::uint32_t>& missingMachines() const { return missingMachines_; }
 
     /// The machines that some planned task is a reason to keep.
     std::set<std::string> neededMachines() const;
@@ -79,7 +80,7 @@
     };
 
     void addMachines();
-    void addPendingRentals();
+    void addPendingRequests();
     bool isThere(const Machine& machine) const;
     std::uint32_t withinTeamLimits(const JobSpec& spec, std::uint32_t tasks);
     std::uint32_t atOnce(const Job& job, std::uint32_t tasks) const;
@@ -89,13 +90,13 @@
     std::map<std::string, std::uint32_t> askedPerZone() const;
     std::uint32_t tasksFor(const Demand& demand, const Resources& room, const std::string& zone) const;
     void fill(Demand& demand, Bin& bin) const;
-    void rentFor(Demand& demand);
-    std::optional<Offering> cheapest(const Demand& demand, bool plainRentable) const;
+    void requestMachinesFor(Demand& demand);
+    std::optional<Offering> cheapest(const Demand& demand, bool plainObtainable) const;
     bool mayAskFor(const Offering& offering) const;
 
     const PlanInputs in_;
     std::vector<Bin> bins_;
-    std::map<Offering, std::uint32_t> toRent_;
+    std::map<Offering, std::uint32_t> missingMachines_;
     std::unordered_map<std::string, Resources> planned_;  // per team with limits, by the jobs added so far
 };
 
--- a/src/coordination/rental_requests.cpp
+++ b/src/coordination/autoscaling/instance_request_queue.cpp
@@ -1,4 +1,4 @@
-#include "coordination/rental_requests.h"
+#include "coordination/autoscaling/instance_request_queue.h"
 
 #include <algorithm>
 
@@ -13,17 +13,17 @@
 
 }  // namespace
 
-void RentalRequests::add(const Offering& offering, std::uint32_t count, Time now) {
+void InstanceRequestQueue::add(const Offering& offering, std::uint32_t count, Time now) {
     while (count > 0) {
         const auto some = std::min(count, kMaxPerRequest);
         count -= some;
-        const auto name = "r-" + std::to_string(token_) + "-" + std::to_string(++named_);
+        const auto name = "r-" + std::to_string(fencingToken_) + "-" + std::to_string(++named_);
         pending_.push_back({{name, offering.type, offering.zone, offering.spot, some}, now});
     }
 }
 
-std::vector<RentalRequest> RentalRequests::takeDue(storage::RateBudget& budget, Time now) {
-    std::vector<RentalRequest> due;
+std::vector<InstanceRequest> InstanceRequestQueue::takeDue(storage::TokenBucket& budget, Time now) {
+    std::vector<InstanceRequest> due;
     for (auto& pending : pending_) {
         if (pending.underWay || now < pending.nextTry) continue;
         if (!budget.take(1, 0, now)) break;
@@ -34,14 +34,14 @@
     return due;
 }
 
-void RentalRequests::repeat(const std::string& name, Time now) {
+void InstanceRequestQueue::repeat(const std::string& name, Time now) {
     const auto found = find(name);
     if (found == pending_.end()) return;
     found->underWay = false;
     found->nextTry = now + kRepeatAfter;
 }
 
-std::optional<RentalRequest> RentalRequests::settle(const std::string& name) {
+std::optional<InstanceRequest> InstanceRequestQueue::settle(const std::string& name) {
     const auto found = find(name);
     if (found == pending_.end()) return std::nullopt;
     auto request = std::move(found->request);
@@ -49,13 +49,13 @@
     return request;
 }
 
-void RentalRequests::withdrawUnsent(const Offering& offering) {
+void InstanceRequestQueue::withdrawUnsent(const Offering& offering) {
     std::erase_if(pending_, [&](const auto& pending) {
         return !pending.sent && offeringOf(pending.request) == offering;
     });
 }
 
-std::deque<RentalRequests::Pending>::iterator RentalRequests::find(const std::string& name) {
+std::deque<InstanceRequestQueue::Pending>::iterator InstanceRequestQueue::find(const std::string& name) {
     return std::find_if(pending_.begin(), pending_.end(),
                         [&](const auto& pending) { return pending.request.name == name; });
 }
--- a/src/coordination/rental_rules.cpp
+++ b/src/coordination/autoscaling/instance_selection.cpp
@@ -1,4 +1,4 @@
-#include "coordination/rental_rules.h"
+#include "coordination/autoscaling/instance_selection.h"
 
 #include <algorithm>
 #include <iterator>
@@ -7,7 +7,7 @@
 
 using bookkeeping::needOf;
 using bookkeeping::sizeOf;
-using protocol::Kind;
+using protocol::JobKind;
 
 namespace {
 
@@ -26,48 +26,40 @@
 }
 
 bool allowsOrdinaryInSomeZone(const JobSpec& spec, const MachineType& type) {
-    return std::any_of(type.zones.begin(), type.zones.end(),
-                       [&](const auto& zone) { return allows(spec, type.name, zone, false); });
+    return std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
+        return bookkeeping::ownerAllows(spec, type.name, zone, false);
+    });
 }
 
-bool rentable(const JobSpec& spec, const MachineType& type, const std::string& zone,
-              const RentalRefusals& refusals, Time now) {
-    return std::any_of(std::begin(kSpotChoices), std::end(kSpotChoices), [&](bool spot) {
-        return allows(spec, type.name, zone, spot) && !refusals.refused({type.name, zone, spot}, now);
+bool isObtainable(const JobSpec& spec, const MachineType& type, const std::string& zone,
+                  const CapacityErrors& capacityErrors, Time now) {
+    return std::any_of(std::begin(kPurchaseOptions), std::end(kPurchaseOptions), [&](bool spot) {
+        return bookkeeping::ownerAllows(spec, type.name, zone, spot) &&
+               !capacityErrors.refused({type.name, zone, spot}, now);
     });
 }
 
 }  // namespace
 
-const MachineType* findType(const MachineTypes& types, const std::string& name) {
-    const auto found = types.find(name);
-    return found == types.end() ? nullptr : &found->second;
-}
-
-bool allows(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot) {
-    if (spot && !spec.spot) return false;
-    if (spec.zone && *spec.zone != zone) return false;
-    return !spec.types || std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
-}
-
-bool rentableIn(const std::string& zone, const JobSpec& spec, const MachineTypes& types,
-                const RentalRefusals& refusals, Time now) {
+bool isObtainableIn(const std::string& zone, const JobSpec& spec, const MachineTypes& types,
+                    const CapacityErrors& capacityErrors, Time now) {
     const auto need = needOf(spec);
     return std::any_of(types.begin(), types.end(), [&](const auto& entry) {
         const auto& type = entry.second;
         const bool offered = std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
-        return offered && sizeOf(type).covers(need) && rentable(spec, type, zone, refusals, now);
+        return offered && sizeOf(type).covers(need) && isObtainable(spec, type, zone, capacityErrors, now);
     });
 }
 
-bool plainMachineRentable(const JobSpec& spec, const MachineTypes& types, const RentalRefusals& refusals,
-                          Time now) {
+bool plainMachineObtainable(const JobSpec& spec, const MachineTypes& types,
+                            const CapacityErrors& capacityErrors, Time now) {
     const auto need = needOf(spec);
     return std::any_of(types.begin(), types.end(), [&](const auto& entry) {
         const auto& type = entry.second;
         if (type.gpus > 0 || !sizeOf(type).covers(need)) return false;
-        return std::any_of(type.zones.begin(), type.zones.end(),
-                           [&](const auto& zone) { return rentable(spec, type, zone, refusals, now); });
+        return std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
+            return isObtainable(spec, type, zone, capacityErrors, now);
+        });
     });
 }
 
@@ -80,8 +72,8 @@
     });
 }
 
-bool worthRenting(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types) {
-    const bool dearForIt = type.gpus > 0 && spec.gpus <= 0 && spec.kind == Kind::array;
+bool isWorthItsPrice(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types) {
+    const bool dearForIt = type.gpus > 0 && spec.gpus <= 0 && spec.kind == JobKind::array;
     if (!dearForIt || needsAcceleratorMachine(spec, types)) return true;
     const double plain = plainProcessorPrice(spec, types);
     return plain <= 0 || priceOf(type, spot) / type.cpus <= kMaxPriceRatio * plain;
--- a/src/coordination/rental_rules.h
+++ b/src/coordination/autoscaling/instance_selection.h
@@ -6,32 +6,26 @@
 #include <map>
 #include <string>
 
-#include "coordination/rental_refusals.h"
+#include "base/clock.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/autoscaling/capacity_errors.h"
 
 namespace burlpoint::coordination {
 
+using bookkeeping::MachineTypes;
 using protocol::JobSpec;
 
-/// The cloud's machine types by name.
-using MachineTypes = std::map<std::string, MachineType>;
-
 /// Both ways in which a machine of a type and zone is rented: ordinary, and spot, which the cloud may take
 /// back.
-inline constexpr bool kSpotChoices[] = {false, true};
-
-/// The type of that name; null: the cloud has not told of it so far.
-const MachineType* findType(const MachineTypes& types, const std::string& name);
-
-/// The job's owner allows it on such a machine. Says nothing of the machine's size.
-bool allows(const JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
+inline constexpr bool kPurchaseOptions[] = {false, true};
 
 /// Some machine that is large enough for a task of the job, and allowed, could be rented in the zone now.
-bool rentableIn(const std::string& zone, const JobSpec& spec, const MachineTypes& types,
-                const RentalRefusals& refusals, Time now);
+bool isObtainableIn(const std::string& zone, const JobSpec& spec, const MachineTypes& types,
+                    const CapacityErrors& capacityErrors, Time now);
 
 /// Some machine without accelerators that the job may use can still be rented.
-bool plainMachineRentable(const JobSpec& spec, const MachineTypes& types, const RentalRefusals& refusals,
-                          Time now);
+bool plainMachineObtainable(const JobSpec& spec, const MachineTypes& types,
+                            const CapacityErrors& capacityErrors, Time now);
 
 /// It needs no accelerators and may run nowhere else: its owner allows no machine without them, or none such
 /// is large enough.
@@ -39,7 +33,7 @@
 
 /// False for an array that needs no accelerators and a machine that has them, unless a processor costs there
 /// at most twice what it costs on an ordinary plain machine.
-bool worthRenting(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types);
+bool isWorthItsPrice(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types);
 
 /// What a machine of the type costs, per unit of time as the cloud counts it for all types.
 inline double priceOf(const MachineType& type, bool spot) { return spot ? type.spotPrice : type.price; }
--- a/src/coordination/node.h
+++ b/src/coordination/controller/controller.h
@@ -7,28 +7,32 @@
 #include <variant>
 #include <vector>
 
-#include "coordination/action_executor.h"
-#include "coordination/election.h"
-#include "coordination/leader.h"
-#include "coordination/overload_monitor.h"
-#include "coordination/peer_exchange.h"
-#include "coordination/readiness.h"
-#include "coordination/state_watcher.h"
-#include "coordination/user_api.h"
-#include "coordination/worker_relay.h"
-#include "transport/http.h"
+#include "base/clock.h"
+#include "coordination/api/readiness.h"
+#include "coordination/api/user_api.h"
+#include "coordination/controller/action_executor.h"
+#include "coordination/controller/heartbeat_forwarder.h"
+#include "coordination/controller/leader.h"
+#include "coordination/leadership/election.h"
+#include "coordination/leadership/overload_monitor.h"
+#include "coordination/leadership/peer_exchange.h"
+#include "coordination/state/state_watcher.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
 
-/// The controller process. `Node` owns the parts it consists of and the queue through which they are told
-/// what happens; it routes requests and messages between them. What each part decides or remembers is its
-/// own.
+/// The controller process. `Controller` owns the parts it consists of and the queue through which they are
+/// told what happens; it routes requests and messages between them. What each part decides or remembers is
+/// its own.
 namespace burlpoint::coordination {
 
 /// One controller process: owns all state and works through a queue of commands, in batches, on one thread.
-class Node {
+class Controller {
   public:
     /// Listens and starts; all the rest happens as `io` runs. `settings` and `policy` must outlive the node.
     /// Throws if an address of the settings is none or is in use.
-    Node(asio::io_context& io, const protocol::Settings& settings, const protocol::Policy& policy);
+    Controller(asio::io_context& io, const protocol::Settings& settings, const protocol::Policy& policy);
 
   private:
     enum class Listener { outside, peers };  // for users, workers and the load balancer; for other nodes
@@ -37,67 +41,67 @@
         transport::Reply reply;
         Listener listener = Listener::outside;  // that it came to
     };
-    using Queued = std::variant<Call, Command>;
+    using Queued = std::variant<Call, LeaderEvent>;
     struct PeerQuestion {  // what an answer of a peer belongs to
         std::string peer;
-        transport::Time sent;
+        Time sent;
         std::uint64_t round = 0;  // of the executor's leaderships
     };
 
     // The queue.
-    void enqueue(Queued command);
+    void enqueue(Queued event);
     /// Carries out all that was queued before this call.
     void drain();
 
     // What is done by the clock, ten times a second.
     void tick();
-    /// Reads the state service if nothing else has done so lately.
-    void keepReplicaFresh(transport::Time now);
-    void giveUpLeadership(transport::Time now);
+    /// Reads the key-value store if nothing else has done so lately.
+    void keepReplicaFresh(Time now);
+    void resignIfRefusedAlone(Time now);
     /// Leaves the leadership to a peer while this node does not keep up with its work.
-    void giveWayIfOverloaded(transport::Time now);
-    void cleanUp(transport::Time now);
+    void giveWayIfOverloaded(Time now);
+    void cleanUp(Time now);
 
     // Requests. Each of these answers the call or hands its reply on.
     void serve(Call& call);
     void serveOutside(Call& call);
     void servePeer(Call& call);
-    /// A worker's report, from itself or passed on by a peer.
-    void serveReport(Call& call);
+    /// A heartbeat, from itself or passed on by a peer.
+    void serveHeartbeat(Call& call);
 
     // Peers.
     /// Sends this node's status, and a leader's questions, to all peers once a second.
-    void askPeers(transport::Time now);
+    void askPeers(Time now);
     void peerAnswered(const PeerQuestion& question, const std::string& body);
-    void notePeerStatus(const protocol::PeerStatus& status, transport::Time now);
-    protocol::PeerStatus ownStatus(transport::Time now) const;
+    void notePeerStatus(const protocol::PeerStatus& status, Time now);
+    protocol::PeerStatus ownStatus(Time now) const;
     /// The grant to the leader that asks, in milliseconds; 0: none. Only for an answer that tells all
     /// cancellations.
-    std::uint64_t grantTo(const protocol::PeerStatus& asking, transport::Time now);
+    std::uint64_t voteFor(const protocol::PeerStatus& asking, Time now);
 
     // Leading.
-    void won(std::uint64_t token);
-    void lost();
+    void leadershipGained(std::uint64_t fencingToken);
+    void leadershipLost();
     /// Tells the leader, if this node has one, and carries out what it decides.
-    void lead(Command command);
+    void lead(LeaderEvent event);
     void replicaChanged(const std::vector<bookkeeping::Change>& changes);
 
     /// Can this node serve users?
-    bool able(transport::Time now) const;
-    /// The state service answers peers and not this node.
-    bool refusedAlone(transport::Time now) const;
+    bool able(Time now) const;
+    /// The key-value store answers peers and not this node.
+    bool refusedAlone(Time now) const;
 
     asio::io_context& io_;
     const protocol::Settings& settings_;
     const protocol::Policy& policy_;
-    transport::Client http_;  // to the state service, the cloud and peers
-    storage::StateClient state_;
+    transport::HttpClient http_;  // to the key-value store, the cloud and peers
+    storage::KeyValueClient state_;
     bookkeeping::StateReplica replica_;
     StateWatcher watcher_;
     Election election_;
     UserApi userApi_;
     PeerExchange peers_;
-    WorkerRelay relay_;
+    HeartbeatForwarder forwarder_;
     ActionExecutor executor_;
     std::unique_ptr<Leader> leader_;  // none: this node doesn't lead
     Readiness readiness_;
@@ -106,12 +110,12 @@
     std::deque<Queued> queue_;
     bool draining_ = false;  // a call of `drain` is posted
     transport::Timer ticker_;
-    transport::Time nextTick_{};       // when the next tick is due
-    transport::Time nextPeers_{};      // the next questions to the peers
-    transport::Time nextHeartbeat_{};  // no read for its own sake before
-    transport::Time nextClean_{};
-    transport::Server users_;  // and workers and the load balancer
-    transport::Server peerServer_;
+    Time nextTick_{};          // when the next tick is due
+    Time nextPeerExchange_{};  // the next questions to the peers
+    Time nextForcedRead_{};    // no read for its own sake before
+    Time nextCleanup_{};
+    transport::HttpServer users_;  // and workers and the load balancer
+    transport::HttpServer peerServer_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -1,4 +1,4 @@
-#include "coordination/election.h"
+#include "coordination/leadership/election.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,16 +6,13 @@
 
 namespace burlpoint::coordination {
 
-using storage::TxnResult;
-using storage::TxnStatus;
-using transport::Clock;
-using transport::Duration;
-using transport::Time;
+using storage::TransactionResult;
+using storage::TransactionStatus;
 
 namespace keys = storage::keys;
 
 namespace {
-constexpr Duration kUnserved{1200};         // without an answer of the state service: an outage
+constexpr Duration kUnserved{1200};         // without an answer of the key-value store: an outage
 constexpr Duration kTakeOverTimeout{1500};  // of the transaction that takes the key
 constexpr Duration kVacancySpread{250};     // nodes that see the key go at once try apart
 constexpr Duration kFailurePause{300};      // before the next try, and as much again by lot
@@ -25,22 +22,22 @@
 }  // namespace
 
 Election::Election(const protocol::Settings& settings, const protocol::Policy& policy,
-                   storage::StateClient& state, bookkeeping::StateReplica& replica, StateWatcher& watcher,
-                   Won won, Lost lost)
+                   storage::KeyValueClient& state, bookkeeping::StateReplica& replica, StateWatcher& watcher,
+                   LeadershipGained leadershipGained, LeadershipLost leadershipLost)
     : settings_(settings),
       state_(state),
       replica_(replica),
       watcher_(watcher),
-      won_(std::move(won)),
-      lost_(std::move(lost)),
+      onGained_(std::move(leadershipGained)),
+      onLost_(std::move(leadershipLost)),
       random_(std::random_device{}()),
       started_(Clock::now()) {
     // Half of the workers' lease at most: when a leader stands still, its workers wait for it, find the
     // successor among the others, and all of them must be answered in what is left of their leases. An outage
-    // of the state service is spanned by the peers' grants.
+    // of the key-value store is spanned by the peers' votes.
     const auto wished = policy.leadership.count() > 0
                             ? policy.leadership
-                            : std::clamp(settings.lease * 0.5, protocol::Seconds(2), protocol::Seconds(8));
+                            : std::clamp(settings.workerLease * 0.5, Seconds(2), Seconds(8));
     maxTimeWithoutRead_ = maxTimeWithoutRead(settings);
     life_ = std::min(std::chrono::duration_cast<Duration>(wished), maxTimeWithoutRead_);
 }
@@ -49,21 +46,22 @@
     // A cancellation confirmed elsewhere must reach the leader, or the leases that it renewed last must be
     // over, within `cancel_s`. Half of what is left beside a lease; the rest is for clocks, for an answer on
     // its way and for a worker's next look at its lease.
-    const auto half = std::chrono::duration_cast<Duration>((settings.cancel - settings.lease) / 2.0);
+    const auto half =
+        std::chrono::duration_cast<Duration>((settings.cancelTimeout - settings.workerLease) / 2.0);
     return std::clamp(half, Duration(2000), Duration(10'000));
 }
 
 void Election::tick(Time now) {
     if (leading_) {
-        if (replica_.token != token_) {
-            spdlog::error("token {} has been raised to {}", token_, replica_.token);
+        if (replica_.fencingToken != fencingToken_) {
+            spdlog::error("token {} has been raised to {}", fencingToken_, replica_.fencingToken);
             return lose();
         }
         if (now >= nextRenewal_ && !renewing_) renew(now);
         return;
     }
     if (trying_ || !watcher_.synced()) return;
-    if (!seesVacancy(now) || boundByGrant(now)) return;
+    if (!seesVacancy(now) || boundByVote(now)) return;
     if (now >= notBefore_) attempt(now);
 }
 
@@ -82,20 +80,21 @@
     return true;
 }
 
-bool Election::boundByGrant(Time now) const {
-    if (grants_.bound(now, resignedTokens_)) return true;
+bool Election::boundByVote(Time now) const {
+    if (votes_.bound(now, resignedTokens_)) return true;
     // What a former self may have granted is forgotten; if its own name is on the key, that was the holder.
-    return !keyIsOwn() && replica_.token > resignedTokens_ &&
-           now < started_ + LeadershipGrants::kForgottenLife;
+    return !keyIsOwn() && replica_.fencingToken > resignedTokens_ &&
+           now < started_ + LeaseVotes::kForgottenLife;
 }
 
-Duration Election::grantExtension(const std::string& leader, std::uint64_t token, Time now) {
-    const bool known = replica_.leader && replica_.leader->node == leader && replica_.leader->token == token;
+Duration Election::voteForExtension(const std::string& leader, std::uint64_t fencingToken, Time now) {
+    const bool known =
+        replica_.leader && replica_.leader->node == leader && replica_.leader->fencingToken == fencingToken;
     if (!known || hasResigned(*replica_.leader) || leading_ || trying_ || !watcher_.synced())
         return Duration(0);
     if (now - state_.lastAnswer() < kUnserved) return Duration(0);
     // A transaction of an earlier try cannot come through late: this leader's key has changed its conditions.
-    return grants_.give(token, now);
+    return votes_.giveVote(fencingToken, now);
 }
 
 void Election::attempt(Time now) {
@@ -114,38 +113,39 @@
     if (replica_.leader && replica_.leader->node != settings_.name && !hasResigned(*replica_.leader))
         return fail(lease);
     const auto round = round_;
-    const auto token = replica_.token + 1;
+    const auto fencingToken = replica_.fencingToken + 1;
     const std::vector<protocol::KeyCondition> conditions{
         {keys::kLeader, replica_.leader ? replica_.leaderVersion : 0}, {keys::kToken, replica_.tokenVersion}};
     const std::vector<protocol::KeyWrite> writes{
-        {keys::kLeader, storage::encodeLeader({settings_.name, token}), lease},
-        {keys::kToken, storage::encodeToken(token), 0}};
+        {keys::kLeader, storage::encodeLeader({settings_.name, fencingToken}), lease},
+        {keys::kToken, storage::encodeToken(fencingToken), 0}};
     state_.transact(conditions, writes, kTakeOverTimeout,
-                    [this, round, token, lease, sent](const TxnResult& result) {
+                    [this, round, fencingToken, lease, sent](const TransactionResult& result) {
                         if (round != round_) return;
-                        if (result.status != TxnStatus::applied) return fail(lease);
+                        if (result.status != TransactionStatus::applied) return fail(lease);
                         lease_ = lease;
-                        tenure_.begin(sent, life_);
-                        confirm(token);
+                        leaderLease_.begin(sent, life_);
+                        confirm(fencingToken);
                     });
 }
 
-void Election::confirm(std::uint64_t token) {
+void Election::confirm(std::uint64_t fencingToken) {
     const auto round = round_;
-    watcher_.fresh([this, round, token](bool ok) {
+    watcher_.readLatest([this, round, fencingToken](bool ok) {
         if (round != round_) return;
-        const bool valid = tenure_.valid(Clock::now());
-        if (!ok && valid) return confirm(token);
-        if (!ok || !valid || replica_.token != token || !replica_.leader || replica_.leader->token != token)
+        const bool valid = leaderLease_.valid(Clock::now());
+        if (!ok && valid) return confirm(fencingToken);
+        if (!ok || !valid || replica_.fencingToken != fencingToken || !replica_.leader ||
+            replica_.leader->fencingToken != fencingToken)
             return fail(lease_);
         trying_ = false;
         vacant_ = false;
         leading_ = true;
-        token_ = token;
+        fencingToken_ = fencingToken;
         renewing_ = false;
         nextRenewal_ = Clock::now();
-        spdlog::info("leading with token {}", token);
-        won_(token);
+        spdlog::info("leading with token {}", fencingToken);
+        onGained_(fencingToken);
     });
 }
 
@@ -156,7 +156,7 @@
                  Duration(std::uniform_int_distribution<>(0, kFailurePause.count())(random_));
     // Whoever won, or whether this try was carried out after all, is in the store.
     const auto round = round_;
-    watcher_.fresh([this, round](bool) {
+    watcher_.readLatest([this, round](bool) {
         if (round == round_) trying_ = false;
     });
 }
@@ -168,7 +168,7 @@
     state_.extendLease(lease_, [this, round, sent = now](int status, std::uint64_t) {
         if (round != round_) return;
         renewing_ = false;
-        if (status == 200) return tenure_.renewed(sent);
+        if (status == 200) return leaderLease_.renewed(sent);
         if (status == 404) {
             spdlog::error("the leadership's lease has ended");
             return lose();
@@ -186,13 +186,13 @@
 }
 
 void Election::lose() {
-    tenure_.end();
-    grants_.dropReceived();
-    resignedToken_ = token_;
+    leaderLease_.end();
+    votes_.dropReceived();
+    resignedToken_ = fencingToken_;
     leading_ = false;
     vacant_ = false;
     ++round_;
-    lost_();
+    onLost_();
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/overload_monitor.cpp
+++ b/src/coordination/leadership/overload_monitor.cpp
@@ -1,11 +1,8 @@
-#include "coordination/overload_monitor.h"
+#include "coordination/leadership/overload_monitor.h"
 
 #include <algorithm>
 
 namespace burlpoint::coordination {
-
-using transport::Clock;
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
--- a/src/coordination/overload_monitor.h
+++ b/src/coordination/leadership/overload_monitor.h
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "transport/http.h"
+#include "base/clock.h"
 
 /// Whether this process keeps up with its work. `OverloadMonitor` owns the history of how late the event loop
 /// was, and how often a leader has given way for it.
@@ -14,21 +14,21 @@
 class OverloadMonitor {
   public:
     /// A tick that was due at `due` runs at `now`. All ticks are to be noted.
-    void noteTick(transport::Time due, transport::Time now);
+    void noteTick(Time due, Time now);
     /// This node leads from now on; what came before does not count.
-    void noteLeading(transport::Time now);
+    void noteLeading(Time now);
     /// The event loop has been late without a break for so long that workers would not be answered in time.
-    bool isOverloaded(transport::Time now) const;
+    bool isOverloaded(Time now) const;
     /// A leader should give way. Only as long as it leads.
-    bool shouldGiveWay(transport::Time now) const;
+    bool shouldGiveWay(Time now) const;
     /// It has given way.
-    void noteGivenWay(transport::Time now);
+    void noteGivenWay(Time now);
 
   private:
-    std::optional<transport::Time> lateSince_;
-    transport::Time leadingSince_{};
-    transport::Time givenWayAt_{};
-    transport::Clock::duration pause_{};  // after giving way, before it does so again
+    std::optional<Time> lateSince_;
+    Time leadingSince_{};
+    Time givenWayAt_{};
+    Clock::duration pause_{};  // after giving way, before it does so again
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -1,4 +1,4 @@
-#include "coordination/peer_exchange.h"
+#include "coordination/leadership/peer_exchange.h"
 
 #include <algorithm>
 #include <chrono>
@@ -7,13 +7,12 @@
 namespace burlpoint::coordination {
 
 using protocol::PeerStatus;
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
 
 constexpr auto kPeerSilence = 2500ms;        // peers are asked every second, so two questions went unanswered
-constexpr auto kRefusedAloneAfter = 2500ms;  // without an answer of the state service that others get
+constexpr auto kRefusedAloneAfter = 2500ms;  // without an answer of the key-value store that others get
 constexpr auto kPeersServedFor = 2000ms;     // and these got one so long after this node's last
 constexpr auto kPeersServedWithin = 2000ms;  // which is no longer ago than this
 constexpr std::size_t kMaxTold = 500;        // cancellations in one message, which has 64 KiB at most
@@ -37,7 +36,7 @@
     auto& view = peers_[status.node];
     view.heardAt = now;
     view.stateAnsweredAt = now - std::chrono::milliseconds(std::min(status.stateAgeMs, kMaxStateAgeMs));
-    view.ownToken = status.token;
+    view.ownToken = status.fencingToken;
     view.leaderToken = status.leaderToken;
     return true;
 }
@@ -47,12 +46,13 @@
     return view != peers_.end() && now - view->second.heardAt < kPeerSilence;
 }
 
-// A follower that the state service refuses reads no new leader's record. Seen on a simulated day: it was the
-// only node that both the new leader and the workers behind a cut could reach, and it sent these to nobody.
+// A follower that the key-value store refuses reads no new leader's record. Seen on a simulated day: it was
+// the only node that both the new leader and the workers behind a cut could reach, and it sent these to
+// nobody.
 std::optional<storage::LeaderRecord> PeerExchange::knownLeader(Time now) const {
     auto leader = replica_.leader;
     for (const auto& [name, view] : peers_)
-        if (inTouch(name, now) && view.ownToken > (leader ? leader->token : 0))
+        if (inTouch(name, now) && view.ownToken > (leader ? leader->fencingToken : 0))
             leader = storage::LeaderRecord{name, view.ownToken};
     return leader;
 }
@@ -61,13 +61,14 @@
     const auto leader = knownLeader(now);
     if (!leader) return "";
     for (const auto& [name, view] : peers_)
-        if (name != leader->node && inTouch(name, now) && view.leaderToken >= leader->token) return name;
+        if (name != leader->node && inTouch(name, now) && view.leaderToken >= leader->fencingToken)
+            return name;
     return "";
 }
 
 // In an outage that all nodes share, stepping aside would help nobody: nobody could take over, and every task
 // would be lost. So a peer must have been served for a while after this node was last: a refusal that an
-// outage follows at once is no reason, since the leader goes on by its peers' grants.
+// outage follows at once is no reason, since the leader goes on by its peers' votes.
 bool PeerExchange::refusedAlone(Time lastAnswer, Time now) const {
     if (now - lastAnswer < kRefusedAloneAfter) return false;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
--- a/src/coordination/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -1,18 +1,18 @@
-#include "coordination/accelerator_policy.h"
+#include "coordination/scheduling/accelerator_policy.h"
 
 #include <algorithm>
 #include <chrono>
 
-#include "coordination/placement_rules.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::Resources;
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-AcceleratorPolicy::AcceleratorPolicy(const MachineTypes& types, const RentalRefusals& refusals)
-    : types_(types), refusals_(refusals) {}
+AcceleratorPolicy::AcceleratorPolicy(const MachineTypes& types, const CapacityErrors& capacityErrors)
+    : types_(types), capacityErrors_(capacityErrors) {}
 
 void AcceleratorPolicy::recordNeed(const Job& job) {
     if (job.spec.gpus <= 0) return;
@@ -46,7 +46,7 @@
     shared_.clear();
     plainRoom_.clear();
     for (const auto* machine : up) {
-        const auto* type = machine->kind;
+        const auto* type = machine->typeInfo;
         if (!type) continue;
         if (type->gpus <= 0 && usable(*machine, now)) {
             auto& room = plainRoom_[{machine->zone, machine->spot}];
@@ -64,13 +64,13 @@
 }
 
 bool AcceleratorPolicy::allows(const Job& job, const Machine& machine, Time now) const {
-    const auto* type = machine.kind;
+    const auto* type = machine.typeInfo;
     if (!type || type->gpus <= 0 || job.spec.gpus > 0) return true;
     if (job.run->hasWaitedUnstarted(kMaxHeldBack, now)) return true;
-    const bool service = job.spec.kind == Kind::service;
+    const bool service = job.spec.kind == JobKind::service;
     // A replica stays for as long as its service does, and would hold the dear machine for all that time.
     const bool waitsForPlain = service && now - job.run->waitingSince < kPlainMachinesOnly;
-    if (waitsForPlain && plainMachineRentable(job.spec, types_, refusals_, now)) return false;
+    if (waitsForPlain && plainMachineObtainable(job.spec, types_, capacityErrors_, now)) return false;
     const auto found = needs_.find(machine.type);
     if (found == needs_.end())
         return job.priority() < Priority::high || service || needsAcceleratorMachine(job.spec, types_);
@@ -83,7 +83,7 @@
          ++priority)
         room -= machine.plainUse[priority];
     if (room.covers(need.most)) return true;
-    if (!service || plainMachineRentable(job.spec, types_, refusals_, now)) return false;
+    if (!service || plainMachineObtainable(job.spec, types_, capacityErrors_, now)) return false;
     const auto plain = plainRoom_.find({machine.zone, machine.spot});
     if (plain != plainRoom_.end() && plain->second > kPlainRoomReplicas * job.spec.cpus) return false;
     // Replicas have nowhere else to go. They share machines that others have given over to them.
@@ -97,12 +97,12 @@
     if (machine.used.gpus > 0) return false;
     const auto found = shared_.find(machine.type);
     const bool few = found == shared_.end() || found->second.withoutRoom * kSharedOneOf < found->second.all;
-    return few || moreRentable(machine.type, now);
+    return few || moreObtainable(machine.type, now);
 }
 
-bool AcceleratorPolicy::moreRentable(const std::string& type, Time now) const {
-    const auto* known = findType(types_, type);
-    return !known || !refusals_.refusedEverywhere(*known, now);
+bool AcceleratorPolicy::moreObtainable(const std::string& type, Time now) const {
+    const auto* known = bookkeeping::findType(types_, type);
+    return !known || !capacityErrors_.unavailableEverywhere(*known, now);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/accelerator_policy.h
+++ b/src/coordination/scheduling/accelerator_policy.h
@@ -9,8 +9,10 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "coordination/rental_rules.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/autoscaling/instance_selection.h"
 
 namespace burlpoint::coordination {
 
@@ -19,20 +21,20 @@
 class AcceleratorPolicy {
   public:
     /// Both are kept by reference and have to outlive this.
-    AcceleratorPolicy(const MachineTypes& types, const RentalRefusals& refusals);
+    AcceleratorPolicy(const MachineTypes& types, const CapacityErrors& capacityErrors);
 
     /// Room is left for the job from now on, on all types of machines that it may use. Does nothing for a job
     /// without accelerators.
     void recordNeed(const bookkeeping::Job& job);
 
     /// Counts anew what room there is. `up`: the machines whose workers report to this leader, each once. It
-    /// walks over them, so it is not for each report.
-    void refresh(const std::vector<const bookkeeping::Machine*>& up, transport::Time now);
+    /// walks over them, so it is not for each heartbeat.
+    void refresh(const std::vector<const bookkeeping::Machine*>& up, Time now);
 
     /// May one more task of the job start on the machine, as far as its accelerators go? Always true for a
     /// job that needs accelerators, on a machine without any, and for one that has waited for a minute with
     /// no task on a machine.
-    bool allows(const bookkeeping::Job& job, const bookkeeping::Machine& machine, transport::Time now) const;
+    bool allows(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
   private:
     /// What jobs with accelerators have asked of a machine type.
@@ -51,11 +53,11 @@
         auto operator<=>(const ZoneAndKind&) const = default;
     };
 
-    bool replicaMayShare(const bookkeeping::Machine& machine, transport::Time now) const;
-    bool moreRentable(const std::string& type, transport::Time now) const;
+    bool replicaMayShare(const bookkeeping::Machine& machine, Time now) const;
+    bool moreObtainable(const std::string& type, Time now) const;
 
     const MachineTypes& types_;
-    const RentalRefusals& refusals_;
+    const CapacityErrors& capacityErrors_;
     std::map<std::string, Need> needs_;        // by type
     std::map<std::string, Shared> shared_;     // by type
     std::map<ZoneAndKind, double> plainRoom_;  // processors that replicas could have without accelerators
--- a/src/coordination/attempt_numbers.h
+++ b/src/coordination/scheduling/attempt_id_generator.h
@@ -6,11 +6,11 @@
 
 namespace burlpoint::coordination {
 
-/// Numbers that no attempt had before: the leadership's token, which no other leadership has, times 2^32,
-/// plus a counter.
-class AttemptNumbers {
+/// Numbers that no attempt had before: the leadership's fencing token, which no other leadership has, times
+/// 2^32, plus a counter.
+class AttemptIdGenerator {
   public:
-    explicit AttemptNumbers(std::uint64_t token) : last_(token << kCounterBits) {}
+    explicit AttemptIdGenerator(std::uint64_t fencingToken) : last_(fencingToken << kCounterBits) {}
 
     std::uint64_t next() { return ++last_; }
 
--- a/src/coordination/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -1,10 +1,10 @@
-#include "coordination/degraded_first_scheduler.h"
+#include "coordination/scheduling/degraded_first_scheduler.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -12,34 +12,31 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::PlacementState;
-using protocol::Kind;
-using protocol::Op;
-using protocol::Order;
+using protocol::CommandKind;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
+using protocol::WorkerCommand;
 
 namespace {
 
 constexpr std::size_t kMaxStarts = 250;  // in a response, with stops and the rest of it
-constexpr int kReportsKept = 3;          // freed room is kept for so many report intervals
+constexpr int kHeartbeatsKept = 3;       // freed room is kept for so many report intervals
 constexpr double kSlack = 1e-6;          // processors that a sum of decimals may be off by
 
-Order startOf(const Job& job, std::uint32_t task, std::uint64_t attempt) {
-    return {Op::start, {job.spec.id, task, attempt}, Seconds(0)};
+WorkerCommand startOf(const Job& job, std::uint32_t task, std::uint64_t attempt) {
+    return {CommandKind::start, {job.spec.id, task, attempt}, Seconds(0)};
 }
 
 }  // namespace
 
 DegradedFirstScheduler::DegradedFirstScheduler(const SchedulerContext& context) : context_(context) {}
 
-void DegradedFirstScheduler::schedule(Machine& machine, std::vector<Order>& orders, Time now) {
-    Turn turn{machine, orders, now};
+void DegradedFirstScheduler::schedule(Machine& machine, std::vector<WorkerCommand>& commands, Time now) {
+    Turn turn{machine, commands, now};
     startPlanned(turn, context_.fleet);
-    const bool full =
-        !machine.kind || machine.kind->cpus - machine.used.cpus < context_.order.minCpus() - kSlack;
-    const auto& jobs = context_.order.waiting();
+    const bool full = !machine.typeInfo ||
+                      machine.typeInfo->cpus - machine.used.cpus < context_.jobQueue.minCpus() - kSlack;
+    const auto& jobs = context_.jobQueue.waiting();
     for (auto first = jobs.begin(); first != jobs.end();) {
         const int rank = rankOf(**first);
         const auto last =
@@ -56,11 +53,11 @@
 /// Gang tasks planned for this machine start: their room is kept already.
 void DegradedFirstScheduler::startPlanned(Turn& turn, Fleet& fleet) {
     for (auto& [key, placement] : turn.machine.placements) {
-        if (placement.state != PlacementState::planned || turn.orders.size() >= kMaxStarts) continue;
+        if (placement.state != PlacementState::planned || turn.commands.size() >= kMaxStarts) continue;
         placement.sentSequence = turn.machine.sequence;
         fleet.setState(placement, PlacementState::sent, turn.now);
-        ++placement.job->run->launched;
-        turn.orders.push_back(startOf(*placement.job, placement.task, placement.attempt));
+        ++placement.job->run->launchedTasks;
+        turn.commands.push_back(startOf(*placement.job, placement.task, placement.attempt));
     }
 }
 
@@ -105,12 +102,12 @@
 }
 
 bool DegradedFirstScheduler::mayStartOne(const Turn& turn, const Job& job) const {
-    if (turn.orders.size() >= kMaxStarts || !context_.rules.mayStart(job, turn.machine, turn.now))
+    if (turn.commands.size() >= kMaxStarts || !context_.rules.mayStart(job, turn.machine, turn.now))
         return false;
     if (blockedByUnreconciled(job, context_.fleet)) return false;
     // A gang of one task, too, has one attempt at a time.
-    const bool gang = job.spec.kind == Kind::gang;
-    if (gang && (job.spec.tasks > 1 || job.run->liveTotal > 0)) return false;
+    const bool gang = job.spec.kind == JobKind::gang;
+    if (gang && (job.spec.tasks > 1 || job.run->placedTotal > 0)) return false;
     if (!withinTeamLimit(job, 1, context_.fleet, context_.types)) return false;
     return availableRoom(turn.machine, job, turn.now).covers(bookkeeping::needOf(job.spec));
 }
@@ -125,15 +122,15 @@
     const auto attempt = context_.attempts.next();
     auto& placement = context_.fleet.place(machine, job, *task, attempt, PlacementState::sent, turn.now);
     placement.sentSequence = machine.sequence;
-    if (run.overdue && run.launched == 0 && job.doneCount == 0) run.firstTask = *task;
-    ++run.launched;
-    if (job.spec.kind == Kind::gang) run.gangAttempt = attempt;
+    if (run.overdue && run.launchedTasks == 0 && job.doneCount == 0) run.firstOverdueTask = *task;
+    ++run.launchedTasks;
+    if (job.spec.kind == JobKind::gang) run.gangAttempt = attempt;
     if (machine.reservedFor == &job) context_.fleet.reserve(machine, nullptr);
-    machine.busyUntil = turn.now;
+    machine.lastBusyAt = turn.now;
     spdlog::debug("start {}/{} attempt {} on {} after report {}.{}", job.spec.id, *task, attempt, machine.id,
-                  machine.session, machine.sequence);
-    turn.orders.push_back(startOf(job, *task, attempt));
-    if (run.waiting == 0) context_.order.markStale();
+                  machine.incarnation, machine.sequence);
+    turn.commands.push_back(startOf(job, *task, attempt));
+    if (run.waiting == 0) context_.jobQueue.markStale();
     return true;
 }
 
@@ -147,7 +144,8 @@
     if (!context_.rules.mayStart(job, machine, now) || blockedByUnreconciled(job, context_.fleet)) return;
     if (!withinTeamLimit(job, 1, context_.fleet, context_.types)) return;
     if (context_.fleet.reservations(job, now) >= run.waiting) return;
-    const auto time = std::chrono::duration_cast<Clock::duration>(context_.settings.report * kReportsKept);
+    const auto time =
+        std::chrono::duration_cast<Clock::duration>(context_.settings.heartbeatInterval * kHeartbeatsKept);
     context_.fleet.reserve(machine, &job, now + time, true);
 }
 
--- a/src/coordination/degraded_first_scheduler.h
+++ b/src/coordination/scheduling/degraded_first_scheduler.h
@@ -7,13 +7,15 @@
 #include <span>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "coordination/attempt_numbers.h"
-#include "coordination/cached_image_lookup.h"
-#include "coordination/fetch_pacing.h"
-#include "coordination/job_order.h"
-#include "coordination/rental_rules.h"
-#include "coordination/start_rules.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/autoscaling/instance_selection.h"
+#include "coordination/scheduling/attempt_id_generator.h"
+#include "coordination/scheduling/fetch_pacing.h"
+#include "coordination/scheduling/image_locality.h"
+#include "coordination/scheduling/job_queue.h"
+#include "coordination/scheduling/start_constraints.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
@@ -23,11 +25,11 @@
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
     const MachineTypes& types;
-    JobOrder& order;
+    JobQueue& jobQueue;
     FetchPacing& pacing;
-    const StartRules& rules;
-    CachedImageLookup& images;
-    AttemptNumbers& attempts;
+    const StartConstraints& rules;
+    ImageLocality& images;
+    AttemptIdGenerator& attempts;
 };
 
 /// On each worker report, for one rank of jobs after the other, in their order: cached tasks that fit, at
@@ -39,19 +41,19 @@
     /// All that the context refers to has to outlive this.
     explicit DegradedFirstScheduler(const SchedulerContext& context);
 
-    /// Adds the starts that go with the response to the machine's report. The order of jobs and the pacing
+    /// Adds the starts that go with the response to the machine's heartbeat. The order of jobs and the pacing
     /// must be up to date, and the machine usable.
-    void schedule(bookkeeping::Machine& machine, std::vector<protocol::Order>& orders, transport::Time now);
+    void schedule(bookkeeping::Machine& machine, std::vector<protocol::WorkerCommand>& commands, Time now);
 
   private:
     using JobSpan = std::span<bookkeeping::Job* const>;  // some of the waiting jobs, in order
 
-    /// One report's handling.
+    /// One heartbeat's handling.
     struct Turn {
         bookkeeping::Machine& machine;
-        std::vector<protocol::Order>& orders;
-        transport::Time now;
-        bool fetchPlaced = false;  // the paced fetch of this report was started
+        std::vector<protocol::WorkerCommand>& commands;
+        Time now;
+        bool fetchPlaced = false;  // the paced fetch of this heartbeat was started
     };
 
     static void startPlanned(Turn& turn, bookkeeping::Fleet& fleet);
@@ -59,7 +61,7 @@
     void fillLeftoverRoom(Turn& turn, JobSpan jobs);
     bool startOne(Turn& turn, bookkeeping::Job& job);
     bool mayStartOne(const Turn& turn, const bookkeeping::Job& job) const;
-    void reserveFreedRoom(bookkeeping::Machine& machine, const bookkeeping::Job& job, transport::Time now);
+    void reserveFreedRoom(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
 
     const SchedulerContext context_;
 };
--- a/src/coordination/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -1,4 +1,4 @@
-#include "coordination/fetch_pacing.h"
+#include "coordination/scheduling/fetch_pacing.h"
 
 #include <algorithm>
 #include <chrono>
@@ -8,9 +8,6 @@
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
 
 namespace {
 
@@ -18,7 +15,7 @@
 // some tens of fetches and no single one moves it far.
 constexpr double kFetchTimeWeight = 0.1;
 // A zone counts for E[tr] while one of its machines was heard within so many report intervals.
-constexpr double kZoneReportsMissed = 3;
+constexpr double kZoneHeartbeatsMissed = 3;
 // Seconds that a ts may exceed E[ts] by the rounding of the sums.
 constexpr double kTimeSlack = 1e-9;
 
@@ -30,13 +27,13 @@
 void FetchPacing::admit(Job& job, const Fleet& fleet) const {
     if (job.run->admitted || machinesUp_ == 0) return;
     const auto& having = fleet.withImage(job.image());
-    const auto upAndHaving = std::count_if(having.begin(), having.end(),
-                                           [](const auto* m) { return m->reports && m->acknowledged; });
+    const auto upAndHaving = std::count_if(
+        having.begin(), having.end(), [](const auto* m) { return m->sendsHeartbeats && m->acknowledged; });
     // A machine that came up since the last refresh counts among those that have the image only.
     const double share = std::min(1.0, static_cast<double>(upAndHaving) / static_cast<double>(machinesUp_));
     const double lacking = 1 - share;
     job.run->admitted = true;
-    job.run->pacedTotal = job.spec.tasks * lacking;
+    job.run->expectedPacedFetches = job.spec.tasks * lacking;
 }
 
 void FetchPacing::refresh(const std::vector<Job*>& waiting, const std::vector<const Machine*>& up,
@@ -45,12 +42,12 @@
     machinesUp_ = up.size();
     reportingZones_.clear();
     const auto heardWithin =
-        std::chrono::duration_cast<Clock::duration>(settings_.report * kZoneReportsMissed);
+        std::chrono::duration_cast<Clock::duration>(settings_.heartbeatInterval * kZoneHeartbeatsMissed);
     double sum = 0;
     for (const auto* machine : up) {
         sum += cachedTaskTime(*machine);
-        // Only zones that report count: one that is cut off would raise the mean for all others.
-        if (now - machine->lastReport < heardWithin) reportingZones_.insert(machine->zone);
+        // Only zones that heartbeat count: one that is cut off would raise the mean for all others.
+        if (now - machine->lastHeartbeat < heardWithin) reportingZones_.insert(machine->zone);
     }
     meanCachedTaskTime_ = up.empty() ? 0 : sum / static_cast<double>(up.size());
 }
@@ -59,13 +56,13 @@
 void FetchPacing::refreshImageWork(const std::vector<Job*>& waiting, const Fleet& fleet) {
     imageWork_.clear();
     for (const auto* job : waiting) {
-        const double estimate = std::max(job->spec.estimate.count(), 0.0);
+        const double estimate = std::max(job->spec.estimatedRunTime.count(), 0.0);
         imageWork_[job->image()] += job->run->waiting * job->spec.cpus * estimate;
     }
     for (auto& [image, work] : imageWork_) {
         double processors = 0;
         for (const auto* machine : fleet.withImage(image))
-            if (machine->reports && machine->kind) processors += machine->kind->cpus;
+            if (machine->sendsHeartbeats && machine->typeInfo) processors += machine->typeInfo->cpus;
         work = processors > 0 ? work / processors : 0;
     }
 }
@@ -78,10 +75,10 @@
 /// expected fetches (Md = 0) has nothing to spread.
 bool FetchPacing::keepsEvenShare(const Job& job) const {
     const auto& run = *job.run;
-    const double allTasks = job.spec.tasks;         // M
-    const double expectedFetches = run.pacedTotal;  // Md
+    const double allTasks = job.spec.tasks;                   // M
+    const double expectedFetches = run.expectedPacedFetches;  // Md
     if (expectedFetches <= 0) return true;
-    return run.launched * expectedFetches >= run.paced * allTasks;  // m * Md >= md * M
+    return run.launchedTasks * expectedFetches >= run.pacedFetches * allTasks;  // m * Md >= md * M
 }
 
 /// ts <= E[ts]: a machine with more cached work than the mean is left to that work.
@@ -107,7 +104,7 @@
     return sinceFetch >= std::min(meanTimeSinceFetch(now), expectedFetchTime());
 }
 
-/// E[tr] over the zones that report and have fetched; 0 without any.
+/// E[tr] over the zones that heartbeat and have fetched; 0 without any.
 Seconds FetchPacing::meanTimeSinceFetch(Time now) const {
     Seconds sum{0};
     std::size_t count = 0;
@@ -121,7 +118,7 @@
 }
 
 void FetchPacing::recordFetch(Job& job, const std::string& zone, Time now) {
-    ++job.run->paced;
+    ++job.run->pacedFetches;
     lastFetch_[zone] = now;
 }
 
--- a/src/coordination/fetch_pacing.h
+++ b/src/coordination/scheduling/fetch_pacing.h
@@ -10,6 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "protocol/settings.h"
 
@@ -32,30 +33,30 @@
 
     /// Brings ts, E[ts] and the zones that count for E[tr] up to date. `waiting`: the jobs with waiting
     /// tasks; `up`: the machines whose workers report to this leader, each once. It walks over both, so it is
-    /// not for each report.
+    /// not for each heartbeat.
     void refresh(const std::vector<bookkeeping::Job*>& waiting,
                  const std::vector<const bookkeeping::Machine*>& up, const bookkeeping::Fleet& fleet,
-                 transport::Time now);
+                 Time now);
 
     /// May a paced fetch of the job start on the machine? It may if m/M >= md/Md, ts <= E[ts] and
     /// tr >= min(E[tr], threshold). The job must be admitted or have no machine up.
-    bool allows(const bookkeeping::Job& job, const bookkeeping::Machine& machine, transport::Time now) const;
+    bool allows(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
     /// A task of the job starts in the zone and fetches its image: md grows, and tr begins anew.
-    void recordFetch(bookkeeping::Job& job, const std::string& zone, transport::Time now);
+    void recordFetch(bookkeeping::Job& job, const std::string& zone, Time now);
 
     /// A worker reported the end of a fetch that took so long.
-    void recordFetchTime(protocol::Seconds took);
+    void recordFetchTime(Seconds took);
 
     /// DESIGN's threshold: the mean fetch time reported, before the first the operators' `fetch-start-s`.
-    protocol::Seconds expectedFetchTime() const;
+    Seconds expectedFetchTime() const;
 
   private:
     bool keepsEvenShare(const bookkeeping::Job& job) const;
     bool hasTimeToSpare(const bookkeeping::Machine& machine) const;
-    bool zoneHasRested(const std::string& zone, transport::Time now) const;
+    bool zoneHasRested(const std::string& zone, Time now) const;
     double cachedTaskTime(const bookkeeping::Machine& machine) const;
-    protocol::Seconds meanTimeSinceFetch(transport::Time now) const;
+    Seconds meanTimeSinceFetch(Time now) const;
     void refreshImageWork(const std::vector<bookkeeping::Job*>& waiting, const bookkeeping::Fleet& fleet);
 
     const protocol::Settings& settings_;
@@ -65,9 +66,9 @@
         imageWork_;                  // seconds waiting per image, for each cached processor
     double meanCachedTaskTime_ = 0;  // E[ts], seconds
     std::size_t machinesUp_ = 0;
-    std::map<std::string, transport::Time> lastFetch_;  // per zone, as it started
-    std::set<std::string> reportingZones_;              // those that count for E[tr]
-    protocol::Seconds meanFetchTime_{0};
+    std::map<std::string, Time> lastFetch_;  // per zone, as it started
+    std::set<std::string> reportingZones_;   // those that count for E[tr]
+    Seconds meanFetchTime_{0};
     std::uint32_t fetchTimesSeen_ = 0;
 };
 
--- a/src/coordination/gang_room.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -1,8 +1,8 @@
-#include "coordination/gang_room.h"
+#include "coordination/scheduling/gang_capacity.h"
 
 #include <algorithm>
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -10,7 +10,6 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::Resources;
-using transport::Time;
 
 namespace {
 
@@ -21,14 +20,15 @@
 
 /// Tasks that would fit on the machine beside nothing but its replicas.
 std::uint32_t roomBesideReplicas(const Machine& machine, const Resources& need) {
-    return (bookkeeping::sizeOf(*machine.kind) - machine.plainUse[bookkeeping::kReplicaUse]).times(need);
+    return (bookkeeping::sizeOf(*machine.typeInfo) - machine.plainUse[bookkeeping::kReplicaUse]).times(need);
 }
 
-void addMachine(Machine& machine, const Job& job, const StartRules& rules, Time now, GangRoom& room) {
+void addMachine(Machine& machine, const Job& job, const StartConstraints& rules, Time now,
+                GangCapacity& room) {
     const auto need = bookkeeping::needOf(job.spec);
-    if (allows(job.spec, machine.type, machine.zone, machine.spot))
+    if (bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot))
         room.possible += roomBesideReplicas(machine, need);
-    if (!bookkeeping::sizeOf(*machine.kind).covers(need) || !rules.mayStart(job, machine, now)) return;
+    if (!bookkeeping::sizeOf(*machine.typeInfo).covers(need) || !rules.mayStart(job, machine, now)) return;
     if (isKeptForAnother(machine, job, now)) return;
     const auto tasks = maxRoom(machine, job, now).times(need);
     if (tasks == 0) return;
@@ -38,14 +38,14 @@
 }
 
 /// What machines in the zone, in all zones if it is empty, offer the gang.
-GangRoom gangRoomIn(const std::string& zone, const Job& job, const Fleet& fleet, const StartRules& rules,
-                    LookupMeter& meter, Time now) {
-    GangRoom room;
+GangCapacity gangCapacityIn(const std::string& zone, const Job& job, const Fleet& fleet,
+                            const StartConstraints& rules, ScanCounter& scans, Time now) {
+    GangCapacity room;
     room.zone = zone;
     for (const auto& [id, machine] : fleet.machines()) {
         if (!zone.empty() && machine->zone != zone) continue;
-        if (!machine->kind || machine->kind->gpus < job.spec.gpus) continue;
-        meter.add();
+        if (!machine->typeInfo || machine->typeInfo->gpus < job.spec.gpus) continue;
+        scans.add();
         if (usable(*machine, now)) addMachine(*machine, job, rules, now, room);
     }
     room.yielding = std::min(room.yielding, job.spec.tasks);
@@ -55,12 +55,12 @@
 
 }  // namespace
 
-GangRoom bestGangRoom(const Job& job, const Fleet& fleet, const std::vector<std::string>& zones,
-                      const StartRules& rules, LookupMeter& meter, Time now) {
-    if (!job.spec.oneZone) return gangRoomIn("", job, fleet, rules, meter, now);
-    GangRoom best;
+GangCapacity bestGangCapacity(const Job& job, const Fleet& fleet, const std::vector<std::string>& zones,
+                              const StartConstraints& rules, ScanCounter& scans, Time now) {
+    if (!job.spec.singleZone) return gangCapacityIn("", job, fleet, rules, scans, now);
+    GangCapacity best;
     for (const auto& zone : zones) {
-        auto room = gangRoomIn(zone, job, fleet, rules, meter, now);
+        auto room = gangCapacityIn(zone, job, fleet, rules, scans, now);
         if (room.merit() > best.merit()) best = std::move(room);
     }
     return best;
--- a/src/coordination/gang_room.h
+++ b/src/coordination/scheduling/gang_capacity.h
@@ -8,14 +8,15 @@
 #include <tuple>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "coordination/lookup_meter.h"
-#include "coordination/start_rules.h"
+#include "coordination/scheduling/scan_counter.h"
+#include "coordination/scheduling/start_constraints.h"
 
 namespace burlpoint::coordination {
 
 /// What a zone offers a gang, in tasks of it.
-struct GangRoom {
+struct GangCapacity {
     struct Share {
         bookkeeping::Machine* machine = nullptr;
         std::uint32_t tasks = 0;  // that fit if all that may yield did
@@ -33,8 +34,8 @@
 
 /// The zone that offers the gang most, or what all zones offer together if it need not be in one. It walks
 /// over all machines for each zone.
-GangRoom bestGangRoom(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet,
-                      const std::vector<std::string>& zones, const StartRules& rules, LookupMeter& meter,
-                      transport::Time now);
+GangCapacity bestGangCapacity(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet,
+                              const std::vector<std::string>& zones, const StartConstraints& rules,
+                              ScanCounter& scans, Time now);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -1,9 +1,9 @@
-#include "coordination/gang_planner.h"
+#include "coordination/scheduling/gang_planner.h"
 
 #include <algorithm>
 #include <map>
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -11,10 +11,8 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::PlacementState;
-using protocol::Seconds;
 using protocol::Settings;
-using storage::Final;
-using transport::Time;
+using storage::TerminalState;
 
 namespace {
 
@@ -32,23 +30,23 @@
 }  // namespace
 
 GangPlanner::GangPlanner(const Settings& settings, Fleet& fleet, const MachineTypes& types,
-                         const StartRules& rules, JobOrder& order, ZoneReservations& zoneReservations,
-                         AttemptNumbers& attempts)
+                         const StartConstraints& rules, JobQueue& jobQueue,
+                         ZoneReservations& zoneReservations, AttemptIdGenerator& attempts)
     : settings_(settings),
       fleet_(fleet),
       types_(types),
-      rules_(rules),
-      order_(order),
+      constraints_(rules),
+      jobQueue_(jobQueue),
       zoneReservations_(zoneReservations),
-      attempts_(attempts) {}
+      attemptIds_(attempts) {}
 
 void GangPlanner::plan(Time now) {
     if (now < nextPlan_) return;
     nextPlan_ = now + kPlanInterval;
     const auto machines = machinesWithRoom(now);
-    for (auto* job : std::vector<Job*>(order_.waiting())) {
+    for (auto* job : std::vector<Job*>(jobQueue_.waiting())) {
         if (!isDue(*job, now)) continue;
-        if (!job->spec.oneZone) {
+        if (!job->spec.singleZone) {
             planIn(machines, nullptr, *job, now);
             continue;
         }
@@ -60,24 +58,24 @@
 GangPlanner::Machines GangPlanner::machinesWithRoom(Time now) const {
     Machines machines;
     for (const auto& [id, machine] : fleet_.machines()) {
-        if (!machine->kind) continue;
-        const double free = machine->kind->cpus - machine->used.cpus;
-        if (free >= order_.minCpus() - kSlack && usable(*machine, now)) machines.push_back(machine.get());
+        if (!machine->typeInfo) continue;
+        const double free = machine->typeInfo->cpus - machine->used.cpus;
+        if (free >= jobQueue_.minCpus() - kSlack && usable(*machine, now)) machines.push_back(machine.get());
     }
     return machines;
 }
 
 bool GangPlanner::isDue(const Job& job, Time now) const {
-    if (!bookkeeping::isLargeGang(job.spec) || job.final != Final::open) return false;
-    if (job.run->waiting == 0 || job.run->notBefore > now || !mayComplete(job, now)) return false;
+    if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return false;
+    if (job.run->waiting == 0 || job.run->backoffUntil > now || !mayComplete(job, now)) return false;
     return !blockedByUnreconciled(job, fleet_) && withinTeamLimit(job, job.run->waiting, fleet_, types_);
 }
 
 bool GangPlanner::mayComplete(const Job& job, Time now) const {
     const auto& run = *job.run;
-    if (run.liveTotal == 0) return true;
-    if (run.liveTotal + run.waiting != job.spec.tasks || run.running > 0) return false;
-    const auto patience = settings_.gangWait * kMaxWaitForReplacement;
+    if (run.placedTotal == 0) return true;
+    if (run.placedTotal + run.waiting != job.spec.tasks || run.running > 0) return false;
+    const auto patience = settings_.gangWaitTimeout * kMaxWaitForReplacement;
     const auto placements = fleet_.placementsOf(job);
     return std::all_of(placements.begin(), placements.end(), [&](const auto& entry) {
         const auto& placement = *entry.second;
@@ -114,10 +112,10 @@
     std::vector<Option> options;
     for (auto* machine : machines) {
         if (zone && machine->zone != *zone) continue;
-        if (machine->kind->gpus - machine->used.gpus < need.gpus - kSlack) continue;
-        if (machine->kind->cpus - machine->used.cpus < need.cpus - kSlack) continue;
-        if (!rules_.mayStart(job, *machine, now)) continue;
-        if (job.run->liveTotal > 0 && job.run->machinesLeft.contains(machine->id)) continue;
+        if (machine->typeInfo->gpus - machine->used.gpus < need.gpus - kSlack) continue;
+        if (machine->typeInfo->cpus - machine->used.cpus < need.cpus - kSlack) continue;
+        if (!constraints_.mayStart(job, *machine, now)) continue;
+        if (job.run->placedTotal > 0 && job.run->machinesLeft.contains(machine->id)) continue;
         const auto room = availableRoom(*machine, job, now).times(need);
         if (room == 0) continue;
         const bool cached = machine->hasImage(job.image());
@@ -144,8 +142,8 @@
 }
 
 void GangPlanner::place(const Machines& chosen, Job& job, Time now) {
-    if (job.run->liveTotal == 0) {
-        job.run->gangAttempt = attempts_.next();
+    if (job.run->placedTotal == 0) {
+        job.run->gangAttempt = attemptIds_.next();
         job.run->machinesLeft.clear();
     }
     std::uint32_t task = 0;
@@ -155,7 +153,7 @@
         if (machine->reservedFor == &job) fleet_.reserve(*machine, nullptr);
     }
     zoneReservations_.release(job);
-    order_.markStale();
+    jobQueue_.markStale();
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/job_runs.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_runs.h"
+#include "coordination/scheduling/job_activator.h"
 
 #include <spdlog/spdlog.h>
 
@@ -8,9 +8,7 @@
 namespace burlpoint::coordination {
 
 using bookkeeping::Job;
-using protocol::Seconds;
 using protocol::Settings;
-using transport::Time;
 
 namespace {
 
@@ -25,20 +23,21 @@
 
 }  // namespace
 
-JobRuns::JobRuns(const Settings& settings, const DayClock& dayClock, JobOrder& order, StateWriter& writer)
-    : settings_(settings), dayClock_(dayClock), order_(order), writer_(writer) {}
+JobActivator::JobActivator(const Settings& settings, const WallClock& wallClock, JobQueue& jobQueue,
+                           StateWriter& writer)
+    : settings_(settings), wallClock_(wallClock), jobQueue_(jobQueue), writer_(writer) {}
 
-void JobRuns::begin(Job& job, bool inherited, Time now) {
+void JobActivator::begin(Job& job, bool inherited, Time now) {
     job.beginRun(inherited, now);
     auto& run = *job.run;
     run.team = settings_.team(job.spec.team);
-    run.tightWait = shortestWaitAim(settings_, job.spec.jobClass);
-    run.readyAt = std::min(now, dayClock_.steadyAt(job.readyMs));
+    run.shortestWaitObjective = shortestWaitAim(settings_, job.spec.jobClass);
+    run.readyAt = std::min(now, wallClock_.steadyAt(job.readyMs));
     spdlog::debug("job {} {} of {} tasks, ready for {:.3f} s", job.spec.id, job.spec.jobClass, job.spec.tasks,
                   Seconds(now - run.readyAt).count());
     // An earlier leader may have stored the last bits and not the end of the job.
     if (job.doneCount == job.spec.tasks) writer_.noteUnstored(job);
-    order_.add(job);
+    jobQueue_.add(job);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/job_runs.h
+++ b/src/coordination/scheduling/job_activator.h
@@ -3,28 +3,29 @@
 // Begins the run of a job: from then on this leader places its tasks. The runs themselves are owned by the
 // jobs.
 
+#include "base/clock.h"
+#include "base/wall_clock.h"
 #include "bookkeeping/job.h"
-#include "coordination/day_clock.h"
-#include "coordination/job_order.h"
-#include "coordination/state_writer.h"
+#include "coordination/scheduling/job_queue.h"
+#include "coordination/state/state_writer.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
 
-class JobRuns {
+class JobActivator {
   public:
     /// All are kept by reference and have to outlive this.
-    JobRuns(const protocol::Settings& settings, const DayClock& dayClock, JobOrder& order,
-            StateWriter& writer);
+    JobActivator(const protocol::Settings& settings, const WallClock& wallClock, JobQueue& jobQueue,
+                 StateWriter& writer);
 
     /// Begins the run of a job that has none. `inherited`: it was accepted, and may have been started, before
     /// this leader began.
-    void begin(bookkeeping::Job& job, bool inherited, transport::Time now);
+    void begin(bookkeeping::Job& job, bool inherited, Time now);
 
   private:
     const protocol::Settings& settings_;
-    const DayClock& dayClock_;
-    JobOrder& order_;
+    const WallClock& wallClock_;
+    JobQueue& jobQueue_;
     StateWriter& writer_;
 };
 
--- a/src/coordination/job_order.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -1,4 +1,4 @@
-#include "coordination/job_order.h"
+#include "coordination/scheduling/job_queue.h"
 
 #include <algorithm>
 #include <chrono>
@@ -12,13 +12,11 @@
 using bookkeeping::Resources;
 using bookkeeping::StateReplica;
 using protocol::Priority;
-using protocol::Seconds;
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
 
-constexpr auto kRefreshInterval = 100ms;  // a report finds the order at most this much out of date
+constexpr auto kRefreshInterval = 100ms;  // a heartbeat finds the order at most this much out of date
 
 // Places within a rank, the lower the sooner. Between the first two are those of jobs with a time due: the
 // processor seconds that they still need.
@@ -33,23 +31,23 @@
 
 }  // namespace
 
-JobOrder::JobOrder(const protocol::Policy& policy) : policy_(policy) {}
+JobQueue::JobQueue(const protocol::Policy& policy) : policy_(policy) {}
 
-void JobOrder::add(Job& job) {
+void JobQueue::add(Job& job) {
     open_.push_back(&job);
     stale_ = true;
 }
 
-void JobOrder::remove(Job& job) {
+void JobQueue::remove(Job& job) {
     std::erase(open_, &job);
     stale_ = true;
 }
 
-bool JobOrder::refresh(StateReplica& replica, Fleet& fleet, const DayClock& clock, Time now) {
+bool JobQueue::refresh(StateReplica& replica, Fleet& fleet, const WallClock& clock, Time now) {
     if (!stale_ || now < nextRefresh_) return false;
     stale_ = false;
     nextRefresh_ = now + kRefreshInterval;
-    replica.updateUrgency();
+    replica.updateEffectivePriorities();
     std::sort(open_.begin(), open_.end(),
               [](const Job* a, const Job* b) { return a->accepted < b->accepted; });
     waiting_.clear();
@@ -57,7 +55,7 @@
     TeamDemand demand;
     for (auto* job : open_) {
         auto& run = *job->run;
-        fleet.setPriority(*job, job->urgency);
+        fleet.setPriority(*job, job->effectivePriority);
         run.guaranteed = withinGuarantee(*job, demand);
         run.rank = static_cast<int>(run.priority);
         if (run.guaranteed) run.rank = kGuaranteedRank;
@@ -68,14 +66,15 @@
         place(*job, clock, now);
     }
     std::stable_sort(waiting_.begin(), waiting_.end(), [](const Job* a, const Job* b) {
-        return std::pair(-a->run->rank, a->run->place) < std::pair(-b->run->rank, b->run->place);
+        return std::pair(-a->run->rank, a->run->positionInRank) <
+               std::pair(-b->run->rank, b->run->positionInRank);
     });
     return true;
 }
 
 /// Does what the team has asked for so far, this job included, stay within its guarantee? To be asked once
 /// for each open job, in order of arrival.
-bool JobOrder::withinGuarantee(const Job& job, TeamDemand& demand) {
+bool JobQueue::withinGuarantee(const Job& job, TeamDemand& demand) {
     const auto& spec = job.spec;
     auto& asked = demand[spec.team];
     const auto unfinished = spec.tasks - job.doneCount;
@@ -83,32 +82,33 @@
     const auto* team = job.run->team;
     if (!team) return false;
     // "A value of 0 means none": with no guarantee of accelerators, work that needs them has none.
-    const bool hasGuarantee = team->cpus > 0 || team->gpus > 0;
-    return hasGuarantee && asked.cpus <= team->cpus + kSlack && asked.gpus <= team->gpus + kSlack;
+    const bool hasGuarantee = team->guaranteedCpus > 0 || team->guaranteedGpus > 0;
+    return hasGuarantee && asked.cpus <= team->guaranteedCpus + kSlack &&
+           asked.gpus <= team->guaranteedGpus + kSlack;
 }
 
 /// Sets the job's place within its rank, and for one that is overdue and has not begun its rank.
-void JobOrder::place(Job& job, const DayClock& clock, Time now) const {
+void JobQueue::place(Job& job, const WallClock& clock, Time now) const {
     auto& run = *job.run;
-    run.place = job.dueMs ? placeByDueTime(job, clock, now) : kArrivalPlace;
+    run.positionInRank = job.dueAtMs ? placeByDueTime(job, clock, now) : kArrivalPlace;
     // But nothing is passed over for ever: what has waited for long goes first, by arrival.
     const Seconds age = now - run.readyAt;
     run.overdue = age > policy_.longestPassedOver;
     if (!run.overdue) return;
-    run.place = kOverduePlace;
+    run.positionInRank = kOverduePlace;
     if (!run.began() && job.doneCount == 0) run.rank = std::max(run.rank, kOverdueRank);
 }
 
 /// Where deadlines count, what is soonest through goes first, so that as many jobs as possible meet theirs,
 /// and what can no longer meet its own goes last.
-double JobOrder::placeByDueTime(const Job& job, const DayClock& clock, Time now) {
+double JobQueue::placeByDueTime(const Job& job, const WallClock& clock, Time now) {
     const auto& spec = job.spec;
-    const Seconds left = clock.steadyAt(*job.dueMs) - now;
+    const Seconds left = clock.steadyAt(*job.dueAtMs) - now;
     // A deadline handed down by a job that needs this one is never past saving: more than this job hangs on
     // it.
     const bool ownDeadline = spec.deadline.has_value();
-    if (ownDeadline && left < spec.estimate * kLeastOfEstimate) return kPastSavingPlace;
-    return job.run->waiting * spec.cpus * spec.estimate.count();
+    if (ownDeadline && left < spec.estimatedRunTime * kLeastOfEstimate) return kPastSavingPlace;
+    return job.run->waiting * spec.cpus * spec.estimatedRunTime.count();
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/job_order.h
+++ b/src/coordination/scheduling/job_queue.h
@@ -7,9 +7,10 @@
 #include <unordered_map>
 #include <vector>
 
+#include "base/clock.h"
+#include "base/wall_clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/state_replica.h"
-#include "coordination/day_clock.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
@@ -19,17 +20,17 @@
 constexpr int kOverdueRank = 6;     // passed over for long and not begun
 constexpr int kGuaranteedRank = 5;  // within its team's guarantee
 
-/// The job's rank as of the last `JobOrder::refresh`, 0 before its run begins.
+/// The job's rank as of the last `JobQueue::refresh`, 0 before its run begins.
 inline int rankOf(const bookkeeping::Job& job) { return job.run ? job.run->rank : 0; }
 
 /// Production first, then what has been passed over for long without beginning, then what teams are
 /// guaranteed, then by priority. Within a rank by arrival, except that what has been passed over for long
 /// goes first and that jobs with a time due go before the others, least remaining work first, those past
 /// saving last.
-class JobOrder {
+class JobQueue {
   public:
     /// Kept by reference; it has to outlive this.
-    explicit JobOrder(const protocol::Policy& policy);
+    explicit JobQueue(const protocol::Policy& policy);
 
     /// An open job whose run has begun; it must not be known yet.
     void add(bookkeeping::Job& job);
@@ -42,8 +43,8 @@
     /// Makes the order anew if it is out of date, at most ten times a second, as that takes in all open jobs.
     /// Priorities that jobs have from those that need them are brought up to date with it, in the replica and
     /// in what the fleet counts by priority. True if the order was made anew.
-    bool refresh(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet, const DayClock& clock,
-                 transport::Time now);
+    bool refresh(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet, const WallClock& clock,
+                 Time now);
 
     /// The open jobs, as of the last refresh by arrival.
     const std::vector<bookkeeping::Job*>& open() const { return open_; }
@@ -58,15 +59,15 @@
     using TeamDemand = std::unordered_map<std::string_view, bookkeeping::Resources>;
 
     static bool withinGuarantee(const bookkeeping::Job& job, TeamDemand& demand);
-    static double placeByDueTime(const bookkeeping::Job& job, const DayClock& clock, transport::Time now);
-    void place(bookkeeping::Job& job, const DayClock& clock, transport::Time now) const;
+    static double placeByDueTime(const bookkeeping::Job& job, const WallClock& clock, Time now);
+    void place(bookkeeping::Job& job, const WallClock& clock, Time now) const;
 
     const protocol::Policy& policy_;
     std::vector<bookkeeping::Job*> open_;
     std::vector<bookkeeping::Job*> waiting_;
     double minCpus_ = 0;
     bool stale_ = true;
-    transport::Time nextRefresh_{};
+    Time nextRefresh_{};
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/placement_rules.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -1,9 +1,9 @@
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 #include <algorithm>
 
-#include "coordination/job_order.h"
-#include "coordination/machine_status.h"
+#include "bookkeeping/machine_status.h"
+#include "coordination/scheduling/job_queue.h"
 
 namespace burlpoint::coordination {
 
@@ -11,9 +11,8 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::Placement;
+using bookkeeping::RegistrationState;
 using bookkeeping::Resources;
-using bookkeeping::RosterState;
-using transport::Time;
 
 namespace {
 
@@ -34,21 +33,23 @@
 }  // namespace
 
 bool usable(const Machine& machine, Time now) {
-    const bool leaving = machine.draining || machine.releasing || machine.failed || machine.recallAt;
-    if (leaving || machine.unreachableSince || machine.quietUntil > now) return false;
-    // A machine without a stored roster entry would be unknown to the next leader, tasks and all.
-    const bool known = machine.acknowledged && machine.reports && machine.roster == RosterState::stored;
-    return known && !isFaulty(machine) && machine.kind;
+    const bool leaving =
+        machine.draining || machine.deletionRequested || machine.failed || machine.interruptionAt;
+    if (leaving || machine.unreachableSince || machine.startBackoffUntil > now) return false;
+    // A machine without a stored machine registry entry would be unknown to the next leader, tasks and all.
+    const bool known =
+        machine.acknowledged && machine.sendsHeartbeats && machine.registration == RegistrationState::stored;
+    return known && !isFaulty(machine) && machine.typeInfo;
 }
 
 std::uint32_t maxTasksInZone(const bookkeeping::JobSpec& spec) {
-    return spec.spread ? (spec.tasks + 1) / 2 : spec.tasks;
+    return spec.spreadZones ? (spec.tasks + 1) / 2 : spec.tasks;
 }
 
 bool zoneAllows(const Job& job, const std::string& zone) {
     const auto& zones = job.run->zones;
-    if (job.spec.oneZone && !zones.empty() && (zones.size() > 1 || !zones.contains(zone))) return false;
-    if (!job.spec.spread) return true;
+    if (job.spec.singleZone && !zones.empty() && (zones.size() > 1 || !zones.contains(zone))) return false;
+    if (!job.spec.spreadZones) return true;
     const auto found = zones.find(zone);
     const std::uint32_t here = found == zones.end() ? 0 : found->second;
     return here < maxTasksInZone(job.spec);
@@ -58,14 +59,14 @@
     if (!job.run->inherited) return false;
     const auto& offerings = fleet.unreconciled();
     return std::any_of(offerings.begin(), offerings.end(), [&](const auto& entry) {
-        return allows(job.spec, entry.first.type, entry.first.zone, entry.first.spot);
+        return bookkeeping::ownerAllows(job.spec, entry.first.type, entry.first.zone, entry.first.spot);
     });
 }
 
 bool withinTeamLimit(const Job& job, std::uint32_t tasks, const Fleet& fleet, const MachineTypes& types) {
     const auto* team = job.run->team;
     if (!team) return false;
-    if (team->cpusMax <= 0 && team->gpusMax <= 0) return true;
+    if (team->maxCpus <= 0 && team->maxGpus <= 0) return true;
     auto use = fleet.teamUse(team->name);
     // Until a machine has been heard, it may be full of this team's tasks.
     for (const auto& [offering, count] : fleet.unreconciled()) {
@@ -77,17 +78,17 @@
     const auto fits = [&](double used, double need, double most) {
         return most <= 0 || used + need * tasks <= most + kSlack;
     };
-    return fits(use.cpus, job.spec.cpus, team->cpusMax) && fits(use.gpus, job.spec.gpus, team->gpusMax);
+    return fits(use.cpus, job.spec.cpus, team->maxCpus) && fits(use.gpus, job.spec.gpus, team->maxGpus);
 }
 
 bool hasFreeRoom(const Machine& machine, const Job& job) {
-    if (!machine.kind) return false;
-    return (bookkeeping::sizeOf(*machine.kind) - machine.used).covers(bookkeeping::needOf(job.spec));
+    if (!machine.typeInfo) return false;
+    return (bookkeeping::sizeOf(*machine.typeInfo) - machine.used).covers(bookkeeping::needOf(job.spec));
 }
 
 Resources availableRoom(const Machine& machine, const Job& job, Time now) {
-    if (!machine.kind) return {};
-    auto room = bookkeeping::sizeOf(*machine.kind) - machine.used;
+    if (!machine.typeInfo) return {};
+    auto room = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
     const auto* holder = machine.reservedFor;
     if (holder != &job && machine.isReserved(now) && isKeptFrom(job, machine, *holder))
         room -= bookkeeping::needOf(holder->spec, machine.reserved);
@@ -108,7 +109,7 @@
 }
 
 bool isProtectedStart(const Placement& placement, Time now) {
-    return placement.job->run->firstTask == placement.task && startedRecently(placement, now);
+    return placement.job->run->firstOverdueTask == placement.task && startedRecently(placement, now);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/placement_rules.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -6,17 +6,20 @@
 #include <cstdint>
 #include <string>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "coordination/rental_rules.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/autoscaling/instance_selection.h"
 
 namespace burlpoint::coordination {
 
 /// Nothing may wait for 90 s beside room that it fits in, whatever speaks for keeping it from there.
 constexpr std::chrono::seconds kMaxHeldBack{60};
 
-/// May the machine be given any task now? It has to show this leader's token, be in the stored roster and of
-/// a known type, and be neither leaving, faulty, out of reach nor pausing after a refusal.
-bool usable(const bookkeeping::Machine& machine, transport::Time now);
+/// May the machine be given any task now? It has to show this leader's fencing token, be in the stored
+/// machine registry and of a known type, and be neither leaving, faulty, out of reach nor pausing after a
+/// refusal.
+bool usable(const bookkeeping::Machine& machine, Time now);
 
 /// How many of the job's tasks may be in one zone: half of them, rounded up, if it has to be spread, else
 /// all.
@@ -41,17 +44,16 @@
 /// The machine's unused room, less what is kept there for another job that the job has to leave it to. May be
 /// negative; nothing for a machine of an unknown type.
 bookkeeping::Resources availableRoom(const bookkeeping::Machine& machine, const bookkeeping::Job& job,
-                                     transport::Time now);
+                                     Time now);
 
 /// The room that the job could have on the machine if everything that might yield to it did.
-bookkeeping::Resources maxRoom(const bookkeeping::Machine& machine, const bookkeeping::Job& job,
-                               transport::Time now);
+bookkeeping::Resources maxRoom(const bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
 
 /// Has the task not run for long enough to count as started for its users?
-bool startedRecently(const bookkeeping::Placement& placement, transport::Time now);
+bool startedRecently(const bookkeeping::Placement& placement, Time now);
 
 /// Was the task's job passed over for long, so that it begins with this task? As the newest it would lose
 /// least of all, so that it would be stopped each time and the job would never begin.
-bool isProtectedStart(const bookkeeping::Placement& placement, transport::Time now);
+bool isProtectedStart(const bookkeeping::Placement& placement, Time now);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -1,21 +1,18 @@
-#include "coordination/preemption.h"
+#include "coordination/scheduling/preemption.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using protocol::Priority;
-using protocol::Seconds;
-using storage::Final;
-using transport::Clock;
-using transport::Time;
+using storage::TerminalState;
 
 namespace {
 
@@ -28,10 +25,10 @@
 
 constexpr std::size_t kMaxPlansWeighed = 40;
 constexpr std::size_t kMaxTasksAtOnce = 6;
-constexpr int kReportsKept = 4;  // room made for a task is kept for so many report intervals
-constexpr int kReportsKeptForGang = 3;
+constexpr int kHeartbeatsKept = 4;  // room made for a task is kept for so many report intervals
+constexpr int kHeartbeatsKeptForGang = 3;
 
-constexpr double kReportsUntilFree = 1.5;  // room that comes free by itself shows within so many intervals
+constexpr double kHeartbeatsUntilFree = 1.5;  // room that comes free by itself shows within so many intervals
 constexpr Seconds kHurry{0.2};
 constexpr double kHurriedShareOfAim = 0.1;
 constexpr double kShareOfAim = 0.35;
@@ -46,12 +43,12 @@
 
 Preemption::Preemption(const PreemptionContext& context) : context_(context) {}
 
-void Preemption::makeRoom(Time now) {
-    const auto& meter = context_.meter;
+void Preemption::preemptForWaitingJobs(Time now) {
+    const auto& scans = context_.scans;
     const auto budget =
         std::max<std::uint64_t>(kMinLookups, context_.fleet.machines().size() * kLookupsPerMachine);
-    const auto lookupsBefore = meter.total();
-    const auto jobs = context_.order.waiting();
+    const auto lookupsBefore = scans.total();
+    const auto jobs = context_.jobQueue.waiting();
     // Production has its turn each time; the others go on where the last round ended.
     const auto firstOther =
         std::find_if(jobs.begin(), jobs.end(), [](const Job* job) { return rankOf(*job) < kProductionRank; });
@@ -61,20 +58,20 @@
     int made = 0;
     for (std::size_t turn = 0; turn < production + jobs.size() - resume; ++turn) {
         const auto at = turn < production ? turn : resume + turn - production;
-        if (made >= kMaxJobsAtOnce || meter.total() - lookupsBefore > budget) {
+        if (made >= kMaxJobsAtOnce || scans.total() - lookupsBefore > budget) {
             nextJob_ = std::max(at, resume);
             return;
         }
         auto& job = *jobs[at];
         if (!isDue(job, now)) continue;
-        made += bookkeeping::isLargeGang(job.spec) ? makeRoomForGang(job, now) : makeRoomFor(job, now);
+        made += bookkeeping::isLargeGang(job.spec) ? preemptForGang(job, now) : preemptFor(job, now);
     }
 }
 
 bool Preemption::isDue(const Job& job, Time now) const {
     const auto& run = *job.run;
     if (job.priority() <= Priority::normal && !run.guaranteed) return false;
-    if (job.final != Final::open || run.waiting == 0 || run.notBefore > now) return false;
+    if (job.terminalState != TerminalState::none || run.waiting == 0 || run.backoffUntil > now) return false;
     if (Seconds(now - run.waitingSince) < patienceOf(job)) return false;
     const auto tasks = bookkeeping::isLargeGang(job.spec) ? run.waiting : 1;
     return !blockedByUnreconciled(job, context_.fleet) &&
@@ -83,24 +80,24 @@
 
 /// How long a job may wait for room to come free by itself: a small part of what its users expect.
 Seconds Preemption::patienceOf(const Job& job) const {
-    const auto report = context_.settings.report;
+    const auto heartbeat = context_.settings.heartbeatInterval;
     // Neither replicas' room nor whole machines come free by waiting.
     const bool hurried = job.priority() == Priority::production || job.spec.gpus > 0;
-    const Seconds patience = hurried ? kHurry : report * kReportsUntilFree;
-    const auto& aim = job.run->tightWait;
+    const Seconds patience = hurried ? kHurry : heartbeat * kHeartbeatsUntilFree;
+    const auto& aim = job.run->shortestWaitObjective;
     if (!aim) return patience;
-    const bool shortAim = hurried || *aim < report * kShortAim;
+    const bool shortAim = hurried || *aim < heartbeat * kShortAim;
     return shortAim ? std::min(patience, *aim * kHurriedShareOfAim) : *aim * kShareOfAim;
 }
 
-Time Preemption::keptUntil(const Job& job, int reports, Time now) const {
-    const Seconds time = context_.settings.report * reports + job.spec.save;
+Time Preemption::keptUntil(const Job& job, int heartbeats, Time now) const {
+    const Seconds time = context_.settings.heartbeatInterval * heartbeats + job.spec.saveTime;
     return now + std::chrono::duration_cast<Clock::duration>(time);
 }
 
 std::optional<PreemptionPlan> Preemption::planOn(Machine& machine, const Job& job, std::uint32_t tasks,
                                                  Time now) {
-    context_.meter.add(kLookupsPerPlan);
+    context_.scans.add(kLookupsPerPlan);
     return planPreemption(machine, job, tasks, context_.fleet, context_.settings, now);
 }
 
@@ -108,23 +105,23 @@
     auto& machine = *plan.machine;
     spdlog::debug("room for {} of {} {} on {}: {} tasks stop", plan.tasks, job.spec.id, job.spec.jobClass,
                   machine.id, plan.victims.size());
-    for (auto* victim : plan.victims) context_.stopper.stop(machine, *victim, victim->job->spec.save);
+    for (auto* victim : plan.victims) context_.terminator.stop(machine, *victim, victim->job->spec.saveTime);
     context_.fleet.reserve(machine, &job, until, false, plan.tasks);
 }
 
 // --- single tasks -----------------------------------------------------------------------------------------
 
 /// Frees room for tasks of the job by stopping lower work where that loses least. Returns for how many.
-int Preemption::makeRoomFor(Job& job, Time now) {
+int Preemption::preemptFor(Job& job, Time now) {
     auto survey = surveyRoom(job, now);
     if (survey.coming >= job.run->waiting) return 0;
     auto wanted = std::min(job.run->waiting - survey.coming, kMaxTasksAtOnce);
-    const auto until = keptUntil(job, kReportsKept, now);
+    const auto until = keptUntil(job, kHeartbeatsKept, now);
     int made = 0;
     for (const auto& plan : plansOn(survey.candidates, job, now)) {
         if (wanted == 0) break;
         const auto& zone = plan.machine->zone;
-        if (job.spec.oneZone && !survey.zones.empty() && !survey.zones.contains(zone)) continue;
+        if (job.spec.singleZone && !survey.zones.empty() && !survey.zones.contains(zone)) continue;
         auto& inZone = survey.zones[zone];
         if (inZone >= maxTasksInZone(job.spec)) continue;
         ++inZone;
@@ -153,8 +150,8 @@
 /// Counts the machine towards the room that the job will have without stopping more, or keeps it as one where
 /// something could be stopped.
 void Preemption::surveyMachine(Machine& machine, const Job& job, Time now, RoomSurvey& survey) {
-    context_.meter.add();
-    if (!machine.kind || !usable(machine, now)) return;
+    context_.scans.add();
+    if (!machine.typeInfo || !usable(machine, now)) return;
     const bool made = machine.isReserved(now) && !machine.holding;
     if (made && machine.reservedFor != &job) return;
     if (!context_.rules.mayStart(job, machine, now)) return;
@@ -163,7 +160,7 @@
         ++survey.zones[machine.zone];
         ++survey.coming;
     } else if (const auto room = availableRoom(machine, job, now).times(need); room > 0) {
-        survey.coming += room;  // it will be placed with that machine's report
+        survey.coming += room;  // it will be placed with that machine's heartbeat
     } else if (maxRoom(machine, job, now).covers(need)) {
         survey.candidates.push_back(&machine);
     }
@@ -190,11 +187,11 @@
 /// until it has enough there, other work that needs what it needs goes elsewhere. Lower work goes on
 /// meanwhile. There is one such gang at a time, so that no two wait for each other's halves. Returns 1 if it
 /// was made.
-int Preemption::makeRoomForGang(Job& job, Time now) {
-    if (job.run->liveTotal > 0) return 0;
+int Preemption::preemptForGang(Job& job, Time now) {
+    if (job.run->placedTotal > 0) return 0;
     const auto size = job.spec.tasks;
     const auto room =
-        bestGangRoom(job, context_.fleet, context_.settings.zones, context_.rules, context_.meter, now);
+        bestGangCapacity(job, context_.fleet, context_.settings.zones, context_.rules, context_.scans, now);
     if (room.yielding < size) {
         // Unless more machines have to come first.
         if (room.possible >= size) context_.zoneReservations.reserve(job, room.zone, now);
@@ -206,13 +203,13 @@
     while (needed < plans.size() && planned < size) planned += plans[needed++].tasks;
     if (planned < size) return 0;
     plans.resize(needed);
-    const auto until = keptUntil(job, kReportsKeptForGang, now);
+    const auto until = keptUntil(job, kHeartbeatsKeptForGang, now);
     for (const auto& plan : plans) execute(plan, job, until);
     return 1;
 }
 
 /// What would stop on each machine for the gang, those first that lose least for a task.
-std::vector<PreemptionPlan> Preemption::plansForGang(const Job& job, const GangRoom& room, Time now) {
+std::vector<PreemptionPlan> Preemption::plansForGang(const Job& job, const GangCapacity& room, Time now) {
     std::vector<PreemptionPlan> plans;
     for (const auto& [machine, tasks] : room.machines) {
         auto plan = planOn(*machine, job, std::min(tasks, job.spec.tasks), now);
--- a/src/coordination/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -10,16 +10,18 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "coordination/cached_image_lookup.h"
-#include "coordination/gang_room.h"
-#include "coordination/job_order.h"
-#include "coordination/lookup_meter.h"
-#include "coordination/preemption_plan.h"
-#include "coordination/rental_rules.h"
-#include "coordination/start_rules.h"
-#include "coordination/task_stopper.h"
-#include "coordination/zone_reservations.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/autoscaling/instance_selection.h"
+#include "coordination/scheduling/gang_capacity.h"
+#include "coordination/scheduling/image_locality.h"
+#include "coordination/scheduling/job_queue.h"
+#include "coordination/scheduling/preemption_plan.h"
+#include "coordination/scheduling/scan_counter.h"
+#include "coordination/scheduling/start_constraints.h"
+#include "coordination/scheduling/task_terminator.h"
+#include "coordination/scheduling/zone_reservations.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
@@ -29,12 +31,12 @@
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
     const MachineTypes& types;
-    const JobOrder& order;
-    const StartRules& rules;
-    CachedImageLookup& images;
+    const JobQueue& jobQueue;
+    const StartConstraints& rules;
+    ImageLocality& images;
     ZoneReservations& zoneReservations;
-    TaskStopper& stopper;
-    LookupMeter& meter;
+    TaskTerminator& terminator;
+    ScanCounter& scans;
 };
 
 class Preemption {
@@ -44,7 +46,7 @@
 
     /// Makes room for a few of the jobs that have waited for longer than their patience, production first.
     /// It ends when the budget of machines to look at is used up, and the next call goes on from there.
-    void makeRoom(transport::Time now);
+    void preemptForWaitingJobs(Time now);
 
   private:
     /// What a job finds on the machines that it may use.
@@ -54,24 +56,23 @@
         std::vector<bookkeeping::Machine*> candidates;  // where stopping something would make room
     };
 
-    bool isDue(const bookkeeping::Job& job, transport::Time now) const;
-    protocol::Seconds patienceOf(const bookkeeping::Job& job) const;
+    bool isDue(const bookkeeping::Job& job, Time now) const;
+    Seconds patienceOf(const bookkeeping::Job& job) const;
 
-    int makeRoomFor(bookkeeping::Job& job, transport::Time now);
-    RoomSurvey surveyRoom(bookkeeping::Job& job, transport::Time now);
-    void surveyMachine(bookkeeping::Machine& machine, const bookkeeping::Job& job, transport::Time now,
+    int preemptFor(bookkeeping::Job& job, Time now);
+    RoomSurvey surveyRoom(bookkeeping::Job& job, Time now);
+    void surveyMachine(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now,
                        RoomSurvey& survey);
     std::vector<PreemptionPlan> plansOn(const std::vector<bookkeeping::Machine*>& candidates,
-                                        const bookkeeping::Job& job, transport::Time now);
+                                        const bookkeeping::Job& job, Time now);
 
-    int makeRoomForGang(bookkeeping::Job& job, transport::Time now);
-    std::vector<PreemptionPlan> plansForGang(const bookkeeping::Job& job, const GangRoom& room,
-                                             transport::Time now);
+    int preemptForGang(bookkeeping::Job& job, Time now);
+    std::vector<PreemptionPlan> plansForGang(const bookkeeping::Job& job, const GangCapacity& room, Time now);
 
     std::optional<PreemptionPlan> planOn(bookkeeping::Machine& machine, const bookkeeping::Job& job,
-                                         std::uint32_t tasks, transport::Time now);
-    void execute(const PreemptionPlan& plan, const bookkeeping::Job& job, transport::Time until);
-    transport::Time keptUntil(const bookkeeping::Job& job, int reports, transport::Time now) const;
+                                         std::uint32_t tasks, Time now);
+    void execute(const PreemptionPlan& plan, const bookkeeping::Job& job, Time until);
+    Time keptUntil(const bookkeeping::Job& job, int heartbeats, Time now) const;
 
     const PreemptionContext context_;
     std::size_t nextJob_ = 0;        // among the waiting jobs, where the next round goes on
--- a/src/coordination/preemption_plan.cpp
+++ b/src/coordination/scheduling/preemption_plan.cpp
@@ -1,8 +1,8 @@
-#include "coordination/preemption_plan.h"
+#include "coordination/scheduling/preemption_plan.h"
 
 #include <algorithm>
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -11,11 +11,9 @@
 using bookkeeping::Machine;
 using bookkeeping::Placement;
 using bookkeeping::PlacementState;
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Seconds;
 using protocol::Settings;
-using transport::Time;
 
 namespace {
 
@@ -38,7 +36,7 @@
     const bool running = placement.state == PlacementState::running;
     double lost = running ? Seconds(now - placement.runningSince).count() : 0;
     if (spec.gpus > 0 && job.spec.gpus <= 0) lost += kHardToPlaceLoss;
-    if (spec.checkpoint > Seconds(0)) lost = std::min(lost, spec.save.count() + kRestartLoss);
+    if (spec.checkpointInterval > Seconds(0)) lost = std::min(lost, spec.saveTime.count() + kRestartLoss);
     if (isProtectedStart(placement, now)) lost += kProtectedStartLoss;
     return lost * std::max(spec.cpus, kMinCpus) + kStopLoss;
 }
@@ -49,7 +47,7 @@
     const auto& spec = placement.job->spec;
     const auto* team = settings.team(spec.team);
     return job.run->guaranteed && job.priority() < Priority::production && spec.team != job.spec.team &&
-           team && fleet.teamUse(spec.team).cpus > team->cpus && !placement.job->run->guaranteed;
+           team && fleet.teamUse(spec.team).cpus > team->guaranteedCpus && !placement.job->run->guaranteed;
 }
 
 }  // namespace
@@ -57,7 +55,8 @@
 bool mayPreempt(const Placement& placement, const Job& job, const Fleet& fleet, const Settings& settings,
                 Time now) {
     const auto& spec = placement.job->spec;
-    if (placement.job == &job || spec.kind == Kind::service || bookkeeping::isLargeGang(spec)) return false;
+    if (placement.job == &job || spec.kind == JobKind::service || bookkeeping::isLargeGang(spec))
+        return false;
     if (job.priority() != Priority::production && isProtectedStart(placement, now)) return false;
     if (placement.job->priority() < job.priority()) return true;
     return yieldsToGuarantee(placement, job, fleet, settings);
--- a/src/coordination/preemption_plan.h
+++ b/src/coordination/scheduling/preemption_plan.h
@@ -7,6 +7,7 @@
 #include <optional>
 #include <vector>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "protocol/settings.h"
 
@@ -23,12 +24,12 @@
 /// Does the task have to yield to the job? Replicas and tasks of larger gangs never do. Lower priorities
 /// yield to higher ones, and what a team has beyond its guarantee to another team's guaranteed work.
 bool mayPreempt(const bookkeeping::Placement& placement, const bookkeeping::Job& job,
-                const bookkeeping::Fleet& fleet, const protocol::Settings& settings, transport::Time now);
+                const bookkeeping::Fleet& fleet, const protocol::Settings& settings, Time now);
 
 /// What would have to stop on the machine, losing least, for `tasks` tasks of the job; none: there can't be
 /// room for so many.
 std::optional<PreemptionPlan> planPreemption(bookkeeping::Machine& machine, const bookkeeping::Job& job,
                                              std::uint32_t tasks, const bookkeeping::Fleet& fleet,
-                                             const protocol::Settings& settings, transport::Time now);
+                                             const protocol::Settings& settings, Time now);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/lookup_meter.h
+++ b/src/coordination/scheduling/scan_counter.h
@@ -8,7 +8,7 @@
 
 /// Counts the machines that were looked at for waiting jobs. Rounds over the waiting jobs are bounded by it,
 /// so that their cost does not grow with the number of jobs times that of machines.
-class LookupMeter {
+class ScanCounter {
   public:
     void add(std::uint64_t machines = 1) { total_ += machines; }
     std::uint64_t total() const { return total_; }
--- a/src/coordination/start_rules.cpp
+++ b/src/coordination/scheduling/start_constraints.cpp
@@ -1,13 +1,12 @@
-#include "coordination/start_rules.h"
+#include "coordination/scheduling/start_constraints.h"
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
 using bookkeeping::Job;
 using bookkeeping::Machine;
-using storage::Final;
-using transport::Time;
+using storage::TerminalState;
 
 namespace {
 
@@ -23,13 +22,16 @@
 
 }  // namespace
 
-StartRules::StartRules(const AcceleratorPolicy& accelerators, const ZoneReservations& zoneReservations)
+StartConstraints::StartConstraints(const AcceleratorPolicy& accelerators,
+                                   const ZoneReservations& zoneReservations)
     : accelerators_(accelerators), zoneReservations_(zoneReservations) {}
 
-bool StartRules::mayStart(const Job& job, const Machine& machine, Time now) const {
+bool StartConstraints::mayStart(const Job& job, const Machine& machine, Time now) const {
     const auto& run = *job.run;
-    if (job.final != Final::open || !job.ready() || run.waiting == 0 || run.notBefore > now) return false;
-    if (!allows(job.spec, machine.type, machine.zone, machine.spot)) return false;
+    if (job.terminalState != TerminalState::none || !job.ready() || run.waiting == 0 ||
+        run.backoffUntil > now)
+        return false;
+    if (!bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot)) return false;
     if (!zoneAllows(job, machine.zone)) return false;
     if (!accelerators_.allows(job, machine, now)) return false;
     if (zoneReservations_.keepsOut(job, machine, now)) return false;
--- a/src/coordination/task_stopper.h
+++ b/src/coordination/scheduling/task_terminator.h
@@ -6,24 +6,25 @@
 #include <set>
 #include <string>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "coordination/job_order.h"
+#include "coordination/scheduling/job_queue.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
 
-class TaskStopper {
+class TaskTerminator {
   public:
     /// All are kept by reference and have to outlive this.
-    TaskStopper(const protocol::Settings& settings, bookkeeping::Fleet& fleet, JobOrder& order);
+    TaskTerminator(const protocol::Settings& settings, bookkeeping::Fleet& fleet, JobQueue& jobQueue);
 
     /// The task is to be stopped; `grace` is the time that it has to save. A stop with a shorter grace
     /// replaces an earlier one.
-    void stop(bookkeeping::Machine& machine, bookkeeping::Placement& placement, protocol::Seconds grace);
+    void stop(bookkeeping::Machine& machine, bookkeeping::Placement& placement, Seconds grace);
 
     /// Stops all tasks of the job. Those only planned are taken back at once. The machines of an open gang
     /// are kept for it for a while, so that it can go on at once.
-    void stopJob(bookkeeping::Job& job, protocol::Seconds grace, transport::Time now);
+    void stopJob(bookkeeping::Job& job, Seconds grace, Time now);
 
     /// A response to the machine brings its stops, so that it needs no command for them.
     void noteAnswered(const std::string& machine) { urgent_.erase(machine); }
@@ -32,12 +33,11 @@
     std::set<std::string> takeUrgent();
 
   private:
-    void keepForGang(bookkeeping::Machine& machine, const bookkeeping::Job& job, protocol::Seconds grace,
-                     transport::Time now);
+    void keepForGang(bookkeeping::Machine& machine, const bookkeeping::Job& job, Seconds grace, Time now);
 
     const protocol::Settings& settings_;
     bookkeeping::Fleet& fleet_;
-    JobOrder& order_;
+    JobQueue& jobQueue_;
     std::set<std::string> urgent_;
 };
 
--- a/src/coordination/zone_reservations.cpp
+++ b/src/coordination/scheduling/zone_reservations.cpp
@@ -1,4 +1,4 @@
-#include "coordination/zone_reservations.h"
+#include "coordination/scheduling/zone_reservations.h"
 
 #include <algorithm>
 #include <chrono>
@@ -7,9 +7,8 @@
 
 using bookkeeping::Job;
 using bookkeeping::Machine;
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using transport::Time;
 using namespace std::chrono_literals;
 
 namespace {
@@ -51,7 +50,7 @@
 }
 
 bool ZoneReservations::keepsOut(const Job& job, const Machine& machine, Time now) const {
-    if (byZone_.empty() || !machine.kind || job.priority() == Priority::production) return false;
+    if (byZone_.empty() || !machine.typeInfo || job.priority() == Priority::production) return false;
     return std::any_of(byZone_.begin(), byZone_.end(), [&](const auto& entry) {
         const auto& [zone, reservation] = entry;
         if (reservation.until <= now || reservation.gang == &job) return false;
@@ -70,9 +69,9 @@
 bool ZoneReservations::reaches(const Reservation& reservation, const Job& job, const Machine& machine) {
     const auto& gang = reservation.gang->spec;
     if (job.priority() < reservation.gang->priority()) return false;
-    const bool needsTheSame = gang.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == Kind::gang;
+    const bool needsTheSame = gang.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == JobKind::gang;
     if (!needsTheSame) return false;
-    return bookkeeping::sizeOf(*machine.kind).covers(bookkeeping::needOf(gang));
+    return bookkeeping::sizeOf(*machine.typeInfo).covers(bookkeeping::needOf(gang));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/zone_reservations.h
+++ b/src/coordination/scheduling/zone_reservations.h
@@ -6,6 +6,7 @@
 #include <map>
 #include <string>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "protocol/settings.h"
 
@@ -22,26 +23,25 @@
     /// Keeps the zone for the gang for some seconds from now, to be renewed by further calls while it waits.
     /// A gang that has a zone keeps that one, whichever is asked for. Nothing happens for a gang that is
     /// younger than a third of the operators' `longest-passed-over-s`, or while an older one has its turn.
-    void reserve(const bookkeeping::Job& gang, const std::string& zone, transport::Time now);
+    void reserve(const bookkeeping::Job& gang, const std::string& zone, Time now);
 
     /// The gang has its machines or no longer waits for them.
     void release(const bookkeeping::Job& gang);
 
     /// Must the job stay off the machine, as a gang that waits for machines like this one has its zone? Never
     /// true for the gang itself, for production, and for work that the gang could not replace.
-    bool keepsOut(const bookkeeping::Job& job, const bookkeeping::Machine& machine,
-                  transport::Time now) const;
+    bool keepsOut(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
   private:
     struct Reservation {
         const bookkeeping::Job* gang = nullptr;
-        transport::Time until{};
-        transport::Time since{};
+        Time until{};
+        Time since{};
     };
 
     static bool reaches(const Reservation& reservation, const bookkeeping::Job& job,
                         const bookkeeping::Machine& machine);
-    static bool isOthersTurn(const Reservation& reservation, transport::Time now);
+    static bool isOthersTurn(const Reservation& reservation, Time now);
 
     const protocol::Policy& policy_;
     std::map<std::string, Reservation> byZone_;
--- /dev/null
+++ b/src/coordination/state/machine_registry.cpp
@@ -0,0 +1,104 @@
+#include "coordination/state/machine_registry.h"
+
+#include "bookkeeping/machine_status.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Machine;
+using bookkeeping::RegistrationState;
+
+MachineRegistry::MachineRegistry(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet)
+    : replica_(replica), fleet_(fleet) {}
+
+storage::MachineRecord MachineRegistry::recordOf(const Machine& machine) {
+    return {machine.incarnation > 0 ? machine.address : "", machine.type, machine.zone, machine.spot};
+}
+
+bool MachineRegistry::mayHoldTasks(const std::string& id) const {
+    return bookkeeping::mayHoldTasks(replica_, id);
+}
+
+void MachineRegistry::noteRequested(const std::string& id) { additions_.insert(id); }
+
+void MachineRegistry::ensureEntry(Machine& machine) {
+    if (machine.registration == RegistrationState::writing) return;
+    // It was forgotten, and is back. A deletion of its entry may still be on its way, so the entry counts
+    // only once it is written anew: with its new version that deletion fails.
+    removals_.erase(machine.id);
+    if (removalsSent_.contains(machine.id)) {
+        fleet_.setRegistration(machine, RegistrationState::absent);
+        additions_.insert(machine.id);
+        return;
+    }
+    const auto stored = replica_.registeredMachines.find(machine.id);
+    if (stored != replica_.registeredMachines.end() && stored->second.record == recordOf(machine)) {
+        fleet_.setRegistration(machine, RegistrationState::stored);
+        additions_.erase(machine.id);
+        return;
+    }
+    fleet_.setRegistration(machine,
+                           mayHoldTasks(machine.id) ? RegistrationState::stored : RegistrationState::absent);
+    additions_.insert(machine.id);
+}
+
+void MachineRegistry::ensureEntriesOfReporting() {
+    for (auto& [id, machine] : fleet_.machines())
+        if (machine->sendsHeartbeats && machine->registration != RegistrationState::stored)
+            ensureEntry(*machine);
+}
+
+void MachineRegistry::forget(const Machine& machine) {
+    if (machine.registration != RegistrationState::absent) removals_.insert(machine.id);
+    additions_.erase(machine.id);
+}
+
+void MachineRegistry::dropOrphans() {
+    for (const auto& [id, stored] : replica_.registeredMachines)
+        if (!fleet_.find(id)) removals_.insert(id);
+}
+
+void MachineRegistry::dropSettledRemovals() {
+    std::erase_if(removals_, [this](const auto& id) { return !replica_.registeredMachines.contains(id); });
+}
+
+std::uint64_t MachineRegistry::versionOf(const std::string& id) const {
+    const auto stored = replica_.registeredMachines.find(id);
+    return stored == replica_.registeredMachines.end() ? 0 : stored->second.version;
+}
+
+void MachineRegistry::additionSent(const std::string& id) {
+    auto& machine = *fleet_.find(id);
+    if (machine.registration == RegistrationState::absent)
+        fleet_.setRegistration(machine, RegistrationState::writing);
+}
+
+void MachineRegistry::additionStored(const std::string& id, const storage::MachineRecord& record,
+                                     std::uint64_t revision) {
+    replica_.registeredMachines[id] = {record, revision};
+    removalsSent_.erase(id);
+    auto* machine = fleet_.find(id);
+    if (!machine) {
+        removals_.insert(id);
+        return;
+    }
+    if (!record.address.empty())
+        fleet_.setRegistration(*machine, RegistrationState::stored);
+    else if (machine->registration == RegistrationState::writing)
+        fleet_.setRegistration(*machine, RegistrationState::absent);
+    if (record == recordOf(*machine)) additions_.erase(id);
+}
+
+void MachineRegistry::additionNotStored(const std::string& id) {
+    auto* machine = fleet_.find(id);
+    if (machine && machine->registration == RegistrationState::writing)
+        fleet_.setRegistration(*machine, RegistrationState::absent);
+}
+
+void MachineRegistry::removalSent(const std::string& id) { removalsSent_.insert(id); }
+
+void MachineRegistry::removalStored(const std::string& id) {
+    replica_.registeredMachines.erase(id);
+    removals_.erase(id);
+}
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/roster.h
+++ b/src/coordination/state/machine_registry.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The roster: the stored list of machines by which the next leader knows where tasks of this one may be.
-// This module decides which entries must be written or deleted and when an entry counts as stored. It owns
-// what is still to be written and deleted; the entries as stored are in the replica, and what counts for
+// The machine registry: the stored list of machines by which the next leader knows where tasks of this one
+// may be. This module decides which entries must be written or deleted and when an entry counts as stored. It
+// owns what is still to be written and deleted; the entries as stored are in the replica, and what counts for
 // giving tasks is each machine's `roster` in the fleet. It sends nothing itself: StateWriter does.
 
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace burlpoint::coordination {
 
-class Roster {
+class MachineRegistry {
   public:
-    /// Both must outlive the roster. Nothing is due to be written or deleted at first.
-    Roster(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet);
+    /// Both must outlive the machine registry. Nothing is due to be written or deleted at first.
+    MachineRegistry(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet);
 
     /// The entry that the machine should have. That of a machine that has not reported yet has no address. It
     /// is a note for the next leader and no task is given under it: were it otherwise, each take-over would
@@ -29,12 +29,12 @@
 
     /// The machine was rented and is in the fleet: it is noted for the next leader, which would rent it
     /// again.
-    void noteRented(const std::string& id);
+    void noteRequested(const std::string& id);
     /// Has the machine's entry written unless it is stored as it should be, and sets the machine's `roster`
     /// accordingly. Nothing changes while its entry is being written.
     void ensureEntry(bookkeeping::Machine& machine);
-    /// After the replica was read anew: the same for all machines that report and whose entry is not known to
-    /// be stored.
+    /// After the replica was read anew: the same for all machines that heartbeat and whose entry is not known
+    /// to be stored.
     void ensureEntriesOfReporting();
     /// The machine is about to leave the fleet: its entry goes if it may have one.
     void forget(const bookkeeping::Machine& machine);
--- a/src/coordination/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -1,33 +1,34 @@
-#include "coordination/state_watcher.h"
+#include "coordination/state/state_watcher.h"
 
 #include <spdlog/spdlog.h>
 
+#include "transport/executor.h"
+
 namespace burlpoint::coordination {
 
 using bookkeeping::Change;
 using protocol::KeyPage;
 using storage::ReadStatus;
-using transport::Clock;
 using namespace std::chrono_literals;
 
 namespace {
 constexpr auto kWatch = 5s;  // where the service is slow, a leader proves by these that it is up to date
 constexpr auto kWatchTimeout = 7s;
-constexpr auto kFreshTimeout = 1200ms;  // users wait 2 s for an answer
-constexpr auto kRetry = 400ms;          // after a read that failed
-constexpr double kReserve = 10;         // requests kept for lease renewals and a leader's writes
+constexpr auto kReadTimeout = 1200ms;  // users wait 2 s for an answer
+constexpr auto kRetry = 400ms;         // after a read that failed
+constexpr double kReserve = 10;        // requests kept for lease renewals and a leader's writes
 }  // namespace
 
-StateWatcher::StateWatcher(asio::io_context& io, storage::StateClient& state,
-                           bookkeeping::StateReplica& replica, Changed changed, transport::Duration spacing)
+StateWatcher::StateWatcher(asio::io_context& io, storage::KeyValueClient& state,
+                           bookkeeping::StateReplica& replica, Changed changed, Duration spacing)
     : spacing_(spacing),
       state_(state),
       replica_(replica),
       changed_(std::move(changed)),
       pollTimer_(io),
-      freshTimer_(io) {}
+      readTimer_(io) {}
 
-void StateWatcher::later(transport::Timer& timer, transport::Duration pause, void (StateWatcher::*next)()) {
+void StateWatcher::later(transport::Timer& timer, Duration pause, void (StateWatcher::*next)()) {
     timer.expires_after(pause);
     timer.async_wait([this, next](auto error) {
         if (!error) (this->*next)();
@@ -62,9 +63,9 @@
         loading_ = false;
         // What changed while the pages were read follows from the first page's revision on.
         replica_.revision = loadRevision_;
-        replica_.updateUrgency();
+        replica_.updateEffectivePriorities();
         poll();
-        fresh([](bool) {});
+        readLatest([](bool) {});
     });
 }
 
@@ -76,7 +77,7 @@
             spdlog::error("the value of {} in the state service is malformed", entry.key);
     }
     replica_.revision = std::max(replica_.revision, page.revision);
-    replica_.updateUrgency();
+    replica_.updateEffectivePriorities();
     if (!changes.empty()) changed_(changes);
 }
 
@@ -102,12 +103,12 @@
                  });
 }
 
-void StateWatcher::fresh(Fresh done) {
+void StateWatcher::readLatest(ReadCallback done) {
     next_.push_back(std::move(done));
-    if (!asking_ && !waiting_) sendFresh();
+    if (!asking_ && !waiting_) sendPendingRead();
 }
 
-void StateWatcher::sendFresh() {
+void StateWatcher::sendPendingRead() {
     waiting_ = false;
     if (asking_ || next_.empty()) return;
     asking_ = true;
@@ -117,9 +118,9 @@
         for (auto& done : std::exchange(asked_, {})) done(ok);
         if (waiting_) return;
         waiting_ = true;
-        later(freshTimer_, spacing_, &StateWatcher::sendFresh);
+        later(readTimer_, spacing_, &StateWatcher::sendPendingRead);
     };
-    state_.watch(storage::keys::kAll, replica_.revision, 0s, kFreshTimeout,
+    state_.watch(storage::keys::kAll, replica_.revision, 0s, kReadTimeout,
                  [this, answer, sent = Clock::now()](ReadStatus status, const KeyPage& page) {
                      if (status == ReadStatus::tooOld) load();
                      // While all keys are read anew the replica is a mixture of times and proves nothing.
--- a/src/coordination/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -1,15 +1,16 @@
-#include "coordination/state_writer.h"
+#include "coordination/state/state_writer.h"
 
 #include <algorithm>
 #include <utility>
 
+#include "protocol/msgpack_codec.h"
 #include "storage/records.h"
 
 namespace burlpoint::coordination {
 
 using bookkeeping::Job;
-using storage::Final;
-using storage::TxnStatus;
+using storage::TerminalState;
+using storage::TransactionStatus;
 using namespace std::chrono_literals;
 
 namespace keys = storage::keys;
@@ -32,33 +33,33 @@
 constexpr auto kPauseAfterRefusal = 500ms;
 
 /// The record that says "done" stands for all bits that are missing if it is the only one to be written.
-bool finalWriteSuffices(const Job& job) {
-    if (job.doneCount + job.run->unstored.size() < job.spec.tasks) return false;
-    return job.run->unstored.empty() || job.chunks() == 1;
+bool terminalWriteSuffices(const Job& job) {
+    if (job.doneCount + job.run->unpersistedTasks.size() < job.spec.tasks) return false;
+    return job.run->unpersistedTasks.empty() || job.chunks() == 1;
 }
 
 }  // namespace
 
 StateWriter::StateWriter(const protocol::Settings& settings, bookkeeping::StateReplica& replica,
-                         bookkeeping::Fleet& fleet, Roster& roster,
-                         const std::map<std::string, protocol::MachineType>& types, const DayClock& dayClock,
-                         Time now)
+                         bookkeeping::Fleet& fleet, MachineRegistry& registry,
+                         const std::map<std::string, protocol::MachineType>& types,
+                         const WallClock& wallClock, Time now)
     : settings_(settings),
       replica_(replica),
       fleet_(fleet),
-      roster_(roster),
+      registry_(registry),
       types_(types),
-      dayClock_(dayClock),
-      budget_(settings.stateWriteRps * kRateShare, now, settings.minWriteRps() * kRateShare),
-      maxOperations_(settings.minTxnOps()),
+      wallClock_(wallClock),
+      budget_(settings.storeWritesPerSecond * kRateShare, now, settings.minWritesPerSecond() * kRateShare),
+      maxOperations_(settings.minTransactionWrites()),
       maxBytes_(kMaxBytes),
-      maxBitmapBytes_(settings.valueBytes()),
-      maxFinalBytes_(settings.valueBytes()) {}
+      maxBitmapBytes_(settings.maxValueBytes()),
+      maxTerminalRecordBytes_(settings.maxValueBytes()) {}
 
 std::string StateWriter::summary() const {
     return "writing " + std::to_string(underWay_.has_value()) + " refreshing " + std::to_string(refreshing_) +
            " unstored " + std::to_string(unstored_.size()) + " roster +" +
-           std::to_string(roster_.additions().size()) + " -" + std::to_string(roster_.removals().size());
+           std::to_string(registry_.additions().size()) + " -" + std::to_string(registry_.removals().size());
 }
 
 // --- putting a transaction together -----------------------------------------------------------------------
@@ -71,12 +72,12 @@
     draft.maxWrites = std::min(maxOperations_, allowed);
     draft.state.conditions.push_back({keys::kToken, replica_.tokenVersion});
 
-    putRosterAdditions(draft, true);
-    putFinalRecords(draft, now);
+    putRegistryAdditions(draft, true);
+    putTerminalRecords(draft, now);
     putTypes(draft);
     putBitmaps(draft, now);
-    putRosterAdditions(draft, false);  // notes wait for everything that somebody waits for
-    putRosterRemovals(draft);
+    putRegistryAdditions(draft, false);  // notes wait for everything that somebody waits for
+    putRegistryRemovals(draft);
 
     if (draft.state.writes.empty()) return std::nullopt;
     budget_.force(static_cast<double>(draft.state.writes.size()), now);
@@ -89,10 +90,10 @@
 bool StateWriter::put(Draft& draft, const std::string& key, std::optional<std::string> value,
                       std::uint64_t version) const {
     if (deferredKeys_.contains(key)) return false;
-    // The key is named twice, as there is a condition for each write: these and the token's are within the
-    // four conditions that the service allows for each write.
-    const auto valueBytes = value ? protocol::jsonBytes(*value) : 0;
-    const auto bytes = valueBytes + 2 * key.size() + kWriteOverhead;
+    // The key is named twice, as there is a condition for each write: these and the fencing token's are
+    // within the four conditions that the service allows for each write.
+    const auto maxValueBytes = value ? protocol::jsonBytes(*value) : 0;
+    const auto bytes = maxValueBytes + 2 * key.size() + kWriteOverhead;
     draft.full = !draft.state.writes.empty() && draft.contents.bytes + bytes > maxBytes_;
     if (draft.full) return false;
     draft.contents.bytes += bytes;
@@ -102,41 +103,42 @@
 }
 
 /// `reported`: entries of machines that have reported; else notes of those that have not.
-void StateWriter::putRosterAdditions(Draft& draft, bool reported) {
-    for (const auto& id : roster_.additions()) {
+void StateWriter::putRegistryAdditions(Draft& draft, bool reported) {
+    for (const auto& id : registry_.additions()) {
         if (!draft.hasRoom()) return;
         const auto& machine = *fleet_.find(id);
-        if ((machine.session > 0) != reported) continue;
-        auto record = Roster::recordOf(machine);
-        if (!put(draft, keys::machine(id), storage::encodeMachine(record), roster_.versionOf(id))) continue;
-        roster_.additionSent(id);
-        draft.contents.rosterAdditions.push_back({id, std::move(record)});
+        if ((machine.incarnation > 0) != reported) continue;
+        auto record = MachineRegistry::recordOf(machine);
+        if (!put(draft, keys::machine(id), storage::encodeMachine(record), registry_.versionOf(id))) continue;
+        registry_.additionSent(id);
+        draft.contents.registryAdditions.push_back({id, std::move(record)});
     }
 }
 
-void StateWriter::putRosterRemovals(Draft& draft) {
-    roster_.dropSettledRemovals();
-    for (const auto& id : roster_.removals()) {
+void StateWriter::putRegistryRemovals(Draft& draft) {
+    registry_.dropSettledRemovals();
+    for (const auto& id : registry_.removals()) {
         if (!draft.hasRoom()) return;
-        if (!put(draft, keys::machine(id), std::nullopt, roster_.versionOf(id))) continue;
-        roster_.removalSent(id);
-        draft.contents.rosterRemovals.push_back(id);
+        if (!put(draft, keys::machine(id), std::nullopt, registry_.versionOf(id))) continue;
+        registry_.removalSent(id);
+        draft.contents.registryRemovals.push_back(id);
     }
 }
 
-void StateWriter::putFinalRecords(Draft& draft, Time now) const {
+void StateWriter::putTerminalRecords(Draft& draft, Time now) const {
     for (auto* job : unstored_) {
         if (!draft.hasRoom()) return;
-        if (!finalWriteSuffices(*job)) continue;
+        if (!terminalWriteSuffices(*job)) continue;
         storage::JobRecord record;
         record.spec = job->spec;
-        record.final = Final::done;
+        record.terminalState = TerminalState::done;
         record.acceptedMs = job->acceptedMs;
         record.done = job->spec.tasks;
         record.chunkTasks = job->chunkTasks;
-        record.endedMs = dayClock_.dayMsAt(now);
-        if (put(draft, keys::job(job->spec.id), storage::encodeFinal(record, maxFinalBytes_), job->version))
-            draft.contents.finals.push_back({job, record.endedMs});
+        record.endedMs = wallClock_.wallMsAt(now);
+        if (put(draft, keys::job(job->spec.id), storage::encodeTerminatedJob(record, maxTerminalRecordBytes_),
+                job->version))
+            draft.contents.terminalWrites.push_back({job, record.endedMs});
     }
 }
 
@@ -151,15 +153,16 @@
 void StateWriter::putBitmaps(Draft& draft, Time now) const {
     for (auto* job : unstored_) {
         if (!draft.hasRoom()) return;
-        if (now < job->run->nextBits || finalWriteSuffices(*job)) continue;
+        if (now < job->run->nextBitmapWrite || terminalWriteSuffices(*job)) continue;
         putBitmapsOf(draft, *job);
-        job->run->nextBits = now + kBitmapInterval;
+        job->run->nextBitmapWrite = now + kBitmapInterval;
     }
 }
 
 void StateWriter::putBitmapsOf(Draft& draft, Job& job) const {
     std::map<bookkeeping::BitRange, std::vector<std::uint32_t>> ranges;
-    for (const auto task : job.run->unstored) ranges[job.rangeOf(task, maxBitmapBytes_)].push_back(task);
+    for (const auto task : job.run->unpersistedTasks)
+        ranges[job.rangeOf(task, maxBitmapBytes_)].push_back(task);
     for (auto& [range, tasks] : ranges) {
         if (!draft.hasRoom()) return;
         auto bits = job.done;
@@ -173,37 +176,37 @@
 
 // --- taking in what came of it ----------------------------------------------------------------------------
 
-StateWriter::Outcome StateWriter::handle(const StateWritten& written, Time now) {
+StateWriter::WriteOutcome StateWriter::handle(const StateWritten& written, Time now) {
     const auto transaction = std::exchange(underWay_, std::nullopt).value_or(Transaction{});
     const auto& result = written.result;
     const bool tokenRaised =
         std::find(result.failed.begin(), result.failed.end(), keys::kToken) != result.failed.end();
-    Outcome outcome;
+    WriteOutcome outcome;
     nextWrite_ = now + kPause;
-    takeRoster(transaction, result);
+    takeRegistryWrites(transaction, result);
     switch (result.status) {
-        case TxnStatus::applied:
+        case TransactionStatus::applied:
             grow(now);
             takeStored(transaction, result.revision, outcome);
             return outcome;
-        case TxnStatus::tooLarge:
+        case TransactionStatus::tooLarge:
             shrink(transaction, now);
             return outcome;
-        case TxnStatus::tooMany:
+        case TransactionStatus::tooMany:
             budget_.refused(now);
             nextWrite_ = now + kPauseAfterRefusal;
             return outcome;
-        case TxnStatus::refused:
+        case TransactionStatus::refused:
             nextWrite_ = now + kPauseAfterRefusal;
             return outcome;
-        case TxnStatus::conflict:
+        case TransactionStatus::conflict:
             if (tokenRaised) {
                 outcome.followUp = FollowUp::resign;
                 return outcome;
             }
             break;
-        case TxnStatus::noLease:
-        case TxnStatus::unknown:
+        case TransactionStatus::noLease:
+        case TransactionStatus::unknown:
             break;
     }
     // Changed by a user's cancellation, or of unknown outcome: see what is stored, then try again.
@@ -212,22 +215,23 @@
     return outcome;
 }
 
-void StateWriter::takeRoster(const Transaction& transaction, const storage::TxnResult& result) {
-    const bool applied = result.status == TxnStatus::applied;
-    for (const auto& write : transaction.rosterAdditions) {
+void StateWriter::takeRegistryWrites(const Transaction& transaction,
+                                     const storage::TransactionResult& result) {
+    const bool applied = result.status == TransactionStatus::applied;
+    for (const auto& write : transaction.registryAdditions) {
         if (applied)
-            roster_.additionStored(write.machine, write.record, result.revision);
+            registry_.additionStored(write.machine, write.record, result.revision);
         else
-            roster_.additionNotStored(write.machine);
+            registry_.additionNotStored(write.machine);
     }
     if (!applied) return;
-    for (const auto& id : transaction.rosterRemovals) roster_.removalStored(id);
+    for (const auto& id : transaction.registryRemovals) registry_.removalStored(id);
 }
 
-void StateWriter::takeStored(const Transaction& transaction, std::uint64_t revision, Outcome& outcome) {
+void StateWriter::takeStored(const Transaction& transaction, std::uint64_t revision, WriteOutcome& outcome) {
     for (const auto& write : transaction.bitmaps) takeBitmap(write, revision);
-    for (const auto& write : transaction.finals) {
-        if (write.job->final != Final::open) continue;
+    for (const auto& write : transaction.terminalWrites) {
+        if (write.job->terminalState != TerminalState::none) continue;
         replica_.noteDone(*write.job, revision, write.endedMs, outcome.changes);
         unstored_.erase(write.job);
         outcome.ended.push_back(write.job);
@@ -241,10 +245,10 @@
 
 void StateWriter::takeBitmap(const BitmapWrite& write, std::uint64_t revision) {
     auto& job = *write.job;
-    if (job.final != Final::open) return;
+    if (job.terminalState != TerminalState::none) return;
     for (const auto task : write.tasks) job.setDone(task);
     job.setVersion(write.range, revision);
-    if (job.run->unstored.empty() && job.doneCount < job.spec.tasks) unstored_.erase(&job);
+    if (job.run->unpersistedTasks.empty() && job.doneCount < job.spec.tasks) unstored_.erase(&job);
 }
 
 /// The transaction was too large for the service. All that it held is still to be stored, in smaller pieces;
@@ -253,7 +257,7 @@
 void StateWriter::shrink(const Transaction& refused, Time now) {
     growthPause_ = std::clamp<Clock::duration>(growthPause_ * 2, kGrowthPause, kMaxGrowthPause);
     nextGrowth_ = now + growthPause_;
-    for (const auto& write : refused.bitmaps) write.job->run->nextBits = now;
+    for (const auto& write : refused.bitmaps) write.job->run->nextBitmapWrite = now;
     if (refused.keys.size() > 1) {
         maxOperations_ = refused.keys.size() / 2;
         maxBytes_ = std::max(kMinBytes, refused.bytes / 2);
@@ -262,8 +266,8 @@
         const auto& range = refused.bitmaps.front().range;
         const auto bytes = (range.end - range.first + 3) / 4 + 2;  // four tasks a digit, in quotes
         maxBitmapBytes_ = std::max(kMinBitmapBytes, std::min(maxBitmapBytes_, bytes) / 2);
-    } else if (!refused.finals.empty() && maxFinalBytes_ > kMinFinalBytes) {
-        maxFinalBytes_ = std::min(maxFinalBytes_, refused.bytes) / 2;
+    } else if (!refused.terminalWrites.empty() && maxTerminalRecordBytes_ > kMinFinalBytes) {
+        maxTerminalRecordBytes_ = std::min(maxTerminalRecordBytes_, refused.bytes) / 2;
     } else if (!refused.keys.empty()) {
         deferredKeys_[refused.keys.front()] = now + kDeferredFor;
     }
@@ -271,7 +275,7 @@
 
 void StateWriter::grow(Time now) {
     if (now < nextGrowth_) return;
-    maxOperations_ = std::min<std::size_t>(maxOperations_ * 2, settings_.minTxnOps());
+    maxOperations_ = std::min<std::size_t>(maxOperations_ * 2, settings_.minTransactionWrites());
     maxBytes_ = std::min(maxBytes_ * 2, kMaxBytes);
     nextGrowth_ = now + growthPause_;
 }
