--- a/src/coordination/state_writer.h
+++ b/src/coordination/state/state_writer.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// What a leader stores in the state service: roster entries, the ends of jobs, machine types and the bits of
-// finished tasks. This module gathers what is due, cuts it into transactions that the service takes, paces
-// them, and takes their outcomes into the replica. It owns what is not stored yet, the transaction under way,
-// and the sizes and rates found to be accepted. One transaction is under way at a time, and each is
-// conditional on the leader's token and on the version of every key that it writes.
+// What a leader stores in the key-value store: machine registry entries, the ends of jobs, machine types and
+// the bits of finished tasks. This module gathers what is due, cuts it into transactions that the service
+// takes, paces them, and takes their outcomes into the replica. It owns what is not stored yet, the
+// transaction under way, and the sizes and rates found to be accepted. One transaction is under way at a
+// time, and each is conditional on the leader's fencing token and on the version of every key that it writes.
 
 #include <cstddef>
 #include <cstdint>
@@ -14,16 +14,17 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
+#include "base/wall_clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/state_replica.h"
-#include "coordination/day_clock.h"
-#include "coordination/roster.h"
+#include "coordination/state/machine_registry.h"
 #include "protocol/settings.h"
-#include "storage/store.h"
+#include "storage/key_value_client.h"
 
 namespace burlpoint::coordination {
 
-/// A transaction to be sent to the state service; `StateWritten` answers it, once.
+/// A transaction to be sent to the key-value store; `StateWritten` answers it, once.
 struct WriteState {
     std::vector<protocol::KeyCondition> conditions;
     std::vector<protocol::KeyWrite> writes;
@@ -31,7 +32,7 @@
 
 /// What came of a WriteState.
 struct StateWritten {
-    storage::TxnResult result;
+    storage::TransactionResult result;
 };
 
 class StateWriter {
@@ -39,34 +40,34 @@
     /// What the leader has to do after a transaction.
     enum class FollowUp {
         none,
-        resign,         // another node has raised the token
+        resign,         // another node has raised the fencing token
         refreshReplica  // stored values differ from the replica, or may: read them, then replicaRefreshed()
     };
-    struct Outcome {
+    struct WriteOutcome {
         FollowUp followUp = FollowUp::none;
         std::vector<bookkeeping::Job*> ended;      // jobs whose end is now stored as done
         std::vector<bookkeeping::Change> changes;  // what follows for other jobs
     };
 
     /// All references must outlive the writer. `types` are the machine types known so far, by name; they are
-    /// read whenever they are written. `dayClock` gives the times at which jobs ended.
+    /// read whenever they are written. `wallClock` gives the times at which jobs ended.
     StateWriter(const protocol::Settings& settings, bookkeeping::StateReplica& replica,
-                bookkeeping::Fleet& fleet, Roster& roster,
-                const std::map<std::string, protocol::MachineType>& types, const DayClock& dayClock,
-                transport::Time now);
+                bookkeeping::Fleet& fleet, MachineRegistry& registry,
+                const std::map<std::string, protocol::MachineType>& types, const WallClock& wallClock,
+                Time now);
 
     /// The job, which is open and has a run, has finished tasks whose bits or end are to be stored.
     void noteUnstored(bookkeeping::Job& job) { unstored_.insert(&job); }
-    /// The job is over by what the state service tells: nothing of it is to be stored any more.
+    /// The job is over by what the key-value store tells: nothing of it is to be stored any more.
     void forget(bookkeeping::Job& job) { unstored_.erase(&job); }
     /// The machine types have changed and are to be stored.
     void noteTypesChanged() { typesUnstored_ = true; }
 
     /// The next transaction; none if nothing is due, one is under way, the replica has to be read first, or
     /// the rate does not allow any for now. What is returned counts as sent.
-    std::optional<WriteState> nextWrite(transport::Time now);
+    std::optional<WriteState> nextWrite(Time now);
     /// Takes in the outcome of the transaction under way. What was not stored stays due.
-    Outcome handle(const StateWritten& written, transport::Time now);
+    WriteOutcome handle(const StateWritten& written, Time now);
     /// The replica was read anew after FollowUp::refreshReplica: writing may go on.
     void replicaRefreshed() { refreshing_ = false; }
 
@@ -74,19 +75,16 @@
     std::string summary() const;
 
   private:
-    using Time = transport::Time;
-    using Clock = transport::Clock;
-
     struct BitmapWrite {
         bookkeeping::Job* job;
         bookkeeping::BitRange range;
         std::vector<std::uint32_t> tasks;  // whose bits are new
     };
-    struct FinalWrite {
+    struct TerminalWrite {
         bookkeeping::Job* job;
         std::uint64_t endedMs;  // time of day
     };
-    struct RosterWrite {
+    struct RegistryWrite {
         std::string machine;
         storage::MachineRecord record;
     };
@@ -94,9 +92,9 @@
     struct Transaction {
         std::vector<std::string> keys;
         std::size_t bytes = 0;  // estimated
-        std::vector<RosterWrite> rosterAdditions;
-        std::vector<std::string> rosterRemovals;
-        std::vector<FinalWrite> finals;
+        std::vector<RegistryWrite> registryAdditions;
+        std::vector<std::string> registryRemovals;
+        std::vector<TerminalWrite> terminalWrites;
         std::vector<protocol::MachineType> types;
         std::vector<BitmapWrite> bitmaps;
     };
@@ -112,15 +110,15 @@
 
     bool put(Draft& draft, const std::string& key, std::optional<std::string> value,
              std::uint64_t version) const;
-    void putRosterAdditions(Draft& draft, bool reported);
-    void putRosterRemovals(Draft& draft);
-    void putFinalRecords(Draft& draft, Time now) const;
+    void putRegistryAdditions(Draft& draft, bool reported);
+    void putRegistryRemovals(Draft& draft);
+    void putTerminalRecords(Draft& draft, Time now) const;
     void putTypes(Draft& draft) const;
     void putBitmaps(Draft& draft, Time now) const;
     void putBitmapsOf(Draft& draft, bookkeeping::Job& job) const;
 
-    void takeRoster(const Transaction& transaction, const storage::TxnResult& result);
-    void takeStored(const Transaction& transaction, std::uint64_t revision, Outcome& outcome);
+    void takeRegistryWrites(const Transaction& transaction, const storage::TransactionResult& result);
+    void takeStored(const Transaction& transaction, std::uint64_t revision, WriteOutcome& outcome);
     void takeBitmap(const BitmapWrite& write, std::uint64_t revision);
     void shrink(const Transaction& refused, Time now);
     void grow(Time now);
@@ -128,9 +126,9 @@
     const protocol::Settings& settings_;
     bookkeeping::StateReplica& replica_;
     bookkeeping::Fleet& fleet_;
-    Roster& roster_;
+    MachineRegistry& registry_;
     const std::map<std::string, protocol::MachineType>& types_;
-    const DayClock& dayClock_;
+    const WallClock& wallClock_;
 
     std::set<bookkeeping::Job*, bookkeeping::JobIdLess>
         unstored_;  // with done tasks whose bits are to be stored
@@ -139,13 +137,13 @@
     std::optional<Transaction> underWay_;
     bool refreshing_ = false;  // the replica has to be read before the next write
     Time nextWrite_{};
-    storage::RateBudget budget_;
+    storage::TokenBucket budget_;
 
     // What a transaction may have. Lowered when the service says that one was too large, and raised again.
     std::size_t maxOperations_;
-    std::size_t maxBytes_;        // of all its keys and values
-    std::size_t maxBitmapBytes_;  // of a bitmap's value
-    std::size_t maxFinalBytes_;   // of an ended job's record
+    std::size_t maxBytes_;                // of all its keys and values
+    std::size_t maxBitmapBytes_;          // of a bitmap's value
+    std::size_t maxTerminalRecordBytes_;  // of an ended job's record
     Clock::duration growthPause_{};
     Time nextGrowth_{};
     std::map<std::string, Time> deferredKeys_;  // keys whose value is too large alone, until when
--- a/src/coordination/placement_ends.cpp
+++ b/src/coordination/workers/attempt_completion.cpp
@@ -1,10 +1,10 @@
-#include "coordination/placement_ends.h"
+#include "coordination/workers/attempt_completion.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -14,10 +14,8 @@
 using bookkeeping::Machine;
 using bookkeeping::Placement;
 using protocol::ExitReason;
-using protocol::Kind;
-using storage::Final;
-using transport::Clock;
-using transport::Time;
+using protocol::JobKind;
+using storage::TerminalState;
 using namespace std::chrono_literals;
 
 namespace {
@@ -29,22 +27,24 @@
 
 /// None of the job's tasks is on a machine or has been done.
 bool hasNothing(const Job& job) {
-    return job.run->liveTotal == 0 && job.doneCount == 0 && job.run->unstored.empty();
+    return job.run->placedTotal == 0 && job.doneCount == 0 && job.run->unpersistedTasks.empty();
 }
 
 }  // namespace
 
-PlacementEnds::PlacementEnds(Fleet& fleet, const GangPlanner& gangs, JobOrder& order, TaskStopper& stopper)
-    : fleet_(fleet), gangs_(gangs), order_(order), stopper_(stopper) {}
+AttemptCompletion::AttemptCompletion(Fleet& fleet, const GangPlanner& gangs, JobQueue& jobQueue,
+                                     TaskTerminator& terminator)
+    : fleet_(fleet), gangPlanner_(gangs), jobQueue_(jobQueue), terminator_(terminator) {}
 
-void PlacementEnds::end(Machine& machine, const AttemptKey& key, ExitReason why, Time now) {
+void AttemptCompletion::end(Machine& machine, const AttemptKey& key, ExitReason why, Time now) {
     const auto at = machine.placements.find(key);
     const Placement placement = at->second;
     fleet_.remove(machine, at);
     ended(machine, placement, why, now);
 }
 
-void PlacementEnds::endIf(Machine& machine, const std::function<bool(const Placement&)>& isGone, Time now) {
+void AttemptCompletion::endIf(Machine& machine, const std::function<bool(const Placement&)>& isGone,
+                              Time now) {
     for (auto at = machine.placements.begin(); at != machine.placements.end();) {
         if (!isGone(at->second)) {
             ++at;
@@ -56,34 +56,34 @@
     }
 }
 
-void PlacementEnds::endAll(Machine& machine, Time now) {
+void AttemptCompletion::endAll(Machine& machine, Time now) {
     fleet_.setReconciled(machine, true);
-    order_.markStale();
+    jobQueue_.markStale();
     fleet_.removeAll(machine,
                      [&](const Placement& placement) { ended(machine, placement, ExitReason::none, now); });
 }
 
 /// The attempt has been taken off the machine.
-void PlacementEnds::ended(Machine& machine, const Placement& placement, ExitReason why, Time now) {
+void AttemptCompletion::ended(Machine& machine, const Placement& placement, ExitReason why, Time now) {
     Job& job = *placement.job;
     auto& run = *job.run;
-    order_.markStale();
+    jobQueue_.markStale();
     spdlog::debug("gone {}/{} attempt {} from {}, state {}, reason {}", job.spec.id, placement.task,
                   placement.attempt, machine.id, static_cast<int>(placement.state), static_cast<int>(why));
-    if (machine.placements.empty()) machine.busyUntil = now;
+    if (machine.placements.empty()) machine.lastBusyAt = now;
     noteReason(machine, job, why, now);
-    if (job.final != Final::open) return;
-    if (run.firstTask == placement.task) run.firstTask.reset();
+    if (job.terminalState != TerminalState::none) return;
+    if (run.firstOverdueTask == placement.task) run.firstOverdueTask.reset();
     // Stopped again at once, it has not begun: were its place among the overdue spent, it might wait for
     // ever.
     if (why == ExitReason::stopped && hasNothing(job) && startedRecently(placement, now))
-        run.launched = run.paced = 0;
+        run.launchedTasks = run.pacedFetches = 0;
     if (run.waiting > 0) run.waitingSince = now;
-    if (job.spec.kind == Kind::gang) noteGangTaskGone(machine, placement, why, now);
+    if (job.spec.kind == JobKind::gang) noteGangTaskGone(machine, placement, why, now);
 }
 
 /// What the end of a task tells of its machine and its job.
-void PlacementEnds::noteReason(Machine& machine, Job& job, ExitReason why, Time now) {
+void AttemptCompletion::noteReason(Machine& machine, Job& job, ExitReason why, Time now) {
     switch (why) {
         case ExitReason::done:
             machine.errorJobs.clear();
@@ -93,10 +93,10 @@
             break;
         case ExitReason::noRoom:
         case ExitReason::busy:
-            machine.quietUntil = now + kRefusalBackoff;
+            machine.startBackoffUntil = now + kRefusalBackoff;
             break;
         case ExitReason::unknown:
-            job.run->notBefore = now + kRefusalBackoff;
+            job.run->backoffUntil = now + kRefusalBackoff;
             break;
         default:
             break;
@@ -104,7 +104,7 @@
 }
 
 /// A faulty machine fails the tasks of many jobs; a faulty job fails on many machines.
-void PlacementEnds::noteFailure(Machine& machine, Job& job, Time now) {
+void AttemptCompletion::noteFailure(Machine& machine, Job& job, Time now) {
     auto& failures = job.run->errorMachines;
     failures[machine.id] = now;
     if (failures.size() < kFaultyJobAfter) {
@@ -112,18 +112,19 @@
         return;
     }
     const auto times = static_cast<int>(failures.size() - kFaultyJobAfter + 1);
-    job.run->notBefore = now + std::min(kFailureBackoff * times, kMaxFailureBackoff);
+    job.run->backoffUntil = now + std::min(kFailureBackoff * times, kMaxFailureBackoff);
 }
 
 /// Without one of its tasks a gang's attempt comes to nothing, unless it had not begun and another can stand
 /// in. The next attempt waits until all have left.
-void PlacementEnds::noteGangTaskGone(Machine& machine, const Placement& placement, ExitReason why, Time now) {
+void AttemptCompletion::noteGangTaskGone(Machine& machine, const Placement& placement, ExitReason why,
+                                         Time now) {
     Job& job = *placement.job;
     job.run->machinesLeft.insert(machine.id);
     const bool neverBegan = why == ExitReason::none || why == ExitReason::noRoom || why == ExitReason::busy;
-    const bool replaceable = neverBegan && gangs_.mayComplete(job, now);
-    if (!job.isFinished(placement.task) && !replaceable) stopper_.stopJob(job, job.spec.save, now);
-    if (job.run->liveTotal == 0) job.run->gangAttempt = 0;
+    const bool replaceable = neverBegan && gangPlanner_.mayComplete(job, now);
+    if (!job.isFinished(placement.task) && !replaceable) terminator_.stopJob(job, job.spec.saveTime, now);
+    if (job.run->placedTotal == 0) job.run->gangAttempt = 0;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/report_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/report_reconciler.h"
+#include "coordination/workers/heartbeat_reconciler.h"
 
 #include <spdlog/spdlog.h>
 
@@ -10,14 +10,11 @@
 using bookkeeping::Placement;
 using bookkeeping::PlacementState;
 using protocol::ExitReason;
-using protocol::Kind;
-using protocol::Report;
-using protocol::Seconds;
-using protocol::TaskReport;
+using protocol::Heartbeat;
+using protocol::JobKind;
 using protocol::TaskState;
-using storage::Final;
-using transport::Clock;
-using transport::Time;
+using protocol::TaskStatus;
+using storage::TerminalState;
 
 namespace {
 
@@ -42,66 +39,69 @@
 
 }  // namespace
 
-ReportReconciler::ReportReconciler(const ReconcilerContext& context) : context_(context) {}
+HeartbeatReconciler::HeartbeatReconciler(const ReconcilerContext& context) : context_(context) {}
 
-void ReportReconciler::apply(Machine& machine, const Report& report, MessageKind kind, Time now) {
-    if (report.session > machine.session && machine.acknowledged) {
-        if (machine.reports && machine.session > 0) noteUndelivered(machine, now);
+void HeartbeatReconciler::apply(Machine& machine, const Heartbeat& heartbeat, StatusSource kind, Time now) {
+    if (heartbeat.incarnation > machine.incarnation && machine.acknowledged) {
+        if (machine.sendsHeartbeats && machine.incarnation > 0) noteUndeliveredResponse(machine, now);
         // The worker killed and forgot all its tasks; planned ones never reached it.
         context_.ends.endIf(
             machine, [](const Placement& placement) { return !isPlanned(placement); }, now);
     }
-    noteMessage(machine, report, now);
+    noteMessage(machine, heartbeat, now);
     if (!machine.acknowledged) return;
-    settlePlacements(machine, report, kind, now);
-    if (machine.recallAt) drainForRecall(machine, now);
-    if (!machine.placements.empty()) machine.busyUntil = now;
+    settlePlacements(machine, heartbeat, kind, now);
+    if (machine.interruptionAt) drainForInterruption(machine, now);
+    if (!machine.placements.empty()) machine.lastBusyAt = now;
 }
 
-void ReportReconciler::noteMessage(Machine& machine, const Report& report, Time now) {
-    machine.session = report.session;
-    machine.sequence = report.sequence;
-    machine.newestAt = now;
-    machine.address = report.address;
-    if (!report.notice)
-        machine.recallAt.reset();
-    else if (!machine.recallAt)
-        machine.recallAt = now + std::chrono::duration_cast<Clock::duration>(*report.notice);
-    if (report.token == context_.token && !machine.acknowledged) {
+void HeartbeatReconciler::noteMessage(Machine& machine, const Heartbeat& heartbeat, Time now) {
+    machine.incarnation = heartbeat.incarnation;
+    machine.sequence = heartbeat.sequence;
+    machine.lastMessageAt = now;
+    machine.address = heartbeat.address;
+    if (!heartbeat.interruptionNotice)
+        machine.interruptionAt.reset();
+    else if (!machine.interruptionAt)
+        machine.interruptionAt =
+            now + std::chrono::duration_cast<Clock::duration>(*heartbeat.interruptionNotice);
+    if (heartbeat.fencingToken == context_.fencingToken && !machine.acknowledged) {
         machine.acknowledged = true;
         context_.fleet.setReconciled(machine, true);
-        context_.order.markStale();
+        context_.jobQueue.markStale();
     }
 }
 
 /// What was sent to the machine has not arrived. After a few times it counts as unreachable until it answers.
-void ReportReconciler::noteUndelivered(Machine& machine, Time now) {
-    if (++machine.undelivered < kMaxUndelivered || machine.unreachableSince) return;
+void HeartbeatReconciler::noteUndeliveredResponse(Machine& machine, Time now) {
+    if (++machine.undeliveredResponses < kMaxUndeliveredResponses || machine.unreachableSince) return;
     spdlog::info("{} reports but nothing reaches it", machine.id);
     machine.unreachableSince = now;
 }
 
-/// Brings what is taken to be on the machine in line with the report's list.
-void ReportReconciler::settlePlacements(Machine& machine, const Report& report, MessageKind kind, Time now) {
+/// Brings what is taken to be on the machine in line with the heartbeat's list.
+void HeartbeatReconciler::settlePlacements(Machine& machine, const Heartbeat& heartbeat, StatusSource kind,
+                                           Time now) {
     for (auto& [key, placement] : machine.placements) placement.seen = isPlanned(placement);
-    for (const auto& task : report.tasks) applyTask(machine, task, now);
-    bool undelivered = false;
+    for (const auto& task : heartbeat.tasks) applyTask(machine, task, now);
+    bool undeliveredResponses = false;
     const auto isGone = [&](const Placement& placement) {
-        // A start that left with a report's response may still be on its way when a direct command's reply
-        // comes in. Only the worker's next report shows that it was taken or dropped.
-        const bool mayBeOnItsWay = kind == MessageKind::answer || report.sequence <= placement.sentSequence;
+        // A start that left with a heartbeat's response may still be on its way when a direct command's reply
+        // comes in. Only the worker's next heartbeat shows that it was taken or dropped.
+        const bool mayBeOnItsWay =
+            kind == StatusSource::answer || heartbeat.sequence <= placement.sentSequence;
         const bool inFlight = placement.state == PlacementState::sent && mayBeOnItsWay;
         const bool gone = !placement.seen && !inFlight;
-        undelivered |= gone && placement.state == PlacementState::sent;
+        undeliveredResponses |= gone && placement.state == PlacementState::sent;
         return gone;
     };
     context_.ends.endIf(machine, isGone, now);
-    if (undelivered) noteUndelivered(machine, now);
+    if (undeliveredResponses) noteUndeliveredResponse(machine, now);
 }
 
-void ReportReconciler::applyTask(Machine& machine, const TaskReport& task, Time now) {
+void HeartbeatReconciler::applyTask(Machine& machine, const TaskStatus& task, Time now) {
     auto* job = context_.replica.find(task.attempt.job);
-    if (!job || task.attempt.task >= job->spec.tasks) return;  // addSettlingOrders() has it stopped
+    if (!job || task.attempt.task >= job->spec.tasks) return;  // addSettlingCommands() has it stopped
     const AttemptKey key{job, task.attempt.task, task.attempt.number};
     if (task.state == TaskState::exited) return applyExit(machine, *job, key, task.why, now);
     const auto state = placementState(task.state);
@@ -111,35 +111,36 @@
     auto& placement = known ? at->second : adopt(machine, *job, key, state, now);
     placement.seen = true;
     if (state != PlacementState::fetching) {
-        const double cacheGb = machine.kind ? machine.kind->cacheGb : 0;
+        const double cacheGb = machine.typeInfo ? machine.typeInfo->cacheGb : 0;
         context_.fleet.useImage(machine, job->image(), job->spec.imageGb, cacheGb);
     }
     // Cancelled, or done elsewhere under an earlier leader. Gang tasks end with their gang.
-    const bool over = job->final != Final::open;
-    const bool doneElsewhere = job->isFinished(key.task) && job->spec.kind != Kind::gang;
-    if (over || doneElsewhere) context_.stopper.stop(machine, placement, Seconds(0));
+    const bool over = job->terminalState != TerminalState::none;
+    const bool doneElsewhere = job->isFinished(key.task) && job->spec.kind != JobKind::gang;
+    if (over || doneElsewhere) context_.terminator.stop(machine, placement, Seconds(0));
 }
 
-void ReportReconciler::applyExit(Machine& machine, Job& job, const AttemptKey& key, ExitReason why,
-                                 Time now) {
+void HeartbeatReconciler::applyExit(Machine& machine, Job& job, const AttemptKey& key, ExitReason why,
+                                    Time now) {
     if (why == ExitReason::done) noteTaskDone(job, key.task, now);
     if (machine.placements.contains(key)) context_.ends.end(machine, key, why, now);
 }
 
 /// An attempt that an earlier leader started.
-Placement& ReportReconciler::adopt(Machine& machine, Job& job, const AttemptKey& key, PlacementState state,
-                                   Time now) {
+Placement& HeartbeatReconciler::adopt(Machine& machine, Job& job, const AttemptKey& key, PlacementState state,
+                                      Time now) {
     if (!job.run) context_.runs.begin(job, true, now);
     auto& placement = context_.fleet.place(machine, job, key.task, key.attempt, state, now);
-    if (job.spec.kind == Kind::gang) job.run->gangAttempt = std::max(job.run->gangAttempt, key.attempt);
-    context_.order.markStale();
+    if (job.spec.kind == JobKind::gang) job.run->gangAttempt = std::max(job.run->gangAttempt, key.attempt);
+    context_.jobQueue.markStale();
     return placement;
 }
 
-/// A report shows the attempt in `state`.
-void ReportReconciler::noteProgress(Machine& machine, Placement& placement, PlacementState state, Time now) {
+/// A heartbeat shows the attempt in `state`.
+void HeartbeatReconciler::noteProgress(Machine& machine, Placement& placement, PlacementState state,
+                                       Time now) {
     if (placement.state == PlacementState::sent) {
-        machine.undelivered = 0;
+        machine.undeliveredResponses = 0;
         machine.unreachableSince.reset();
     }
     if (placement.state == PlacementState::fetching && state != PlacementState::fetching)
@@ -151,11 +152,11 @@
 }
 
 /// The task is done, whichever attempt did it. Its bit is to be stored before anybody hears of it.
-void ReportReconciler::noteTaskDone(Job& job, std::uint32_t task, Time now) {
-    if (job.final != Final::open || job.spec.kind == Kind::service) return;
+void HeartbeatReconciler::noteTaskDone(Job& job, std::uint32_t task, Time now) {
+    if (job.terminalState != TerminalState::none || job.spec.kind == JobKind::service) return;
     if (!job.run) context_.runs.begin(job, true, now);
     bool fresh = false;
-    if (job.spec.kind == Kind::gang) {
+    if (job.spec.kind == JobKind::gang) {
         // They complete together: when one is done, all are.
         for (std::uint32_t each = 0; each < job.spec.tasks; ++each) fresh |= job.finish(each);
     } else {
@@ -168,28 +169,28 @@
 }
 
 /// The cloud takes the machine back: what would not be done by then saves or stops, and nothing new starts.
-void ReportReconciler::drainForRecall(Machine& machine, Time now) {
+void HeartbeatReconciler::drainForInterruption(Machine& machine, Time now) {
     machine.draining = true;
     for (auto& [key, placement] : machine.placements)
-        if (!isPlanned(placement)) stopForRecall(machine, placement, now);
+        if (!isPlanned(placement)) stopForInterruption(machine, placement, now);
     context_.ends.endIf(machine, isPlanned, now);
 }
 
-void ReportReconciler::stopForRecall(Machine& machine, Placement& placement, Time now) {
+void HeartbeatReconciler::stopForInterruption(Machine& machine, Placement& placement, Time now) {
     const auto& spec = placement.job->spec;
     if (bookkeeping::isLargeGang(spec)) {
         // Its save needs all of them told within a short time; one alone would lose the progress of all.
-        context_.stopper.stopJob(*placement.job, spec.save, now);
-    } else if (spec.checkpoint > Seconds(0)) {
-        context_.stopper.stop(machine, placement, spec.save);
-    } else if (spec.kind != Kind::array) {
-        context_.stopper.stop(machine, placement, Seconds(0));
+        context_.terminator.stopJob(*placement.job, spec.saveTime, now);
+    } else if (spec.checkpointInterval > Seconds(0)) {
+        context_.terminator.stop(machine, placement, spec.saveTime);
+    } else if (spec.kind != JobKind::array) {
+        context_.terminator.stop(machine, placement, Seconds(0));
     } else {
         const bool running = placement.state == PlacementState::running;
         const Seconds ran = running ? Seconds(now - placement.runningSince) : Seconds(0);
-        const Seconds left = *machine.recallAt - now;
-        if (ran + left < spec.estimate * kWorthFinishing)
-            context_.stopper.stop(machine, placement, Seconds(0));
+        const Seconds left = *machine.interruptionAt - now;
+        if (ran + left < spec.estimatedRunTime * kWorthFinishing)
+            context_.terminator.stop(machine, placement, Seconds(0));
     }
 }
 
--- /dev/null
+++ b/src/coordination/workers/machine_tombstones.cpp
@@ -0,0 +1,43 @@
+#include "coordination/workers/machine_tombstones.h"
+
+#include <algorithm>
+#include <limits>
+
+namespace burlpoint::coordination {
+
+using bookkeeping::HeartbeatVersion;
+using bookkeeping::Machine;
+
+namespace {
+
+/// Newer than any message.
+constexpr HeartbeatVersion kDeleted{std::numeric_limits<std::uint64_t>::max(),
+                                    std::numeric_limits<std::uint64_t>::max()};
+
+}  // namespace
+
+void MachineTombstones::note(const Machine& machine) {
+    auto& newest = newest_[machine.id];
+    newest = std::max(newest, machine.latestVersion());
+}
+
+void MachineTombstones::noteDeleted(const std::string& id) { newest_[id] = kDeleted; }
+
+bool MachineTombstones::isDeleted(const std::string& id) const {
+    const auto found = newest_.find(id);
+    return found != newest_.end() && found->second == kDeleted;
+}
+
+bool MachineTombstones::isLateCopy(const protocol::Heartbeat& heartbeat) const {
+    const auto found = newest_.find(heartbeat.machine);
+    return found != newest_.end() && bookkeeping::heartbeatVersionOf(heartbeat) <= found->second;
+}
+
+void MachineTombstones::restoreCounters(Machine& machine) const {
+    const auto found = newest_.find(machine.id);
+    if (found == newest_.end()) return;
+    machine.incarnation = found->second.incarnation;
+    machine.sequence = found->second.sequence;
+}
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/removed_machines.h
+++ b/src/coordination/workers/machine_tombstones.h
@@ -10,7 +10,7 @@
 
 namespace burlpoint::coordination {
 
-class RemovedMachines {
+class MachineTombstones {
   public:
     /// The machine leaves the fleet.
     void note(const bookkeeping::Machine& machine);
@@ -20,14 +20,14 @@
     /// Has the machine left the fleet at some time? It may be back since.
     bool contains(const std::string& id) const { return newest_.contains(id); }
     bool isDeleted(const std::string& id) const;
-    /// Is the report no newer than the newest message of a machine that has left?
-    bool isLateCopy(const protocol::Report& report) const;
+    /// Is the heartbeat no newer than the newest message of a machine that has left?
+    bool isLateCopy(const protocol::Heartbeat& heartbeat) const;
     /// Takes over the counters of its time before into a machine that is back in the fleet: what is not newer
     /// stays old.
     void restoreCounters(bookkeeping::Machine& machine) const;
 
   private:
-    std::map<std::string, bookkeeping::MessageOrder> newest_;
+    std::map<std::string, bookkeeping::HeartbeatVersion> newest_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,8 +5,9 @@
 #include <CLI/CLI.hpp>
 #include <cstdlib>
 
-#include "coordination/node.h"
+#include "coordination/controller/controller.h"
 #include "protocol/settings.h"
+#include "transport/executor.h"
 
 namespace {
 
@@ -61,8 +62,8 @@
         }
         raiseFileLimit(settings.maxConnections);
         asio::io_context io(burlpoint::transport::kSingleThread);
-        burlpoint::coordination::Node node(io, settings, policy);
-        spdlog::info("{} serves {}", settings.name, settings.listen);
+        burlpoint::coordination::Controller node(io, settings, policy);
+        spdlog::info("{} serves {}", settings.name, settings.listenAddress);
         io.run();
     } catch (const std::exception& error) {
         spdlog::error("{}", error.what());
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -1,21 +1,23 @@
 #include "protocol/cloud_messages.h"
 
-#include "protocol/vocabulary.h"
+#include "protocol/enum_names.h"
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
 namespace {
 
-constexpr Vocabulary<MachineState, 3> kMachineStates{{{"booting", MachineState::booting},
-                                                      {"running", MachineState::running},
-                                                      {"failed", MachineState::failed}}};
+constexpr EnumNames<MachineState, 3> kMachineStates{{{"booting", MachineState::booting},
+                                                     {"running", MachineState::running},
+                                                     {"failed", MachineState::failed}}};
 
 }  // namespace
 
 std::vector<MachineType> decodeMachineTypes(const msgpack::object& body) {
     std::vector<MachineType> types;
-    Fields(body).each("hulls", [&](const msgpack::object& element) {
-        const Fields f(element);
+    MapReader(body).each("hulls", [&](const msgpack::object& element) {
+        const MapReader f(element);
         MachineType t;
         t.name = f.text("label");
         t.cpus = f.amount("cores");
@@ -33,7 +35,7 @@
 }
 
 std::string encodeMachineTypes(const std::vector<MachineType>& types) {
-    Packer p;
+    MessagePacker p;
     p.map(1).key("hulls").list(types.size());
     for (const auto& t : types) {
         p.map(10).field("label", t.name).field("cores", t.cpus).field("accelerators", t.gpus);
@@ -44,34 +46,34 @@
     return p.take();
 }
 
-std::string encodeRental(const RentalRequest& r) {
-    Packer p;
+std::string encodeInstanceRequest(const InstanceRequest& r) {
+    MessagePacker p;
     p.map(5).field("charter", r.name).field("hull", r.type).field("quay", r.zone).field("driftwood", r.spot);
     return p.field("howMany", r.count).take();
 }
 
-std::vector<std::string> decodeRentalReply(std::string_view body) {
+std::vector<std::string> decodeInstanceIds(std::string_view body) {
     const auto handle = unpackBody(body);
-    return Fields(handle.get()).texts("bollards");
+    return MapReader(handle.get()).texts("bollards");
 }
 
-std::string encodeRelease(const std::vector<std::string>& machines) {
-    return Packer().map(1).field("bollards", machines).take();
+std::string encodeInstanceDeletion(const std::vector<std::string>& machines) {
+    return MessagePacker().map(1).field("bollards", machines).take();
 }
 
-RentedPage decodeRentedPage(std::string_view body) {
+InstancePage decodeInstancePage(std::string_view body) {
     const auto handle = unpackBody(body);
-    const Fields f(handle.get());
-    RentedPage page;
+    const MapReader f(handle.get());
+    InstancePage page;
     f.each("bollards", [&](const msgpack::object& element) {
-        const Fields m(element);
-        Rented rented;
+        const MapReader m(element);
+        CloudInstance rented;
         rented.id = m.text("uid");
         rented.address = m.maybeText("address").value_or("");
         rented.type = m.text("hull");
         rented.zone = m.text("quay");
         rented.spot = m.flag("driftwood");
-        rented.state = parseWord(kMachineStates, m.text("bearing"));
+        rented.state = parseEnum(kMachineStates, m.text("bearing"));
         rented.age = Seconds(m.maybeAmount("heldS").value_or(0));
         page.machines.push_back(std::move(rented));
     });
@@ -82,16 +84,17 @@
 bool saysNoCapacity(std::string_view body) {
     try {
         const auto handle = unpackBody(body);
-        return Fields(handle.get()).maybeText("error") == "no capacity";
-    } catch (const Malformed&) {
+        return MapReader(handle.get()).maybeText("error") == "no capacity";
+    } catch (const MalformedMessage&) {
         return false;
     }
 }
 
 namespace paths {
 
-std::string rentedPage(const std::string& after, unsigned most) {
-    return std::string(kRentals) + "?most=" + std::to_string(most) + (after.empty() ? "" : "&since=" + after);
+std::string instancePage(const std::string& after, unsigned most) {
+    return std::string(kInstanceRequest) + "?most=" + std::to_string(most) +
+           (after.empty() ? "" : "&since=" + after);
 }
 
 }  // namespace paths
--- a/src/protocol/cloud_messages.h
+++ b/src/protocol/cloud_messages.h
@@ -3,10 +3,12 @@
 // Machine types, and what is asked of the cloud and answered by it.
 
 #include <cstdint>
+#include <msgpack/object_fwd.hpp>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "base/clock.h"
 #include "protocol/job_messages.h"
 
 namespace burlpoint::protocol {
@@ -28,7 +30,7 @@
 enum class MachineState { booting, running, failed };
 
 /// A machine as the cloud lists it.
-struct Rented {
+struct CloudInstance {
     std::string id;
     std::string address;  // empty until it is known
     std::string type;
@@ -39,7 +41,7 @@
 };
 
 /// A request for machines; a repetition under the same name rents no more.
-struct RentalRequest {
+struct InstanceRequest {
     std::string name;
     std::string type;
     std::string zone;
@@ -48,28 +50,28 @@
 };
 
 /// A part of the list of machines.
-struct RentedPage {
-    std::vector<Rented> machines;
+struct InstancePage {
+    std::vector<CloudInstance> machines;
     bool more = false;
 };
 
 // Each decode function throws Malformed.
 std::vector<MachineType> decodeMachineTypes(const msgpack::object& body);
 std::string encodeMachineTypes(const std::vector<MachineType>& types);
-std::string encodeRental(const RentalRequest& request);
+std::string encodeInstanceRequest(const InstanceRequest& request);
 /// The machines rented, by id.
-std::vector<std::string> decodeRentalReply(std::string_view body);
-std::string encodeRelease(const std::vector<std::string>& machines);
-RentedPage decodeRentedPage(std::string_view body);
-/// Is this the refusal of a rental for lack of machines?
+std::vector<std::string> decodeInstanceIds(std::string_view body);
+std::string encodeInstanceDeletion(const std::vector<std::string>& machines);
+InstancePage decodeInstancePage(std::string_view body);
+/// Is this the refusal of a instance request for lack of machines?
 bool saysNoCapacity(std::string_view body);
 
 namespace paths {
 inline constexpr char kTypes[] = "/flavors";
-inline constexpr char kRentals[] = "/rentals";
+inline constexpr char kInstanceRequest[] = "/rentals";
 inline constexpr char kRelease[] = "/rentals/release";
 /// At most `most` machines after that one.
-std::string rentedPage(const std::string& after, unsigned most);
+std::string instancePage(const std::string& after, unsigned most);
 }  // namespace paths
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/vocabulary.h
+++ b/src/protocol/enum_names.h
@@ -8,26 +8,27 @@
 #include <string_view>
 #include <utility>
 
-#include "protocol/pack.h"
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
 /// The words for all values of an enumeration.
 template <typename E, std::size_t N>
-using Vocabulary = std::array<std::pair<std::string_view, E>, N>;
+using EnumNames = std::array<std::pair<std::string_view, E>, N>;
 
 /// The value that the word stands for; throws Malformed if there is none.
 template <typename E, std::size_t N>
-E parseWord(const Vocabulary<E, N>& vocabulary, std::string_view word) {
-    for (const auto& [name, value] : vocabulary)
+E parseEnum(const EnumNames<E, N>& names, std::string_view word) {
+    for (const auto& [name, value] : names)
         if (name == word) return value;
-    throw Malformed("unknown word \"" + std::string(word) + "\"");
+    throw MalformedMessage("unknown word \"" + std::string(word) + "\"");
 }
 
 /// The word for the value.
 template <typename E, std::size_t N>
-std::string_view wordFor(const Vocabulary<E, N>& vocabulary, E wanted) {
-    for (const auto& [name, value] : vocabulary)
+std::string_view enumName(const EnumNames<E, N>& names, E wanted) {
+    for (const auto& [name, value] : names)
         if (value == wanted) return name;
     return "";
 }
--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -2,22 +2,23 @@
 
 #include <algorithm>
 
-#include "protocol/vocabulary.h"
+#include "protocol/enum_names.h"
+#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
 namespace {
 
-constexpr Vocabulary<Kind, 3> kJobKinds{
-    {{"sweep", Kind::array}, {"gang", Kind::gang}, {"standing", Kind::service}}};
-constexpr Vocabulary<Priority, 4> kPriorities{{{"prod", Priority::production},
-                                               {"urgent", Priority::high},
-                                               {"normal", Priority::normal},
-                                               {"low", Priority::low}}};
-constexpr Vocabulary<JobState, 4> kJobStates{{{"pending", JobState::queued},
-                                              {"running", JobState::running},
-                                              {"done", JobState::done},
-                                              {"cancelled", JobState::cancelled}}};
+constexpr EnumNames<JobKind, 3> kJobKinds{
+    {{"sweep", JobKind::array}, {"gang", JobKind::gang}, {"standing", JobKind::service}}};
+constexpr EnumNames<Priority, 4> kPriorities{{{"prod", Priority::production},
+                                              {"urgent", Priority::high},
+                                              {"normal", Priority::normal},
+                                              {"low", Priority::low}}};
+constexpr EnumNames<JobState, 4> kJobStates{{{"pending", JobState::queued},
+                                             {"running", JobState::running},
+                                             {"done", JobState::done},
+                                             {"cancelled", JobState::cancelled}}};
 
 }  // namespace
 
@@ -31,18 +32,18 @@
 }
 
 JobSpec decodeSpec(const msgpack::object& body) {
-    const Fields f(body);
+    const MapReader f(body);
     constexpr std::size_t kName = 100;  // characters
     constexpr std::size_t kMaxTypes = 16;
     JobSpec s;
     s.id = f.text("uid");
-    if (!isJobId(s.id)) throw Malformed("field uid is invalid");
+    if (!isJobId(s.id)) throw MalformedMessage("field uid is invalid");
     s.jobClass = f.text("berth", kName);
     s.team = f.text("crew", kName);
-    s.kind = parseWord(kJobKinds, f.text("rig"));
-    s.priority = parseWord(kPriorities, f.text("tide"));
+    s.kind = parseEnum(kJobKinds, f.text("rig"));
+    s.priority = parseEnum(kPriorities, f.text("tide"));
     const auto tasks = f.integer("hands");
-    if (tasks < 1 || tasks > kMaxTasks) throw Malformed("field hands is invalid");
+    if (tasks < 1 || tasks > kMaxTasks) throw MalformedMessage("field hands is invalid");
     s.tasks = static_cast<std::uint32_t>(tasks);
     s.cpus = f.amount("cores");
     s.gpus = f.amount("accelerators");
@@ -51,48 +52,48 @@
     s.imageGb = f.amount("pullGb");
     if (f.find("hulls")) {
         s.types = f.texts("hulls");
-        if (s.types->size() > kMaxTypes) throw Malformed("field hulls is invalid");
+        if (s.types->size() > kMaxTypes) throw MalformedMessage("field hulls is invalid");
     }
     s.zone = f.maybeText("quay", kName);
-    s.oneZone = f.flag("together");
-    s.spread = f.flag("apart");
+    s.singleZone = f.flag("together");
+    s.spreadZones = f.flag("apart");
     s.spot = f.flag("driftwood");
-    s.estimate = Seconds(f.amount("voyageS"));
-    s.checkpoint = Seconds(f.amount("logbookS"));
-    s.save = Seconds(f.amount("stowS"));
+    s.estimatedRunTime = Seconds(f.amount("voyageS"));
+    s.checkpointInterval = Seconds(f.amount("logbookS"));
+    s.saveTime = Seconds(f.amount("stowS"));
     if (const auto deadline = f.maybeAmount("sailingS")) s.deadline = Seconds(*deadline);
     for (auto& id : f.texts("towlines")) {
-        if (!isJobId(id)) throw Malformed("field towlines is invalid");
+        if (!isJobId(id)) throw MalformedMessage("field towlines is invalid");
         const auto known = std::find(s.dependencies.begin(), s.dependencies.end(), id);
         if (known == s.dependencies.end()) s.dependencies.push_back(std::move(id));
     }
     return s;
 }
 
-void packSpec(Packer& p, const JobSpec& s, std::size_t extraFields) {
+void packSpec(MessagePacker& p, const JobSpec& s, std::size_t extraFields) {
     p.map(20 + extraFields + !s.dependencies.empty());
     p.field("uid", s.id).field("berth", s.jobClass).field("crew", s.team);
-    p.field("rig", wordFor(kJobKinds, s.kind)).field("tide", wordFor(kPriorities, s.priority));
+    p.field("rig", enumName(kJobKinds, s.kind)).field("tide", enumName(kPriorities, s.priority));
     p.field("hands", s.tasks).field("cores", s.cpus).field("accelerators", s.gpus).field("ramGb", s.memoryGb);
     p.field("cargo", s.image).field("pullGb", s.imageGb);
     p.maybe("hulls", s.types).maybe("quay", s.zone);
-    p.field("together", s.oneZone).field("apart", s.spread).field("driftwood", s.spot);
-    p.field("voyageS", s.estimate.count()).field("logbookS", s.checkpoint.count());
-    p.field("stowS", s.save.count());
+    p.field("together", s.singleZone).field("apart", s.spreadZones).field("driftwood", s.spot);
+    p.field("voyageS", s.estimatedRunTime.count()).field("logbookS", s.checkpointInterval.count());
+    p.field("stowS", s.saveTime.count());
     s.deadline ? p.field("sailingS", s.deadline->count()) : p.nil("sailingS");
     if (!s.dependencies.empty()) p.field("towlines", s.dependencies);
 }
 
 std::string jobReply(const std::string& id, JobState state) {
-    return Packer().map(2).field("uid", id).field("bearing", wordFor(kJobStates, state)).take();
+    return MessagePacker().map(2).field("uid", id).field("bearing", enumName(kJobStates, state)).take();
 }
 
 std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running) {
-    Packer p;
-    p.map(4).field("uid", id).field("bearing", wordFor(kJobStates, state));
+    MessagePacker p;
+    p.map(4).field("uid", id).field("bearing", enumName(kJobStates, state));
     return p.field("done", done).field("running", running).take();
 }
 
-std::string errorReply(std::string_view why) { return Packer().map(1).field("error", why).take(); }
+std::string errorReply(std::string_view why) { return MessagePacker().map(1).field("error", why).take(); }
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/job_messages.h
+++ b/src/protocol/job_messages.h
@@ -2,22 +2,24 @@
 
 // Jobs as users describe and ask about them.
 
-#include <chrono>
 #include <cstddef>
 #include <cstdint>
+#include <msgpack/object_fwd.hpp>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "protocol/pack.h"
+#include "base/clock.h"
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
-using Seconds = std::chrono::duration<double>;
+class MessagePacker;
 
 /// How the tasks of a job belong together: independent of each other, at once or not at all, or for good.
-enum class Kind { array, gang, service };
+enum class JobKind { array, gang, service };
 enum class Priority { low, normal, high, production };
 enum class JobState { queued, running, done, cancelled };
 
@@ -29,7 +31,7 @@
     std::string id;
     std::string jobClass;
     std::string team;
-    Kind kind = Kind::array;
+    JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
     double cpus = 0;  // of each task, like what follows
@@ -39,12 +41,12 @@
     double imageGb = 0;
     std::optional<std::vector<std::string>> types;  // machine types that it may use; none: all
     std::optional<std::string> zone;                // the only one that it may use
-    bool oneZone = false;                           // all tasks in the same zone
-    bool spread = false;                            // at most half of the tasks, rounded up, in a zone
+    bool singleZone = false;                        // all tasks in the same zone
+    bool spreadZones = false;                       // at most half of the tasks, rounded up, in a zone
     bool spot = false;                              // spot machines may be used
-    Seconds estimate{0};                            // of a task's run
-    Seconds checkpoint{0};                          // between saves; 0: it does not save
-    Seconds save{0};                                // that a save takes
+    Seconds estimatedRunTime{0};                    // of a task's run
+    Seconds checkpointInterval{0};                  // between saves; 0: it does not save
+    Seconds saveTime{0};                            // that a save takes
     std::optional<Seconds> deadline;                // from the submission
     std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
     bool operator==(const JobSpec&) const = default;
@@ -56,7 +58,7 @@
 /// Throws Malformed.
 JobSpec decodeSpec(const msgpack::object& body);
 /// Opens a map with the spec's fields and room for so many more, which have to follow.
-void packSpec(Packer& packer, const JobSpec& spec, std::size_t extraFields = 0);
+void packSpec(MessagePacker& packer, const JobSpec& spec, std::size_t extraFields = 0);
 std::string jobReply(const std::string& id, JobState state);
 /// `done` and `running`: tasks.
 std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running);
--- a/src/protocol/pack.h
+++ b/src/protocol/msgpack_codec.h
@@ -5,28 +5,24 @@
 #include <cstdint>
 #include <msgpack.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace burlpoint::protocol {
+#include "protocol/errors.h"
 
-/// A message that does not have the form it must have.
-struct Malformed : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
+namespace burlpoint::protocol {
 
 /// Read access to a MessagePack map. Unknown fields are ignored; null counts as absent.
-class Fields {
+class MapReader {
   public:
-    explicit Fields(const msgpack::object& object) : map_(object) {
-        if (object.type != msgpack::type::MAP) throw Malformed("not a map");
+    explicit MapReader(const msgpack::object& object) : map_(object) {
+        if (object.type != msgpack::type::MAP) throw MalformedMessage("not a map");
     }
 
     const msgpack::object* find(std::string_view key) const {
         for (const auto& pair : map_.via.map) {
-            if (pair.key.type != msgpack::type::STR) throw Malformed("a key is not text");
+            if (pair.key.type != msgpack::type::STR) throw MalformedMessage("a key is not text");
             if (std::string_view(pair.key.via.str.ptr, pair.key.via.str.size) == key)
                 return pair.val.is_nil() ? nullptr : &pair.val;
         }
@@ -34,7 +30,7 @@
     }
     const msgpack::object& need(std::string_view key) const {
         if (const auto* value = find(key)) return *value;
-        throw Malformed("field " + std::string(key) + " is missing");
+        throw MalformedMessage("field " + std::string(key) + " is missing");
     }
 
     std::string text(std::string_view key, std::size_t most = 200) const {
@@ -85,7 +81,7 @@
 
   private:
     [[noreturn]] static void wrong(std::string_view key) {
-        throw Malformed("field " + std::string(key) + " is invalid");
+        throw MalformedMessage("field " + std::string(key) + " is invalid");
     }
     static std::string_view asText(const msgpack::object& value, std::string_view key, std::size_t most) {
         if (value.type != msgpack::type::STR || value.via.str.size > most) wrong(key);
@@ -122,12 +118,12 @@
         std::size_t offset = 0;
         const msgpack::unpack_limit limit(100'000, 100'000, 8 << 20, 8 << 20, 8 << 20, 32);
         auto handle = msgpack::unpack(body.data(), body.size(), offset, refersToBody, nullptr, limit);
-        if (offset != body.size()) throw Malformed("bytes after the body");
+        if (offset != body.size()) throw MalformedMessage("bytes after the body");
         return handle;
     } catch (const msgpack::unpack_error& error) {
-        throw Malformed(std::string("not MessagePack: ") + error.what());
+        throw MalformedMessage(std::string("not MessagePack: ") + error.what());
     } catch (const std::bad_alloc&) {
-        throw Malformed("not MessagePack: sizes beyond memory");
+        throw MalformedMessage("not MessagePack: sizes beyond memory");
     }
 }
 
@@ -173,39 +169,39 @@
 inline std::size_t jsonBytes(std::string_view packed) { return jsonBytes(unpackBody(packed).get()); }
 
 /// Writes MessagePack; a map or list is opened with its size, then its parts follow.
-class Packer {
+class MessagePacker {
   public:
-    Packer() : packer_(buffer_) {}
+    MessagePacker() : packer_(buffer_) {}
 
-    Packer& map(std::size_t fields) {
+    MessagePacker& map(std::size_t fields) {
         packer_.pack_map(static_cast<std::uint32_t>(fields));
         return *this;
     }
-    Packer& list(std::size_t elements) {
+    MessagePacker& list(std::size_t elements) {
         packer_.pack_array(static_cast<std::uint32_t>(elements));
         return *this;
     }
     template <typename T>
-    Packer& value(const T& v) {
+    MessagePacker& value(const T& v) {
         packer_.pack(v);
         return *this;
     }
-    Packer& key(std::string_view name) { return value(name); }
+    MessagePacker& key(std::string_view name) { return value(name); }
     template <typename T>
-    Packer& field(std::string_view name, const T& v) {
+    MessagePacker& field(std::string_view name, const T& v) {
         return key(name).value(v);
     }
-    Packer& nil(std::string_view name) { return key(name).nilValue(); }
+    MessagePacker& nil(std::string_view name) { return key(name).nilValue(); }
     template <typename T>
-    Packer& maybe(std::string_view name, const std::optional<T>& v) {
+    MessagePacker& maybe(std::string_view name, const std::optional<T>& v) {
         return v ? field(name, *v) : nil(name);
     }
-    Packer& nilValue() {
+    MessagePacker& nilValue() {
         packer_.pack_nil();
         return *this;
     }
     /// Bytes that are MessagePack already.
-    Packer& raw(std::string_view packed) {
+    MessagePacker& raw(std::string_view packed) {
         buffer_.write(packed.data(), packed.size());
         return *this;
     }
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -2,14 +2,16 @@
 
 #include <algorithm>
 
+#include "protocol/msgpack_codec.h"
+
 namespace burlpoint::protocol {
 
 PeerStatus decodePeerStatus(std::string_view body) {
     const auto handle = unpackBody(body);
-    const Fields f(handle.get());
+    const MapReader f(handle.get());
     PeerStatus s;
     s.node = f.text("node");
-    s.token = f.integer("token");
+    s.fencingToken = f.integer("token");
     s.resignedToken = f.integerOr("given_up", 0);
     s.stateAgeMs = f.integer("state_age_ms");
     s.leaderToken = f.integerOr("hears", 0);
@@ -19,11 +21,11 @@
     s.logAt = f.integerOr("log_at", 0);
     s.complete = f.flagOr("told", false);
     f.each("cancelled", [&](const msgpack::object& element) {
-        const Fields c(element);
+        const MapReader c(element);
         s.cancelled.push_back({c.text("job"), c.integer("version")});
     });
     f.each("running", [&](const msgpack::object& element) {
-        const Fields r(element);
+        const MapReader r(element);
         s.running.emplace_back(r.text("job"), static_cast<std::uint32_t>(
                                                   std::min<std::uint64_t>(r.integer("count"), kMaxTasks)));
     });
@@ -31,10 +33,10 @@
 }
 
 std::string encodePeerStatus(const PeerStatus& s) {
-    Packer p;
+    MessagePacker p;
     p.map(12)
         .field("node", s.node)
-        .field("token", s.token)
+        .field("token", s.fencingToken)
         .field("given_up", s.resignedToken)
         .field("state_age_ms", s.stateAgeMs)
         .field("hears", s.leaderToken)
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -22,10 +22,10 @@
 /// What a node tells a peer, as a question or in answer to one.
 struct PeerStatus {
     std::string node;
-    std::uint64_t token = 0;          // of the sender's leadership, 0 for a follower
-    std::uint64_t resignedToken = 0;  // a token that the sender led with and will not act under again
-    std::uint64_t stateAgeMs = 0;     // since the state service last answered the sender
-    std::uint64_t leaderToken = 0;    // token of the leader that the sender is or is in touch with
+    std::uint64_t fencingToken = 0;   // of the sender's leadership, 0 for a follower
+    std::uint64_t resignedToken = 0;  // a fencing token that the sender led with and will not act under again
+    std::uint64_t stateAgeMs = 0;     // since the key-value store last answered the sender
+    std::uint64_t leaderToken = 0;    // fencing token of the leader that the sender is or is in touch with
     std::uint64_t grantMs = 0;        // in an answer to a leader: so long the sender will not try to lead
     std::vector<std::pair<std::string, std::uint32_t>> running;  // a leader's counts per job
     // A leader asks for the cancellations that the other side knows and it may not.
--- a/src/coordination/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -1,8 +1,9 @@
-#include "coordination/responses.h"
+#include "protocol/responses.h"
 
 #include "protocol/job_messages.h"
+#include "transport/http_message.h"
 
-namespace burlpoint::coordination {
+namespace burlpoint::protocol {
 
 using transport::Response;
 
@@ -14,7 +15,7 @@
 }
 
 Response retryLater(int status, std::string_view why, std::chrono::seconds after) {
-    auto response = respond(status, protocol::errorReply(why));
+    auto response = respond(status, errorReply(why));
     response.retryAfter = after;
     return response;
 }
@@ -25,4 +26,4 @@
     return response;
 }
 
-}  // namespace burlpoint::coordination
+}  // namespace burlpoint::protocol
--- a/src/coordination/responses.h
+++ b/src/protocol/responses.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <string_view>
 
-#include "transport/http.h"
+#include "transport/http_message.h"
 
 /// The HTTP responses that a node gives to users, workers, the load balancer and peers. Holds no state.
-namespace burlpoint::coordination {
+namespace burlpoint::protocol {
 
 /// A response with `status` and `body`, which is already encoded; no body by default.
 transport::Response respond(int status, std::string body = {});
@@ -20,4 +20,4 @@
 /// 405: the path takes only the method `allow`. No body by default.
 transport::Response wrongMethod(const char* allow, std::string body = {});
 
-}  // namespace burlpoint::coordination
+}  // namespace burlpoint::protocol
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -8,12 +8,13 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "protocol/job_messages.h"
 
 namespace burlpoint::protocol {
 
 /// A settings file that cannot be used; the message names the field or element.
-struct BadSettings : std::runtime_error {
+struct InvalidSettings : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -27,52 +28,52 @@
 /// A team of users; 0 means no guarantee or no limit.
 struct Team {
     std::string name;
-    double cpus = 0;  // guaranteed
-    double cpusMax = 0;
-    double gpus = 0;  // guaranteed
-    double gpusMax = 0;
+    double guaranteedCpus = 0;  // guaranteed
+    double maxCpus = 0;
+    double guaranteedGpus = 0;  // guaranteed
+    double maxGpus = 0;
 };
 
 /// What the platform's users expect of a class of jobs.
-struct Objective {
+struct ServiceLevelObjective {
     std::string kind;
     std::string jobClass;
     Seconds within{0};
     double share = 0;  // of the class's tasks or jobs
 };
 
-/// Limits of the state service.
-struct StateLimits {
-    double writeRps = 0;
-    double valueKb = 0;
-    unsigned txnOps = 0;
+/// Limits of the key-value store.
+struct StoreLimits {
+    double writesPerSecond = 0;
+    double maxValueKb = 0;
+    unsigned maxTransactionWrites = 0;
 };
 
 /// The platform's settings, one file per node.
 struct Settings {
     std::string name;
     std::string zone;
-    std::string listen;
-    std::string peerListen;
+    std::string listenAddress;
+    std::string peerListenAddress;
     std::vector<Peer> peers;
-    std::string cloud;
-    std::string state;
+    std::string cloudAddress;
+    std::string storeAddress;
     std::vector<std::string> zones;
     std::chrono::milliseconds clockError{0};
     std::vector<Team> teams;
-    std::vector<Objective> objectives;
-    Seconds report{3};     // between a worker's reports
-    Seconds lease{30};     // of a worker, from its last answered report
-    Seconds gangWait{40};  // how long a gang's task waits for the others
-    Seconds gangPeer{8};   // within which a gang ends once one of its tasks has
-    Seconds cancel{45};    // within which nothing of a cancelled job is left
-    double stateRps = 100;
-    double stateWriteRps = 20;
-    double valueKb = 8;
-    unsigned txnOps = 16;
-    std::optional<StateLimits> nextState;  // in force from some moment on, without notice
-    double cloudRps = 2;
-    Seconds listLag{10};
+    std::vector<ServiceLevelObjective> objectives;
+    Seconds heartbeatInterval{3};  // between a worker's reports
+    Seconds workerLease{30};       // of a worker, from its last answered report
+    Seconds gangWaitTimeout{40};   // how long a gang's task waits for the others
+    Seconds gangPeerTimeout{8};    // within which a gang ends once one of its tasks has
+    Seconds cancelTimeout{45};     // within which nothing of a cancelled job is left
+    double storeRequestsPerSecond = 100;
+    double storeWritesPerSecond = 20;
+    double maxValueKb = 8;
+    unsigned maxTransactionWrites = 16;
+    std::optional<StoreLimits> nextStoreLimits;  // in force from some moment on, without notice
+    double cloudRequestsPerSecond = 2;
+    Seconds cloudListLag{10};
     double coreShare = 1;
     double memoryMb = 100;
     unsigned maxConnections = 1000;
@@ -80,12 +81,18 @@
     const Team* team(const std::string& name) const;
     // What is written keeps from the start to the smaller of the limits now and next: nothing tells when the
     // next ones begin, and what is stored by then stays.
-    double minValueKb() const { return nextState ? std::min(valueKb, nextState->valueKb) : valueKb; }
-    unsigned minTxnOps() const { return nextState ? std::min(txnOps, nextState->txnOps) : txnOps; }
-    double minWriteRps() const {
-        return nextState ? std::min(stateWriteRps, nextState->writeRps) : stateWriteRps;
+    double minValueKb() const {
+        return nextStoreLimits ? std::min(maxValueKb, nextStoreLimits->maxValueKb) : maxValueKb;
     }
-    std::size_t valueBytes() const { return static_cast<std::size_t>(minValueKb() * 1024); }
+    unsigned minTransactionWrites() const {
+        return nextStoreLimits ? std::min(maxTransactionWrites, nextStoreLimits->maxTransactionWrites)
+                               : maxTransactionWrites;
+    }
+    double minWritesPerSecond() const {
+        return nextStoreLimits ? std::min(storeWritesPerSecond, nextStoreLimits->writesPerSecond)
+                               : storeWritesPerSecond;
+    }
+    std::size_t maxValueBytes() const { return static_cast<std::size_t>(minValueKb() * 1024); }
 };
 
 /// The operators' own settings (XML). Each has a default that suits both first deployments.
--- a/src/protocol/state_messages.cpp
+++ b/src/protocol/store_messages.cpp
@@ -1,10 +1,12 @@
-#include "protocol/state_messages.h"
+#include "protocol/store_messages.h"
+
+#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
 std::string encodeTransaction(const std::vector<KeyCondition>& conditions,
                               const std::vector<KeyWrite>& writes) {
-    Packer p;
+    MessagePacker p;
     p.map(2).key("when").list(conditions.size());
     for (const auto& c : conditions) p.map(2).field("path", c.key).field("mark", c.version);
     p.key("apply").list(writes.size());
@@ -21,15 +23,15 @@
 
 TransactionReply decodeTransactionReply(std::string_view body) {
     const auto handle = unpackBody(body);
-    const Fields f(handle.get());
+    const MapReader f(handle.get());
     return {f.integer("chart"), f.texts("failed")};
 }
 
 KeyPage decodeKeyPage(const msgpack::object& body) {
-    const Fields f(body);
+    const MapReader f(body);
     KeyPage page;
     f.each("entries", [&](const msgpack::object& element) {
-        const Fields e(element);
+        const MapReader e(element);
         page.entries.push_back({e.text("path"), &e.need("data"), e.integer("mark")});
     });
     page.more = f.flagOr("hasNext", false);
@@ -38,10 +40,10 @@
 }
 
 KeyPage decodeWatch(const msgpack::object& body) {
-    const Fields f(body);
+    const MapReader f(body);
     KeyPage page;
     f.each("log", [&](const msgpack::object& element) {
-        const Fields e(element);
+        const MapReader e(element);
         if (const auto key = e.maybeText("write"))
             page.entries.push_back({*key, &e.need("data"), e.integer("mark")});
         else
@@ -52,12 +54,12 @@
 }
 
 std::string encodeLease(std::chrono::milliseconds life) {
-    return Packer().map(1).field("lifeMs", life.count()).take();
+    return MessagePacker().map(1).field("lifeMs", life.count()).take();
 }
 
 std::uint64_t decodeLease(std::string_view body) {
     const auto handle = unpackBody(body);
-    return Fields(handle.get()).integer("mooring");
+    return MapReader(handle.get()).integer("mooring");
 }
 
 namespace paths {
--- a/src/protocol/state_messages.h
+++ b/src/protocol/store_messages.h
@@ -1,15 +1,16 @@
 #pragma once
 
-// What is asked of the state service and answered by it.
+// What is asked of the key-value store and answered by it.
 
 #include <chrono>
 #include <cstdint>
+#include <msgpack/object_fwd.hpp>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "protocol/pack.h"
+#include "protocol/errors.h"
 
 namespace burlpoint::protocol {
 
--- a/src/protocol/worker_messages.h
+++ b/src/protocol/worker_messages.h
@@ -9,6 +9,7 @@
 #include <string_view>
 #include <vector>
 
+#include "base/clock.h"
 #include "protocol/job_messages.h"
 
 namespace burlpoint::protocol {
@@ -29,7 +30,7 @@
 };
 
 /// What a worker is to do with an attempt.
-enum class Op { start, stop, forget };
+enum class CommandKind { start, stop, acknowledge };
 
 /// One start of one task.
 struct Attempt {
@@ -40,51 +41,52 @@
 };
 
 /// An attempt as its worker reports it.
-struct TaskReport {
+struct TaskStatus {
     Attempt attempt;
     TaskState state = TaskState::fetching;
     ExitReason why = ExitReason::none;
     bool saved = false;  // its progress is stored
-    bool operator==(const TaskReport&) const = default;
+    bool operator==(const TaskStatus&) const = default;
 };
 
-/// A worker's message: a report, or its answer to a direct command.
-struct Report {
+/// A worker's message: a heartbeat, or its answer to a direct command.
+struct Heartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t session = 0;      // rises with each start of the worker and each end of its lease
-    std::uint64_t sequence = 0;     // rises with each message of the session
-    std::uint64_t token = 0;        // the highest that the worker has taken
-    std::optional<Seconds> notice;  // the cloud takes the machine back after this
-    std::vector<TaskReport> tasks;
-    bool operator==(const Report&) const = default;
+    std::uint64_t incarnation = 0;   // rises with each start of the worker and each end of its lease
+    std::uint64_t sequence = 0;      // rises with each message of the incarnation
+    std::uint64_t fencingToken = 0;  // the highest that the worker has taken
+    std::optional<Seconds> interruptionNotice;  // the cloud takes the machine back after this
+    std::vector<TaskStatus> tasks;
+    bool operator==(const Heartbeat&) const = default;
 };
 
-struct Order {
-    Op op = Op::start;
+struct WorkerCommand {
+    CommandKind kind = CommandKind::start;
     Attempt attempt;
     Seconds grace{0};  // of a stop: the time to save in
-    bool operator==(const Order&) const = default;
+    bool operator==(const WorkerCommand&) const = default;
 };
 
 // Each decode function throws Malformed.
-Report decodeReport(std::string_view body);
-std::string encodeReport(const Report& report);
-/// The response to a report.
-std::string encodeReportReply(std::uint64_t token, const std::vector<Order>& orders);
-/// A command to a worker in that session.
-std::string encodeDirectOrders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders);
-/// The orders of a response to a report or of a command.
-std::vector<Order> decodeOrders(std::string_view body);
+Heartbeat decodeHeartbeat(std::string_view body);
+std::string encodeHeartbeat(const Heartbeat& heartbeat);
+/// The response to a heartbeat.
+std::string encodeHeartbeatResponse(std::uint64_t fencingToken, const std::vector<WorkerCommand>& commands);
+/// A command to a worker in that incarnation.
+std::string encodeDirectCommands(std::uint64_t fencingToken, std::uint64_t incarnation,
+                                 const std::vector<WorkerCommand>& commands);
+/// The orders of a response to a heartbeat or of a command.
+std::vector<WorkerCommand> decodeCommands(std::string_view body);
 /// Sends a worker to the leader; an empty name: nobody is known to lead.
-std::string encodeElsewhere(const std::string& leader);
+std::string encodeRedirect(const std::string& leader);
 
 namespace paths {
-inline constexpr char kReport[] = "/checkin";
-inline constexpr char kOrders[] = "/orders";
+inline constexpr char kHeartbeat[] = "/checkin";
+inline constexpr char kCommands[] = "/orders";
 inline constexpr char kStatus[] = "/status";
 }  // namespace paths
 
--- a/src/storage/store.cpp
+++ b/src/storage/key_value_client.cpp
@@ -1,117 +1,92 @@
-#include "storage/store.h"
+#include "storage/key_value_client.h"
 
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
+
 namespace burlpoint::storage {
 
 using protocol::KeyCondition;
 using protocol::KeyPage;
 using protocol::KeyWrite;
-using protocol::Malformed;
-using transport::Clock;
-using transport::Outcome;
+using protocol::MalformedMessage;
+using transport::HttpResult;
 
 namespace {
 constexpr Duration kLeaseTimeout{1500};
 constexpr Duration kPageTimeout{4000};
 constexpr unsigned kPageEntries = 500;
-constexpr double kSlower = 0.7;                     // of the rate, after a refusal
-constexpr double kFaster = 0.02;                    // of the highest rate, a second
-constexpr auto kOneSign = std::chrono::seconds(1);  // refusals within this are one and the same excess
 constexpr char kNoSuchLease[] = "no such lease";
 }  // namespace
 
-void RateBudget::refill(Time now) {
-    if (now > at_) {
-        const auto seconds = std::chrono::duration<double>(now - at_).count();
-        rate_ =
-            std::min(lowered_ ? std::min(maxRate_, next_) : maxRate_, rate_ + maxRate_ * kFaster * seconds);
-        // Room for one change at least: below that a low rate would never let anything through.
-        level_ = std::min(std::max(1.0, rate_), level_ + rate_ * seconds);
-        at_ = now;
-    }
-}
-
-void RateBudget::refused(Time now) {
-    refill(now);
-    level_ = std::min(level_, 0.0);  // the service has nothing saved up
-    if (lowered_ && now - *lowered_ < kOneSign) return;
-    lowered_ = now;
-    rate_ = std::max(minRate_, std::min(rate_, next_) * kSlower);
-}
-
-bool RateBudget::take(double n, double reserve, Time now) {
-    refill(now);
-    if (level_ < n + reserve) return false;
-    level_ -= n;
-    return true;
-}
-
-StateClient::StateClient(transport::Client& http, std::string address, double rps, double share, Time now)
+KeyValueClient::KeyValueClient(transport::HttpClient& http, std::string address, double rps, double share,
+                               Time now)
     : http_(http), address_(std::move(address)), requests_(rps * share, now), lastAnswer_(now) {}
 
-void StateClient::answered(int status) {
+void KeyValueClient::answered(int status) {
     if (status == 200 || status == 404 || status == 409) lastAnswer_ = Clock::now();
 }
 
 /// Why a transaction was not carried out, with a word about the first of each kind of limit met.
-TxnStatus StateClient::refusal(const Outcome& outcome, std::size_t writes, std::size_t bytes) {
+TransactionStatus KeyValueClient::refusal(const HttpResult& outcome, std::size_t writes, std::size_t bytes) {
     if (outcome.status == 429) {
         if (!std::exchange(loggedTooMany_, true))
             spdlog::info("the state service refuses changes as too many; writing slows down");
-        return TxnStatus::tooMany;
+        return TransactionStatus::tooMany;
     }
-    if (outcome.status != 400) return TxnStatus::refused;
+    if (outcome.status != 400) return TransactionStatus::refused;
     std::string why;
     try {
         const auto handle = protocol::unpackBody(outcome.body);
-        why = protocol::Fields(handle.get()).maybeText("error").value_or("");
-    } catch (const Malformed&) {
+        why = protocol::MapReader(handle.get()).maybeText("error").value_or("");
+    } catch (const MalformedMessage&) {
         // No reason given. A lease that has ended is always named.
     }
-    if (why == kNoSuchLease) return TxnStatus::noLease;
+    if (why == kNoSuchLease) return TransactionStatus::noLease;
     if (!std::exchange(loggedTooLarge_, true))
         spdlog::error("the state service does not take {} changes of {} bytes: {}", writes, bytes,
                       why.empty() ? "400" : why);
-    return TxnStatus::tooLarge;
+    return TransactionStatus::tooLarge;
 }
 
-void StateClient::transact(const std::vector<KeyCondition>& conditions, const std::vector<KeyWrite>& writes,
-                           Duration timeout, TxnDone done) {
+void KeyValueClient::transact(const std::vector<KeyCondition>& conditions,
+                              const std::vector<KeyWrite>& writes, Duration timeout,
+                              TransactionCallback done) {
     requests_.force(1, Clock::now());
     const auto body = protocol::encodeTransaction(conditions, writes);
     const auto bytes = body.size();
     http_.request(address_, "POST", protocol::paths::kTransaction, body, timeout,
-                  [this, count = writes.size(), bytes, done = std::move(done)](const Outcome& outcome) {
+                  [this, count = writes.size(), bytes, done = std::move(done)](const HttpResult& outcome) {
                       answered(outcome.status);
-                      TxnResult result;
+                      TransactionResult result;
                       try {
                           if (outcome.status == 200 || outcome.status == 409) {
                               auto reply = protocol::decodeTransactionReply(outcome.body);
-                              result.status =
-                                  outcome.status == 200 ? TxnStatus::applied : TxnStatus::conflict;
+                              result.status = outcome.status == 200 ? TransactionStatus::applied
+                                                                    : TransactionStatus::conflict;
                               result.revision = reply.revision;
                               result.failed = std::move(reply.failed);
                           } else if (outcome.status != 0) {
                               result.status = refusal(outcome, count, bytes);
                           }
-                      } catch (const Malformed&) {
+                      } catch (const MalformedMessage&) {
                           result = {};
                       }
                       done(std::move(result));
                   });
 }
 
-void StateClient::read(const std::string& target, Duration timeout, bool isWatch, PageDone done) {
+void KeyValueClient::read(const std::string& target, Duration timeout, bool isWatch, PageCallback done) {
     requests_.force(1, Clock::now());
     http_.request(address_, "GET", target, "", timeout,
-                  [this, isWatch, done = std::move(done)](const Outcome& outcome) {
+                  [this, isWatch, done = std::move(done)](const HttpResult& outcome) {
                       answered(outcome.status);
                       // Asked again from the same revision, as much or more would come: the keys are read
                       // anew, a page at a time.
-                      if (outcome.status == 410 || (isWatch && outcome.oversize))
+                      if (outcome.status == 410 || (isWatch && outcome.tooLarge))
                           return done(ReadStatus::tooOld, {});
                       if (outcome.status != 200) return done(ReadStatus::failed, {});
                       msgpack::object_handle handle;  // the page points into it
@@ -121,7 +96,7 @@
                           handle = protocol::unpackBody(outcome.body);
                           page = isWatch ? protocol::decodeWatch(handle.get())
                                          : protocol::decodeKeyPage(handle.get());
-                      } catch (const Malformed&) {
+                      } catch (const MalformedMessage&) {
                           status = ReadStatus::failed;
                           page = {};
                       }
@@ -129,43 +104,43 @@
                   });
 }
 
-void StateClient::page(const std::string& prefix, const std::string& after, PageDone done) {
+void KeyValueClient::page(const std::string& prefix, const std::string& after, PageCallback done) {
     read(protocol::paths::keyPage(prefix, after, kPageEntries), kPageTimeout, false, std::move(done));
 }
 
-void StateClient::watch(const std::string& prefix, std::uint64_t after, Duration wait, Duration timeout,
-                        PageDone done) {
+void KeyValueClient::watch(const std::string& prefix, std::uint64_t after, Duration wait, Duration timeout,
+                           PageCallback done) {
     read(protocol::paths::watch(prefix, after, wait), timeout, true, std::move(done));
 }
 
-void StateClient::makeLease(Duration life, LeaseDone done) {
+void KeyValueClient::makeLease(Duration life, LeaseCallback done) {
     requests_.force(1, Clock::now());
     http_.request(address_, "POST", protocol::paths::kLeases, protocol::encodeLease(life), kLeaseTimeout,
-                  [this, done = std::move(done)](Outcome outcome) {
+                  [this, done = std::move(done)](HttpResult outcome) {
                       answered(outcome.status);
                       std::uint64_t lease = 0;
                       try {
                           if (outcome.ok()) lease = protocol::decodeLease(outcome.body);
-                      } catch (const Malformed&) {
+                      } catch (const MalformedMessage&) {
                           outcome.status = 0;
                       }
                       done(outcome.status, lease);
                   });
 }
 
-void StateClient::extendLease(std::uint64_t lease, LeaseDone done) {
+void KeyValueClient::extendLease(std::uint64_t lease, LeaseCallback done) {
     requests_.force(1, Clock::now());
     http_.request(address_, "POST", protocol::paths::extendLease(lease), "", kLeaseTimeout,
-                  [this, lease, done = std::move(done)](const Outcome& outcome) {
+                  [this, lease, done = std::move(done)](const HttpResult& outcome) {
                       answered(outcome.status);
                       done(outcome.status, lease);
                   });
 }
 
-void StateClient::endLease(std::uint64_t lease) {
+void KeyValueClient::endLease(std::uint64_t lease) {
     requests_.force(1, Clock::now());
     http_.request(address_, "DELETE", protocol::paths::lease(lease), "", kLeaseTimeout,
-                  [](const Outcome&) {});
+                  [](const HttpResult&) {});
 }
 
 }  // namespace burlpoint::storage
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -11,7 +11,7 @@
 
 namespace burlpoint::storage {
 
-/// Where things stand in the state service. All keys share one prefix, so one watch sees everything, and a
+/// Where things stand in the key-value store. All keys share one prefix, so one watch sees everything, and a
 /// job's record sorts before the chunks of its bitmap.
 namespace keys {
 inline constexpr char kAll[] = "bp/";
@@ -22,8 +22,8 @@
 inline constexpr char kMachines[] = "bp/machine/";
 std::string job(const std::string& id);
 std::string doneChunk(const std::string& id, std::size_t chunk);
-/// Tasks [first, end) of a bitmap whose chunk is too large for the state service's next limits. The key names
-/// the whole range, so that a part of another size never takes the place of one with more bits.
+/// Tasks [first, end) of a bitmap whose chunk is too large for the key-value store's next limits. The key
+/// names the whole range, so that a part of another size never takes the place of one with more bits.
 ///
 /// Versions that know only chunks read this key as no number and pass over it, without a fault. To them the
 /// job merely has fewer bits than are stored, as if these had yet to be written, so nothing that they do on
@@ -37,11 +37,11 @@
 std::string machine(const std::string& id);
 }  // namespace keys
 
-enum class Final { open, done, cancelled };
+enum class TerminalState { none, done, cancelled };
 
 struct JobRecord {
     protocol::JobSpec spec;
-    Final final = Final::open;
+    TerminalState terminalState = TerminalState::none;
     std::uint64_t acceptedMs = 0;  // time of day
     std::uint32_t done = 0;        // tasks done, of a job that is over
     std::uint32_t chunkTasks = 1;  // tasks per bitmap chunk, fixed when the job is accepted
@@ -51,7 +51,7 @@
 
 struct LeaderRecord {
     std::string node;
-    std::uint64_t token = 0;
+    std::uint64_t fencingToken = 0;
 };
 
 struct MachineRecord {
@@ -67,18 +67,18 @@
 JobRecord decodeJob(const msgpack::object& value);
 /// A record of a job that is over. If it would take more than `maxBytes` as JSON, it goes without what is of
 /// no use any more: a job accepted under a higher limit must come to its end under a lower one.
-std::string encodeFinal(JobRecord record, std::size_t maxBytes);
+std::string encodeTerminatedJob(JobRecord record, std::size_t maxBytes);
 /// The record of an accepted job, at its longest, is within `maxBytes`.
 bool jobFits(const protocol::JobSpec& spec, std::size_t maxBytes);
 std::string encodeLeader(const LeaderRecord& record);
 LeaderRecord decodeLeader(const msgpack::object& value);
-std::string encodeToken(std::uint64_t token);
+std::string encodeToken(std::uint64_t fencingToken);
 std::uint64_t decodeToken(const msgpack::object& value);
 std::string encodeMachine(const MachineRecord& record);
 MachineRecord decodeMachine(const msgpack::object& value);
 
 /// How many tasks of a bitmap fit into one value.
-std::uint32_t chunkTasks(double valueKb);
+std::uint32_t chunkTasks(double maxValueKb);
 /// Bits [first, first + count) as text, four to a hexadecimal digit.
 std::string encodeBits(const std::vector<bool>& bits, std::size_t first, std::size_t count);
 /// Sets the bits that `value` has, from `first` on and within `count`.
--- a/src/transport/client.cpp
+++ b/src/transport/http_client.cpp
@@ -1,12 +1,19 @@
+#include "transport/http_client.h"
+
+#include <http_parser.h>
+
 #include <algorithm>
+#include <asio/buffer.hpp>
+#include <asio/post.hpp>
+#include <asio/write.hpp>
 
-#include "transport/http.h"
+#include "transport/endpoint.h"
 
 namespace burlpoint::transport {
 
-class Client::Connection : public std::enable_shared_from_this<Connection> {
+class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
   public:
-    Connection(Client& client, std::string address)
+    Connection(HttpClient& client, std::string address)
         : client_(client), address_(std::move(address)), socket_(client.io_), timer_(client.io_) {
         parser_.data = this;
     }
@@ -16,7 +23,7 @@
     bool idleFor(Duration age) const { return !busy() && Clock::now() - since_ > age; }
 
     void send(const char* method, const std::string& target, const std::string& body, Duration timeout,
-              Done done) {
+              ResultCallback done) {
         done_ = std::move(done);
         outcome_ = {};
         http_parser_init(&parser_, HTTP_RESPONSE);
@@ -53,7 +60,7 @@
         if (closed_) return;
         close();
         outcome_ = {};
-        outcome_.oversize = oversize_;
+        outcome_.tooLarge = oversize_;
         finish();
     }
 
@@ -133,15 +140,15 @@
         done(std::exchange(outcome_, {}));
     }
 
-    Client& client_;
+    HttpClient& client_;
     std::string address_;
     Socket socket_;
     Timer timer_;
     http_parser parser_{};
     std::array<char, 4096> buffer_;
     std::string out_;
-    Outcome outcome_;
-    Done done_;
+    HttpResult outcome_;
+    ResultCallback done_;
     bool oversize_ = false;  // the response under way; the connection is closed for it
     bool connected_ = false;
     bool complete_ = false;
@@ -151,7 +158,7 @@
 };
 
 // NOLINTNEXTLINE(bugprone-exception-escape): no timer that exists fails to be cancelled
-Client::~Client() {
+HttpClient::~HttpClient() {
     *alive_ = false;
     auto pools = std::move(pools_);
     for (auto& [address, pool] : pools)
@@ -161,7 +168,7 @@
         }
 }
 
-void Client::closeOneIdle() {
+void HttpClient::closeOneIdle() {
     for (const auto& [address, pool] : pools_)
         for (const auto& connection : pool)
             if (!connection->busy()) {
@@ -171,8 +178,8 @@
             }
 }
 
-void Client::request(const std::string& address, const char* method, const std::string& target,
-                     const std::string& body, Duration timeout, Done done) {
+void HttpClient::request(const std::string& address, const char* method, const std::string& target,
+                         const std::string& body, Duration timeout, ResultCallback done) {
     auto& pool = pools_[address];
     const auto idle = std::find_if(pool.begin(), pool.end(), [](const auto& c) { return !c->busy(); });
     if (idle != pool.end()) {
@@ -191,7 +198,7 @@
     connection->send(method, target, body, timeout, std::move(done));
 }
 
-void Client::closeIdle(Duration age) {
+void HttpClient::closeIdle(Duration age) {
     std::vector<std::shared_ptr<Connection>> stale;
     for (const auto& [address, pool] : pools_)
         for (const auto& connection : pool)
@@ -199,7 +206,7 @@
     for (const auto& connection : stale) connection->close();
 }
 
-void Client::remove(Connection* connection) {
+void HttpClient::remove(Connection* connection) {
     if (!*alive_) return;
     const auto found = pools_.find(connection->address());
     if (found == pools_.end()) return;
--- a/src/transport/server.cpp
+++ b/src/transport/http_server.cpp
@@ -1,7 +1,9 @@
-#include <algorithm>
-#include <stdexcept>
+#include "transport/http_server.h"
 
-#include "transport/http.h"
+#include <http_parser.h>
+
+#include <asio/buffer.hpp>
+#include <asio/write.hpp>
 
 namespace burlpoint::transport {
 
@@ -27,23 +29,9 @@
 
 }  // namespace
 
-asio::ip::tcp::endpoint parseEndpoint(const std::string& text) {
-    const auto colon = text.rfind(':');
-    if (colon == std::string::npos) throw std::invalid_argument("no port in address \"" + text + "\"");
-    asio::error_code error;
-    const auto address = asio::ip::make_address_v4(text.substr(0, colon), error);
-    const std::string digits = text.substr(colon + 1);
-    const bool numeric =
-        !digits.empty() && digits.size() <= 5 &&
-        std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (error || !numeric || std::stoi(digits) > 65535)
-        throw std::invalid_argument("not an IPv4 address and port: \"" + text + "\"");
-    return {address, static_cast<unsigned short>(std::stoi(digits))};
-}
-
-class Server::Connection : public std::enable_shared_from_this<Connection> {
+class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
   public:
-    Connection(Server& server, Socket socket)
+    Connection(HttpServer& server, Socket socket)
         : server_(server), socket_(std::move(socket)), since_(Clock::now()) {
         http_parser_init(&parser_, HTTP_REQUEST);
         parser_.data = this;
@@ -119,7 +107,7 @@
         s.on_body = [](http_parser* p, const char* at, std::size_t n) {
             auto& c = of(p);
             if (c.request_.body.size() + n > c.server_.limits_.bodyBytes) {
-                c.request_.oversize = true;
+                c.request_.tooLarge = true;
                 c.complete_ = true;  // answered at once; the rest is not read
                 c.keepAlive_ = false;
                 return 1;
@@ -177,7 +165,7 @@
         read();
     }
 
-    Server& server_;
+    HttpServer& server_;
     Socket socket_;
     http_parser parser_{};
     std::array<char, 4096> buffer_;
@@ -196,7 +184,8 @@
     Time since_;
 };
 
-Server::Server(asio::io_context& io, const asio::ip::tcp::endpoint& at, ServerLimits limits, Handler handler)
+HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& at, ServerLimits limits,
+                       Handler handler)
     : acceptor_(io), sweeper_(io), limits_(limits), handler_(std::move(handler)) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
@@ -206,7 +195,7 @@
     sweep();
 }
 
-Server::~Server() {
+HttpServer::~HttpServer() {
     *alive_ = false;
     while (!connections_.empty()) {
         const auto connection = *connections_.begin();
@@ -214,11 +203,11 @@
     }
 }
 
-bool Server::isCrowded() const {
+bool HttpServer::isCrowded() const {
     return connections_.size() + limits_.connections / kFreeShare > limits_.connections;
 }
 
-void Server::accept() {
+void HttpServer::accept() {
     acceptor_.async_accept([this, alive = alive_](auto error, Socket socket) {
         if (!*alive) return;
         if (error) {
@@ -242,7 +231,7 @@
     });
 }
 
-void Server::sweep() {
+void HttpServer::sweep() {
     sweeper_.expires_after(std::chrono::seconds(2));
     sweeper_.async_wait([this, alive = alive_](auto error) {
         if (!*alive || error) return;
--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -1,9 +1,12 @@
-#include "coordination/accelerator_policy.h"
+#include "coordination/scheduling/accelerator_policy.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 
+#include "base/clock.h"
+#include "bookkeeping/machine_types.h"
+
 using namespace burlpoint;
 using namespace burlpoint::coordination;
 using namespace std::chrono_literals;
@@ -11,12 +14,9 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::PlacementState;
-using bookkeeping::RosterState;
-using protocol::Kind;
+using bookkeeping::RegistrationState;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
 
 namespace {
 
@@ -25,24 +25,24 @@
 struct Accelerators : testing::Test {
     MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a"}}},
                        {"gpu", {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a"}}}};
-    RentalRefusals refusals;
+    CapacityErrors capacityErrors;
     Fleet fleet;
     std::vector<std::unique_ptr<Job>> jobs;
     const std::string zone = "a", team = "t";
     Time now{1000s};
-    AcceleratorPolicy policy{types, refusals};
+    AcceleratorPolicy policy{types, capacityErrors};
 
     Machine& machine(const std::string& id, const std::string& type) {
         auto& machine = fleet.add(id, now);
         machine.type = type;
-        machine.kind = &types.at(type);
+        machine.typeInfo = &types.at(type);
         machine.zone = zone;
         machine.acknowledged = true;
-        machine.reports = true;
-        fleet.setRoster(machine, RosterState::stored);
+        machine.sendsHeartbeats = true;
+        fleet.setRegistration(machine, RegistrationState::stored);
         return machine;
     }
-    Job& job(Kind kind, Priority priority, double gpus = 0, double cpus = 2) {
+    Job& job(JobKind kind, Priority priority, double gpus = 0, double cpus = 2) {
         auto& job = *jobs.emplace_back(std::make_unique<Job>());
         job.spec.id = "job-" + std::to_string(jobs.size());
         job.spec.team = team;
@@ -55,11 +55,11 @@
         return job;
     }
     /// A job with accelerators that leaves six processors of each machine.
-    void need(Priority priority) { policy.recordNeed(job(Kind::array, priority, 2, 10)); }
-    Job& array(Priority priority) { return job(Kind::array, priority); }
+    void need(Priority priority) { policy.recordNeed(job(JobKind::array, priority, 2, 10)); }
+    Job& array(Priority priority) { return job(JobKind::array, priority); }
     /// A service that has waited for plain machines for long enough.
     Job& service() {
-        auto& made = job(Kind::service, Priority::normal);
+        auto& made = job(JobKind::service, Priority::normal);
         made.run->waitingSince = now - 12s;
         return made;
     }
@@ -74,8 +74,8 @@
     }
     void refusePlain() { refuse("plain"); }
     void refuse(const std::string& type) {
-        refusals.note({type, "a", false}, now);
-        refusals.note({type, "a", true}, now);
+        capacityErrors.note({type, "a", false}, now);
+        capacityErrors.note({type, "a", true}, now);
     }
     bool allows(const Job& job, const Machine& machine) { return policy.allows(job, machine, now); }
 };
@@ -87,7 +87,7 @@
     auto& gpu = machine("g", "gpu");
     place(gpu, array(Priority::high), 8);
     EXPECT_TRUE(allows(array(Priority::high), machine("p", "plain")));
-    EXPECT_TRUE(allows(job(Kind::array, Priority::low, 1), gpu));
+    EXPECT_TRUE(allows(job(JobKind::array, Priority::low, 1), gpu));
 }
 
 TEST_F(Accelerators, WithoutANeedWorkBelowHighPriorityMayUseThem) {
@@ -115,37 +115,37 @@
 
 TEST_F(Accelerators, TheLargestNeedAndTheLowestPriorityCount) {
     need(Priority::high);
-    policy.recordNeed(job(Kind::array, Priority::low, 1, 15));
+    policy.recordNeed(job(JobKind::array, Priority::low, 1, 15));
     EXPECT_FALSE(allows(array(Priority::low), machine("g", "gpu")));
 }
 
 TEST_F(Accelerators, ANeedCountsOnlyWhereItsOwnerAllowsIt) {
-    auto& elsewhere = job(Kind::array, Priority::low, 2, 16);
+    auto& elsewhere = job(JobKind::array, Priority::low, 2, 16);
     elsewhere.spec.types = std::vector<std::string>{"other"};
     policy.recordNeed(elsewhere);
     EXPECT_TRUE(allows(array(Priority::normal), machine("g", "gpu")));
 }
 
 TEST_F(Accelerators, NothingIsHeldBackForLong) {
-    policy.recordNeed(job(Kind::array, Priority::low, 2, 16));
+    policy.recordNeed(job(JobKind::array, Priority::low, 2, 16));
     auto& gpu = machine("g", "gpu");
     auto& waits = array(Priority::normal);
     now += 59s;
     EXPECT_FALSE(allows(waits, gpu));
     now += 1s;
     EXPECT_TRUE(allows(waits, gpu));
-    waits.run->liveTotal = 1;
+    waits.run->placedTotal = 1;
     EXPECT_FALSE(allows(waits, gpu));
 }
 
 TEST_F(Accelerators, AReplicaWaitsForPlainMachinesFirst) {
     auto& gpu = machine("g", "gpu");
-    auto& replica = job(Kind::service, Priority::normal);
+    auto& replica = job(JobKind::service, Priority::normal);
     EXPECT_FALSE(allows(replica, gpu));
     refusePlain();
     EXPECT_TRUE(allows(replica, gpu));  // there are none
     now += 1h;
-    EXPECT_TRUE(plainMachineRentable(replica.spec, types, refusals, now));  // the refusals are over
+    EXPECT_TRUE(plainMachineObtainable(replica.spec, types, capacityErrors, now));  // the refusals are over
     replica.run->waitingSince = now - 11s;
     EXPECT_FALSE(allows(replica, gpu));
     replica.run->waitingSince = now - 12s;
@@ -153,7 +153,7 @@
 }
 
 TEST_F(Accelerators, AReplicaTakesTheNeedsRoomOnlyWhereNoPlainMachineIsLeft) {
-    policy.recordNeed(job(Kind::array, Priority::normal, 2, 16));
+    policy.recordNeed(job(JobKind::array, Priority::normal, 2, 16));
     auto& gpu = machine("g", "gpu");
     auto& plain = machine("p", "plain");
     refresh();
@@ -167,7 +167,7 @@
 }
 
 TEST_F(Accelerators, ReplicasShareAnEighthWhereTheCloudHasNoMore) {
-    policy.recordNeed(job(Kind::array, Priority::normal, 2, 16));
+    policy.recordNeed(job(JobKind::array, Priority::normal, 2, 16));
     refusePlain();
     auto& given = machine("g0", "gpu");
     place(given, service(), 1);
@@ -181,6 +181,6 @@
     machine("g8", "gpu");
     refresh();
     EXPECT_TRUE(allows(service(), untouched));
-    place(untouched, job(Kind::array, Priority::normal, 1), 1);
+    place(untouched, job(JobKind::array, Priority::normal, 1), 1);
     EXPECT_FALSE(allows(service(), untouched));  // its accelerators are in use
 }
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -1,39 +1,45 @@
-#include "coordination/action_executor.h"
+#include "coordination/controller/action_executor.h"
 
 #include <gtest/gtest.h>
 
-#include "state_stub.h"
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+#include "store_stub.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
 
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::Action;
-using coordination::Command;
-using transport::Clock;
+using coordination::LeaderEvent;
 
 namespace {
 
-/// An executor beside an election, with stand-ins for the state service, the cloud and a worker. The stand-in
-/// for cloud and worker answers each path with `answers[path]`, else 503, and holds all answers back while
-/// `holdsBack` is set.
+/// An executor beside an election, with stand-ins for the key-value store, the cloud and a worker. The
+/// stand-in for cloud and worker answers each path with `answers[path]`, else 503, and holds all answers back
+/// while `holdsBack` is set.
 struct ActionExecutorTest : testing::Test {
     ActionExecutorTest() {
         settings.name = "one";
-        settings.cloud = address();
+        settings.cloudAddress = address();
         watcher.start();
     }
     std::string address() const { return "127.0.0.1:" + std::to_string(others.localEndpoint().port()); }
     void lead() {
-        while (!token) {
+        while (!fencingToken) {
             election.tick(Clock::now());
             io.run_one_for(5ms);
         }
-        executor.begin(token);
+        executor.begin(fencingToken);
     }
     void perform(Action action) { executor.perform(action); }
     void until(const std::function<bool()>& happened) {
         while (!happened()) io.run_one();
     }
-    void runFor(transport::Duration time) {
+    void runFor(Duration time) {
         const auto end = Clock::now() + time;
         while (Clock::now() < end) io.run_one_for(5ms);
     }
@@ -41,77 +47,77 @@
     template <typename T>
     T next() {
         until([&] { return !delivered.empty(); });
-        auto command = std::move(delivered.front());
+        auto event = std::move(delivered.front());
         delivered.erase(delivered.begin());
-        return std::get<T>(std::move(command));
+        return std::get<T>(std::move(event));
     }
-    static protocol::Report report(const std::string& machine) {
+    static protocol::Heartbeat heartbeat(const std::string& machine) {
         return {machine, "127.0.0.1:1", "plain", "z", false, 1, 1, 0, {}, {}};
     }
-    coordination::SendOrders orders() const { return {"m1", address(), 1, {}, {1, 5}}; }
+    coordination::SendCommands commands() const { return {"m1", address(), 1, {}, {1, 5}}; }
 
     asio::io_context io{1};
-    tests::StateStub stub{io};
+    tests::StoreStub stub{io};
     std::map<std::string, std::string> answers;
     std::vector<std::string> asked;  // paths
     bool holdsBack = false;
     std::vector<std::function<void()>> held;
-    transport::Server others{io,
-                             transport::parseEndpoint("127.0.0.1:0"),
-                             {},
-                             [this](transport::Request&& request, const transport::Reply& reply) {
-                                 asked.push_back(request.path);
-                                 transport::Response response;
-                                 const auto found = answers.find(request.path);
-                                 response.status = found == answers.end() ? 503 : 200;
-                                 if (found != answers.end()) response.body = found->second;
-                                 if (!holdsBack) return reply(response);
-                                 held.push_back([reply, response] { reply(response); });
-                             }};
+    transport::HttpServer others{io,
+                                 transport::parseEndpoint("127.0.0.1:0"),
+                                 {},
+                                 [this](transport::Request&& request, const transport::Reply& reply) {
+                                     asked.push_back(request.path);
+                                     transport::Response response;
+                                     const auto found = answers.find(request.path);
+                                     response.status = found == answers.end() ? 503 : 200;
+                                     if (found != answers.end()) response.body = found->second;
+                                     if (!holdsBack) return reply(response);
+                                     held.push_back([reply, response] { reply(response); });
+                                 }};
     protocol::Settings settings;
     protocol::Policy policy;
-    transport::Client http{io, 10};
-    storage::StateClient state{http, stub.address(), 1000, 1, Clock::now()};
+    transport::HttpClient http{io, 10};
+    storage::KeyValueClient state{http, stub.address(), 1000, 1, Clock::now()};
     bookkeeping::StateReplica replica;
     coordination::StateWatcher watcher{io, state, replica, [](const auto&) {}};
-    std::uint64_t token = 0;
+    std::uint64_t fencingToken = 0;
     coordination::Election election{settings,
                                     policy,
                                     state,
                                     replica,
                                     watcher,
-                                    [this](std::uint64_t won) { token = won; },
+                                    [this](std::uint64_t won) { fencingToken = won; },
                                     [this] {
-                                        token = 0;
+                                        fencingToken = 0;
                                         executor.end();
                                     }};
-    std::vector<Command> delivered;
+    std::vector<LeaderEvent> delivered;
     coordination::ActionExecutor executor{
-        io, settings, 10, {http, state, watcher, election}, [this](Command command) {
-            delivered.push_back(std::move(command));
+        io, settings, 10, {http, state, watcher, election}, [this](LeaderEvent event) {
+            delivered.push_back(std::move(event));
         }};
 };
 
 }  // namespace
 
-TEST_F(ActionExecutorTest, AReportIsAnsweredOnceWithTheLeadersToken) {
+TEST_F(ActionExecutorTest, AHeartbeatIsAnsweredOnceWithTheLeadersToken) {
     lead();
     std::vector<transport::Response> replies;
     const auto first = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
     const auto second = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
     EXPECT_NE(first, second);
-    perform(coordination::AnswerReport{second, true, {}});
+    perform(coordination::AnswerHeartbeat{second, true, {}});
     ASSERT_EQ(replies.size(), 1u);
     EXPECT_EQ(replies[0].status, 200);
-    EXPECT_EQ(replies[0].body, protocol::encodeReportReply(token, {}));
-    perform(coordination::AnswerReport{second, true, {}});
+    EXPECT_EQ(replies[0].body, protocol::encodeHeartbeatResponse(fencingToken, {}));
+    perform(coordination::AnswerHeartbeat{second, true, {}});
     EXPECT_EQ(replies.size(), 1u);
-    perform(coordination::AnswerReport{first, false, {}});
+    perform(coordination::AnswerHeartbeat{first, false, {}});
     ASSERT_EQ(replies.size(), 2u);
     EXPECT_EQ(replies[1].status, 503);
 }
 
-TEST_F(ActionExecutorTest, ResigningAnswersTheReportsThatWait) {
+TEST_F(ActionExecutorTest, ResigningAnswersTheHeartbeatsThatWait) {
     lead();
     int status = 0;
     executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
@@ -119,41 +125,41 @@
     perform(coordination::Resign{"a test", false});
     EXPECT_EQ(status, 503);
     EXPECT_NE(executor.round(), round);
-    EXPECT_EQ(token, 0u);
+    EXPECT_EQ(fencingToken, 0u);
 }
 
 TEST_F(ActionExecutorTest, OutcomesAreDeliveredAsCommands) {
     lead();
-    answers[protocol::paths::kOrders] = protocol::encodeReport(report("m1"));
+    answers[protocol::paths::kCommands] = protocol::encodeHeartbeat(heartbeat("m1"));
     answers[protocol::paths::kRelease] = "";
-    perform(orders());
-    const auto answered = next<coordination::WorkerAnswered>();
+    perform(commands());
+    const auto answered = next<coordination::CommandsAnswered>();
     EXPECT_EQ(answered.machine, "m1");
-    EXPECT_EQ(answered.known, (bookkeeping::MessageOrder{1, 5}));
-    EXPECT_EQ(answered.report, report("m1"));
-    perform(coordination::Release{{"m1", "m2"}});
-    const auto released = next<coordination::ReleaseAnswered>();
+    EXPECT_EQ(answered.known, (bookkeeping::HeartbeatVersion{1, 5}));
+    EXPECT_EQ(answered.heartbeat, heartbeat("m1"));
+    perform(coordination::ScaleIn{{"m1", "m2"}});
+    const auto released = next<coordination::ScaleInCompleted>();
     EXPECT_TRUE(released.ok);
     EXPECT_EQ(released.machines, (std::vector<std::string>{"m1", "m2"}));
-    perform(coordination::Rent{{"r1", "plain", "z", false, 1}});  // the cloud answers 503
-    const auto rental = next<coordination::RentalAnswered>();
+    perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});  // the cloud answers 503
+    const auto rental = next<coordination::ScaleOutCompleted>();
     EXPECT_EQ(rental.name, "r1");
-    EXPECT_EQ(rental.outcome, coordination::RentalOutcome::unknown);
+    EXPECT_EQ(rental.outcome, coordination::InstanceRequestOutcome::unknown);
     perform(coordination::ListMachines{});
     EXPECT_FALSE(next<coordination::MachinesListed>().ok);
-    perform(coordination::WriteState{{}, {{"bp/x", protocol::Packer().value("x").take(), 0}}});
-    EXPECT_EQ(next<coordination::StateWritten>().result.status, storage::TxnStatus::applied);
+    perform(coordination::WriteState{{}, {{"bp/x", protocol::MessagePacker().value("x").take(), 0}}});
+    EXPECT_EQ(next<coordination::StateWritten>().result.status, storage::TransactionStatus::applied);
     perform(coordination::RefreshReplica{});
     EXPECT_TRUE(next<coordination::ReplicaRefreshed>().ok);
 }
 
 TEST_F(ActionExecutorTest, MalformedAnswersAreNoNews) {
     lead();
-    answers[protocol::paths::kOrders] = answers[protocol::paths::kRentals] = "nonsense";
-    perform(orders());
-    EXPECT_FALSE(next<coordination::WorkerAnswered>().report);
-    perform(coordination::Rent{{"r1", "plain", "z", false, 1}});
-    EXPECT_EQ(next<coordination::RentalAnswered>().outcome, coordination::RentalOutcome::unknown);
+    answers[protocol::paths::kCommands] = answers[protocol::paths::kInstanceRequest] = "nonsense";
+    perform(commands());
+    EXPECT_FALSE(next<coordination::CommandsAnswered>().heartbeat);
+    perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
+    EXPECT_EQ(next<coordination::ScaleOutCompleted>().outcome, coordination::InstanceRequestOutcome::unknown);
 }
 
 TEST_F(ActionExecutorTest, OnlyAnEntitledLeaderReachesWorkersAndTheCloud) {
@@ -161,14 +167,14 @@
     int status = 0;
     const auto request =
         executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
-    perform(coordination::AnswerReport{request, true, {}});
+    perform(coordination::AnswerHeartbeat{request, true, {}});
     EXPECT_EQ(status, 503);
-    perform(orders());
-    EXPECT_FALSE(next<coordination::WorkerAnswered>().report);
-    perform(coordination::Rent{{"r1", "plain", "z", false, 1}});
-    EXPECT_EQ(next<coordination::RentalAnswered>().outcome, coordination::RentalOutcome::unknown);
-    perform(coordination::Release{{"m1"}});
-    EXPECT_FALSE(next<coordination::ReleaseAnswered>().ok);
+    perform(commands());
+    EXPECT_FALSE(next<coordination::CommandsAnswered>().heartbeat);
+    perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
+    EXPECT_EQ(next<coordination::ScaleOutCompleted>().outcome, coordination::InstanceRequestOutcome::unknown);
+    perform(coordination::ScaleIn{{"m1"}});
+    EXPECT_FALSE(next<coordination::ScaleInCompleted>().ok);
     runFor(100ms);
     EXPECT_TRUE(asked.empty());
 }
@@ -176,14 +182,14 @@
 TEST_F(ActionExecutorTest, WhatAnEarlierLeadershipAskedIsNotDelivered) {
     lead();
     holdsBack = true;
-    perform(orders());
-    perform(coordination::Rent{{"r1", "plain", "z", false, 1}});
-    perform(coordination::Release{{"m1"}});
+    perform(commands());
+    perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
+    perform(coordination::ScaleIn{{"m1"}});
     perform(coordination::ListMachines{});
     perform(coordination::ListTypes{});
     until([&] { return held.size() == 5; });
     executor.end();
-    executor.begin(token);
+    executor.begin(fencingToken);
     for (const auto& answer : held) answer();
     runFor(200ms);
     EXPECT_TRUE(delivered.empty());
--- a/tests/provisioner_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,20 +1,20 @@
-#include "coordination/provisioner.h"
+#include "coordination/autoscaling/autoscaler.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "bookkeeping/machine_types.h"
+
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
-using coordination::CloudRequests;
-using coordination::MachineTypes;
-using coordination::Provisioner;
-using coordination::RentalOutcome;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
+using bookkeeping::MachineTypes;
+using coordination::Autoscaler;
+using coordination::InstanceRequestOutcome;
+using coordination::ScalingRequests;
 
 namespace {
 
@@ -31,12 +31,12 @@
     MachineTypes types;
     Time now{1000s};
     std::vector<Job*> order;
-    std::unique_ptr<Provisioner> provisioner;
+    std::unique_ptr<Autoscaler> autoscaler;
 
     ProvisionerTest() {
         settings.zones = {"z"};
-        settings.cloudRps = 50;
-        settings.listLag = Seconds(10);
+        settings.cloudRequestsPerSecond = 50;
+        settings.cloudListLag = Seconds(10);
         policy.idleKeep = Seconds(10);
         policy.bootKeep = 0.8;
         policy.minimumKeep = Seconds(55);
@@ -44,15 +44,15 @@
         types["slow"] = {"slow", 8, 0, 32, 50, 1, 9, 3, Seconds(100), {"z"}};
         begin();
     }
-    void begin() { provisioner = std::make_unique<Provisioner>(settings, policy, replica, 7, now); }
+    void begin() { autoscaler = std::make_unique<Autoscaler>(settings, policy, replica, 7, now); }
     Machine& machine(const std::string& id, const std::string& type = "plain") {
         auto& added = fleet.add(id, now);
         added.type = type;
         added.zone = types.at(type).zones.front();
-        added.kind = &types.at(type);
-        added.session = 1;
-        added.reports = true;
-        added.lastReport = now;
+        added.typeInfo = &types.at(type);
+        added.incarnation = 1;
+        added.sendsHeartbeats = true;
+        added.lastHeartbeat = now;
         added.leaseUntil = now + 30s;
         fleet.setReconciled(added, true);
         return added;
@@ -60,39 +60,39 @@
     /// Makes the job one of replicas that each fill a machine.
     void prepare(Job& job, std::string id, std::uint32_t tasks) const {
         job.spec.id = std::move(id);
-        job.spec.kind = protocol::Kind::service;
+        job.spec.kind = protocol::JobKind::service;
         job.spec.cpus = 8;
         job.spec.tasks = tasks;
         job.beginRun(false, now);
     }
-    CloudRequests decide(Clock::duration step = 1s) {
+    ScalingRequests decide(Clock::duration step = 1s) {
         now += step;
         const auto due = [](const Job&) { return Time{}; };
-        return provisioner->decide(fleet, types, {order, due}, now);
+        return autoscaler->decide(fleet, types, {order, due}, now);
     }
     /// The machines released when the time has come, the release answered.
-    Names releases(Clock::duration step = 1s) {
+    Names scaleIn(Clock::duration step = 1s) {
         auto requests = decide(step);
-        if (!requests.releases.empty()) provisioner->releaseAnswered(true, now);
-        return requests.releases;
+        if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(true, now);
+        return requests.scaleIn;
     }
 };
 
 TEST_F(ProvisionerTest, AnIdleMachineGoesAfterItsFirstMinuteAndBootTimes) {
     machine("m1");
     machine("m2", "slow");
-    EXPECT_EQ(releases(55s), Names{});
-    EXPECT_EQ(releases(1ms), Names{"m1"});
-    EXPECT_TRUE(fleet.find("m1")->releasing);
+    EXPECT_EQ(scaleIn(55s), Names{});
+    EXPECT_EQ(scaleIn(1ms), Names{"m1"});
+    EXPECT_TRUE(fleet.find("m1")->deletionRequested);
     fleet.erase("m1");
-    EXPECT_EQ(releases(24s), Names{});  // 80 s after its last task
-    EXPECT_EQ(releases(1s), Names{"m2"});
+    EXPECT_EQ(scaleIn(24s), Names{});  // 80 s after its last task
+    EXPECT_EQ(scaleIn(1s), Names{"m2"});
 }
 
 TEST_F(ProvisionerTest, AMachineThatHadATaskLatelyIsKept) {
-    machine("m1").busyUntil = now + 100s;
-    EXPECT_EQ(releases(110s), Names{});
-    EXPECT_EQ(releases(1ms), Names{"m1"});
+    machine("m1").lastBusyAt = now + 100s;
+    EXPECT_EQ(scaleIn(110s), Names{});
+    EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
 TEST_F(ProvisionerTest, AMachineThatAWaitingJobNeedsOrIsReservedForIsKept) {
@@ -103,10 +103,10 @@
     auto& reserved = machine("m2");
     Job other;
     fleet.reserve(reserved, &other, now + 90s);
-    EXPECT_EQ(releases(80s), Names{});
-    EXPECT_EQ(releases(10s), Names{"m2"});
+    EXPECT_EQ(scaleIn(80s), Names{});
+    EXPECT_EQ(scaleIn(10s), Names{"m2"});
     order.clear();
-    EXPECT_EQ(releases(), (Names{"m1", "m2"}));  // what was asked for before is asked for again
+    EXPECT_EQ(scaleIn(), (Names{"m1", "m2"}));  // what was asked for before is asked for again
 }
 
 TEST_F(ProvisionerTest, FaultyLeavingAndStoppedMachinesGoAtOnce) {
@@ -114,67 +114,68 @@
     machine("m2").errorJobs = {"wk-1", "wk-2"};
     machine("m3").failed = true;
     machine("m4").errorJobs = {"wk-1"};
-    EXPECT_EQ(releases(), (Names{"m1", "m2", "m3"}));
+    EXPECT_EQ(scaleIn(), (Names{"m1", "m2", "m3"}));
 }
 
 TEST_F(ProvisionerTest, AMachineThatMayHaveTasksStays) {
     machine("m1").draining = true;
     fleet.setReconciled(*fleet.find("m1"), false);
-    EXPECT_EQ(releases(200s), Names{});
+    EXPECT_EQ(scaleIn(200s), Names{});
     Job job;
     prepare(job, "wk-1", 1);
     auto& busy = machine("m2");
     busy.draining = true;
     fleet.place(busy, job, 0, 1, bookkeeping::PlacementState::running, now);
-    EXPECT_EQ(releases(), Names{});
+    EXPECT_EQ(scaleIn(), Names{});
 }
 
 TEST_F(ProvisionerTest, ALostMachineGoesTenSecondsAfterItsLease) {
     auto& lost = machine("m1");
-    lost.reports = false;
+    lost.sendsHeartbeats = false;
     lost.leaseUntil = now + 20s;
-    lost.busyUntil = now + 100s;
-    EXPECT_EQ(releases(30s), Names{});
-    EXPECT_EQ(releases(1ms), Names{"m1"});
+    lost.lastBusyAt = now + 100s;
+    EXPECT_EQ(scaleIn(30s), Names{});
+    EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
 TEST_F(ProvisionerTest, AMachineThatNeverCameUpIsGivenItsBootTimes) {
     for (const auto* id : {"m1", "m2"}) {
         auto& booting = machine(id);
-        booting.session = 0;
-        booting.reports = false;
+        booting.incarnation = 0;
+        booting.sendsHeartbeats = false;
         booting.leaseUntil = now + 100s;
     }
-    replica.roster["m2"] = {{"address", "plain", "z", false}, 1};  // that one was up under an earlier leader
-    fleet.find("m2")->busyUntil = now + 200s;
-    EXPECT_EQ(releases(50s), Names{});  // three and a half boot times and 15 s
-    EXPECT_EQ(releases(1ms), Names{"m1"});
+    replica.registeredMachines["m2"] = {{"address", "plain", "z", false},
+                                        1};  // that one was up under an earlier leader
+    fleet.find("m2")->lastBusyAt = now + 200s;
+    EXPECT_EQ(scaleIn(50s), Names{});  // three and a half boot times and 15 s
+    EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
 TEST_F(ProvisionerTest, OneReleaseIsUnderWayAtATimeAndAFailedOneIsRepeated) {
     machine("m1").draining = true;
-    EXPECT_EQ(decide().releases, Names{"m1"});
+    EXPECT_EQ(decide().scaleIn, Names{"m1"});
     machine("m2").draining = true;
-    EXPECT_EQ(decide(10s).releases, Names{});
-    provisioner->releaseAnswered(false, now);
-    EXPECT_EQ(decide(1999ms).releases, Names{});
-    EXPECT_EQ(decide(1ms).releases, (Names{"m1", "m2"}));
-    provisioner->releaseAnswered(true, now);
-    EXPECT_EQ(decide(499ms).releases, Names{});
-    EXPECT_EQ(decide(1ms).releases, (Names{"m1", "m2"}));
+    EXPECT_EQ(decide(10s).scaleIn, Names{});
+    autoscaler->scaleInCompleted(false, now);
+    EXPECT_EQ(decide(1999ms).scaleIn, Names{});
+    EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
+    autoscaler->scaleInCompleted(true, now);
+    EXPECT_EQ(decide(499ms).scaleIn, Names{});
+    EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
 }
 
 TEST_F(ProvisionerTest, AReleaseHasAHundredMachinesAtMost) {
     for (int i = 0; i < 130; ++i) machine(std::string("m").append(std::to_string(i))).draining = true;
-    EXPECT_EQ(decide().releases.size(), 100u);
+    EXPECT_EQ(decide().scaleIn.size(), 100u);
 }
 
 TEST_F(ProvisionerTest, MachinesAreListedTwicePerLagAndOneListAtATime) {
     EXPECT_TRUE(decide().listMachines);
     EXPECT_FALSE(decide(100s).listMachines);
-    provisioner->machinesListed();
+    autoscaler->machinesListed();
     EXPECT_TRUE(decide().listMachines);
-    provisioner->machinesListed();
+    autoscaler->machinesListed();
     EXPECT_FALSE(decide(4999ms).listMachines);
     EXPECT_TRUE(decide(1ms).listMachines);
 }
@@ -191,81 +192,81 @@
 }
 
 TEST_F(ProvisionerTest, TheBudgetOfRequestsIsKeptToAndRentingGoesFirst) {
-    settings.cloudRps = 2.5;  // of which four fifths are used
+    settings.cloudRequestsPerSecond = 2.5;  // of which four fifths are used
     begin();
     Job job;
     prepare(job, "wk-1", 120);
     order = {&job};
     machine("m1").draining = true;
     const auto first = decide(0s);
-    EXPECT_EQ(first.rentals.size(), 2u);
-    EXPECT_EQ(first.releases, Names{});
+    EXPECT_EQ(first.scaleOuts.size(), 2u);
+    EXPECT_EQ(first.scaleIn, Names{});
     EXPECT_FALSE(first.listMachines || first.listTypes);
     const auto second = decide(1s);
-    EXPECT_EQ(second.rentals.size(), 1u);
-    EXPECT_EQ(second.releases, Names{"m1"});
+    EXPECT_EQ(second.scaleOuts.size(), 1u);
+    EXPECT_EQ(second.scaleIn, Names{"m1"});
     EXPECT_FALSE(second.listMachines || second.listTypes);
 }
 
-struct RentalAnswersTest : ProvisionerTest {
+struct InstanceRequestAnswersTest : ProvisionerTest {
     Job job;
 
-    RentalAnswersTest() {
+    InstanceRequestAnswersTest() {
         prepare(job, "wk-1", 3);
         order = {&job};
     }
-    /// The count of the only rental asked for now.
+    /// The count of the only instance request asked for now.
     std::uint32_t rented() {
-        const auto rentals = decide(0s).rentals;
-        EXPECT_EQ(rentals.size(), 1u);
-        return rentals.empty() ? 0 : rentals[0].count;
+        const auto scaleOuts = decide(0s).scaleOuts;
+        EXPECT_EQ(scaleOuts.size(), 1u);
+        return scaleOuts.empty() ? 0 : scaleOuts[0].count;
     }
 };
 
-TEST_F(RentalAnswersTest, AGrantInFullIsNoRefusal) {
+TEST_F(InstanceRequestAnswersTest, AVoteInFullIsNoRefusal) {
     ASSERT_EQ(rented(), 3u);
-    const auto request = provisioner->rentalAnswered("r-7-1", RentalOutcome::carriedOut, 3, now);
+    const auto request = autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now);
     ASSERT_TRUE(request);
     EXPECT_EQ(request->type, "plain");
-    EXPECT_FALSE(provisioner->refusals().remembered({"plain", "z", false}));
-    EXPECT_FALSE(provisioner->rentalAnswered("r-7-1", RentalOutcome::carriedOut, 3, now));
+    EXPECT_FALSE(autoscaler->capacityErrors().remembered({"plain", "z", false}));
+    EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now));
 }
 
-TEST_F(RentalAnswersTest, AGrantInPartAndARefusalMakeForAPause) {
+TEST_F(InstanceRequestAnswersTest, AVoteInPartAndARefusalMakeForAPause) {
     ASSERT_EQ(rented(), 3u);
-    EXPECT_TRUE(provisioner->rentalAnswered("r-7-1", RentalOutcome::carriedOut, 2, now));
-    EXPECT_TRUE(provisioner->refusals().refused({"plain", "z", false}, now));
-    const auto elsewhere = decide(0s).rentals;
+    EXPECT_TRUE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 2, now));
+    EXPECT_TRUE(autoscaler->capacityErrors().refused({"plain", "z", false}, now));
+    const auto elsewhere = decide(0s).scaleOuts;
     ASSERT_EQ(elsewhere.size(), 1u);
     EXPECT_EQ(elsewhere[0].type, "slow");
-    EXPECT_TRUE(provisioner->rentalAnswered(elsewhere[0].name, RentalOutcome::turnedDown, 0, now));
-    EXPECT_TRUE(decide(1s).rentals.empty());
-    EXPECT_FALSE(decide(3s).rentals.empty());
+    EXPECT_TRUE(autoscaler->scaleOutCompleted(elsewhere[0].name, InstanceRequestOutcome::rejected, 0, now));
+    EXPECT_TRUE(decide(1s).scaleOuts.empty());
+    EXPECT_FALSE(decide(3s).scaleOuts.empty());
 }
 
-TEST_F(RentalAnswersTest, AnUnknownOutcomeIsRepeatedUnderItsNameAndNothingElseIsRentedMeanwhile) {
+TEST_F(InstanceRequestAnswersTest, AnUnknownOutcomeIsRepeatedUnderItsNameAndNothingElseIsRentedMeanwhile) {
     ASSERT_EQ(rented(), 3u);
-    EXPECT_FALSE(provisioner->rentalAnswered("r-7-1", RentalOutcome::unknown, 0, now));
-    EXPECT_FALSE(provisioner->refusals().remembered({"plain", "z", false}));
-    EXPECT_TRUE(decide(1999ms).rentals.empty());
-    const auto again = decide(1ms).rentals;
+    EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::unknown, 0, now));
+    EXPECT_FALSE(autoscaler->capacityErrors().remembered({"plain", "z", false}));
+    EXPECT_TRUE(decide(1999ms).scaleOuts.empty());
+    const auto again = decide(1ms).scaleOuts;
     ASSERT_EQ(again.size(), 1u);
     EXPECT_EQ(again[0].name, "r-7-1");
 }
 
 TEST_F(ProvisionerTest, AMachineHasVanishedOnceEachListWouldShowIt) {
-    machine("m1").reports = false;
-    machine("m2").reports = false;
+    machine("m1").sendsHeartbeats = false;
+    machine("m2").sendsHeartbeats = false;
     machine("m3");  // it reports
     auto& leaving = machine("m4");
-    leaving.reports = false;
-    leaving.releasing = true;
+    leaving.sendsHeartbeats = false;
+    leaving.deletionRequested = true;
     auto& unheard = machine("m5");
-    unheard.reports = false;
+    unheard.sendsHeartbeats = false;
     fleet.setReconciled(unheard, false);
     const auto gone = [&](Clock::duration after) {
         Names names;
-        for (const auto* machine : provisioner->vanished(fleet, {"m2"}, now + after))
+        for (const auto* machine : autoscaler->vanished(fleet, {"m2"}, now + after))
             names.push_back(machine->id);
         return names;
     };
--- a/tests/capacity_plan_test.cpp
+++ b/tests/capacity_plan_test.cpp
@@ -1,28 +1,29 @@
-#include "coordination/capacity_plan.h"
+#include "coordination/autoscaling/capacity_plan.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "bookkeeping/machine_types.h"
+
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
 using bookkeeping::Offering;
-using bookkeeping::RosterState;
+using bookkeeping::RegistrationState;
 using coordination::CapacityPlan;
-using coordination::MachineTypes;
+using protocol::JobKind;
 using protocol::JobSpec;
-using protocol::Kind;
-using protocol::Seconds;
-using transport::Time;
 
 namespace {
 
 using ToRent = std::map<Offering, std::uint32_t>;
 using Names = std::set<std::string>;
 
-JobSpec make(const std::string& id, std::uint32_t tasks, double cpus, Kind kind = Kind::service) {
+JobSpec make(const std::string& id, std::uint32_t tasks, double cpus, JobKind kind = JobKind::service) {
     JobSpec spec;
     spec.id = id;
     spec.team = "free";
@@ -41,8 +42,8 @@
     bookkeeping::StateReplica replica;
     Fleet fleet;
     MachineTypes types;
-    coordination::RentalRequests pending{7};
-    coordination::RentalRefusals refusals;
+    coordination::InstanceRequestQueue pending{7};
+    coordination::CapacityErrors capacityErrors;
     Time now{1000s};
     std::vector<std::unique_ptr<Job>> jobs;
 
@@ -58,9 +59,9 @@
         auto& added = fleet.add(id, now);
         added.type = type;
         added.zone = zone;
-        added.kind = &types.at(type);
-        added.session = 1;
-        added.reports = true;
+        added.typeInfo = &types.at(type);
+        added.incarnation = 1;
+        added.sendsHeartbeats = true;
         fleet.setReconciled(added, true);
         return added;
     }
@@ -73,8 +74,8 @@
     }
     /// A plan of all jobs in the order in which they were made.
     CapacityPlan plan() {
-        const auto due = [](const Job& job) { return Time(std::chrono::milliseconds(*job.dueMs)); };
-        CapacityPlan out({settings, policy, replica, fleet, types, pending, refusals, due, now});
+        const auto due = [](const Job& job) { return Time(std::chrono::milliseconds(*job.dueAtMs)); };
+        CapacityPlan out({settings, policy, replica, fleet, types, pending, capacityErrors, due, now});
         for (const auto& added : jobs) out.add(*added);
         return out;
     }
@@ -86,17 +87,17 @@
     machine("m2");
     machine("m3");
     job(make("wk-1", 4, 4));
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
     EXPECT_EQ(plan().neededMachines(), (Names{"m1", "m2"}));
 }
 
 TEST_F(CapacityPlanTest, WhatIsLeftOverRentsTheCheapestPerTask) {
     machine("m1");
     job(make("wk-1", 5, 4));  // two on m1
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 2}}));
     types["large"].price = 2;
     job(make("wk-2", 8, 4));
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 2}, {{"large", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 2}, {{"large", "z", false}, 1}}));
 }
 
 TEST_F(CapacityPlanTest, SpotMachinesAreRentedOnlyWhereTheOwnerAllowsThem) {
@@ -106,34 +107,34 @@
     spec.id = "wk-2";
     spec.cpus = 8;
     job(spec);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}, {plain("z", true), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}, {plain("z", true), 1}}));
 }
 
 TEST_F(CapacityPlanTest, MachinesOnTheirWayAreNotRentedAgain) {
     pending.add(plain(), 2, now);
     pending.add({"unknown", "z", false}, 5, now);
     job(make("wk-1", 6, 4));
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
 }
 
 TEST_F(CapacityPlanTest, MachinesThatLeaveOrAreLostHaveNoRoom) {
     machine("m1").draining = true;
-    machine("m2").releasing = true;
+    machine("m2").deletionRequested = true;
     machine("m3").failed = true;
-    machine("m4").recallAt = now + 30s;
+    machine("m4").interruptionAt = now + 30s;
     machine("m5").unreachableSince = now;
     machine("m6").errorJobs = {"wk-8", "wk-9"};
-    machine("m7").reports = false;  // it was up: lost
-    machine("m8").kind = nullptr;
+    machine("m7").sendsHeartbeats = false;  // it was up: lost
+    machine("m8").typeInfo = nullptr;
     job(make("wk-1", 1, 8));
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
     auto& booting = machine("m9");
-    booting.session = 0;
-    booting.reports = false;
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    booting.incarnation = 0;
+    booting.sendsHeartbeats = false;
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
     EXPECT_EQ(plan().neededMachines(), Names{"m9"});
-    replica.roster["m9"] = {{"address", "plain", "z", false}, 1};  // an earlier leader heard it
+    replica.registeredMachines["m9"] = {{"address", "plain", "z", false}, 1};  // an earlier leader heard it
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
@@ -142,11 +143,11 @@
     auto& first = job(make("wk-1", 1, 8));
     auto& second = job(make("wk-2", 1, 8));
     fleet.reserve(reserved, &second, now + 10s);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
     fleet.reserve(reserved, &first, now);  // over
     second.run->waiting = 0;
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
 }
 
 TEST_F(CapacityPlanTest, ATeamsLimitCountsWhatIsUsedAndWhatIsPlanned) {
@@ -159,132 +160,132 @@
     spec.id = "wk-2";
     spec.cpus = 4;
     job(spec);  // of 8 processors 2 are used and 2 planned
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
     spec.id = "wk-3";
     job(spec);
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
     running.run->waiting = 0;
-    EXPECT_EQ(plan().toRent(), ToRent{});  // wk-2 has its one task on m1
-    settings.teams[1].cpusMax = 10;
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), ToRent{});  // wk-2 has its one task on m1
+    settings.teams[1].maxCpus = 10;
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
 }
 
 TEST_F(CapacityPlanTest, ArraysArePackedForTheirHorizon) {
     policy.backlogHorizon = Seconds(45);
-    auto spec = make("wk-1", 30, 8, Kind::array);
-    spec.estimate = Seconds(15);
+    auto spec = make("wk-1", 30, 8, JobKind::array);
+    spec.estimatedRunTime = Seconds(15);
     auto& array = job(spec);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 10}}));  // three rounds
-    array.dueMs = 1'060'000;                              // due in 60 s: two rounds in half of that
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 15}}));
-    array.dueMs.reset();
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 10}}));  // three rounds
+    array.dueAtMs = 1'060'000;                                     // due in 60 s: two rounds in half of that
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 15}}));
+    array.dueAtMs.reset();
     array.spec.deadline = Seconds(300);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 3}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 3}}));
     array.run->waitingSince = now - 135s;  // all but one round is over
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 30}}));
-    array.spec.kind = Kind::service;
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 30}}));
+    array.spec.kind = JobKind::service;
     array.run->waitingSince = now;
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 30}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 30}}));
 }
 
 TEST_F(CapacityPlanTest, AGangGoesWhereMostOfItHasRoomAndTheRestCanBeRented) {
     types["plain"].zones = {"y", "z"};
     machine("m1", "plain", "z");
-    auto spec = make("wk-1", 3, 8, Kind::gang);
-    spec.oneZone = true;
+    auto spec = make("wk-1", 3, 8, JobKind::gang);
+    spec.singleZone = true;
     job(spec);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("z"), 2}}));
-    refusals.note(plain("z"), now);
-    refusals.note({"large", "z", false}, now);
-    refusals.note({"gpu", "z", false}, now);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("y"), 3}}));
-    refusals.note(plain("y"), now);
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 2}}));
+    capacityErrors.note(plain("z"), now);
+    capacityErrors.note({"large", "z", false}, now);
+    capacityErrors.note({"gpu", "z", false}, now);
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 3}}));
+    capacityErrors.note(plain("y"), now);
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
 TEST_F(CapacityPlanTest, GangsThatAllHaveToRentAreSpreadOverTheZones) {
     types["plain"].zones = {"y", "z"};
-    auto spec = make("wk-1", 2, 8, Kind::gang);
-    spec.oneZone = true;
+    auto spec = make("wk-1", 2, 8, JobKind::gang);
+    spec.singleZone = true;
     job(spec);
     spec.id = "wk-2";
     job(spec);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("y"), 2}, {plain("z"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 2}, {plain("z"), 2}}));
 }
 
 TEST_F(CapacityPlanTest, AGangThatRunsPartlyStaysInItsZone) {
     types["plain"].zones = {"y", "z"};
-    auto spec = make("wk-1", 3, 8, Kind::gang);
-    spec.oneZone = true;
+    auto spec = make("wk-1", 3, 8, JobKind::gang);
+    spec.singleZone = true;
     auto& gang = job(spec);
     fleet.place(machine("m1", "plain", "z"), gang, 0, 1, bookkeeping::PlacementState::running, now);
     machine("m2", "plain", "y");
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("z"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 2}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
 TEST_F(CapacityPlanTest, SpreadReplicasHaveHalfInAZoneAtMost) {
     auto spec = make("wk-1", 5, 8);
-    spec.spread = true;
+    spec.spreadZones = true;
     job(spec);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("z"), 3}}));  // there is no other zone to rent in
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 3}}));  // there is no other zone to rent in
     types["plain"].zones = {"z", "y"};
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("z"), 3}, {plain("y"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 3}, {plain("y"), 2}}));
 }
 
 TEST_F(CapacityPlanTest, PlainWorkIsNoReasonToKeepOrRentAnAcceleratorMachine) {
     machine("m1", "gpu");
     job(make("wk-1", 3, 8));
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
     auto spec = make("wk-2", 1, 8);
     spec.types = {"gpu"};
     job(spec);
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}, {{"gpu", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}, {{"gpu", "z", false}, 1}}));
     std::swap(jobs[0], jobs[1]);
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
 }
 
 TEST_F(CapacityPlanTest, ArraysRentAcceleratorMachinesOnlyAtTwiceThePlainPriceAtMost) {
     types.erase("large");
-    refusals.note(plain(), now);
-    auto spec = make("wk-1", 1, 8, Kind::array);
-    spec.estimate = Seconds(100);
+    capacityErrors.note(plain(), now);
+    auto spec = make("wk-1", 1, 8, JobKind::array);
+    spec.estimatedRunTime = Seconds(100);
     job(spec);
-    EXPECT_EQ(plan().toRent(), ToRent{});  // four times the price of a plain processor
+    EXPECT_EQ(plan().missingMachines(), ToRent{});  // four times the price of a plain processor
     types["gpu"].price = 4;
-    EXPECT_EQ(plan().toRent(), (ToRent{{{"gpu", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{{"gpu", "z", false}, 1}}));
     types["gpu"].price = 4.1;
-    EXPECT_EQ(plan().toRent(), ToRent{});
-    jobs[0]->spec.kind = Kind::service;
-    EXPECT_EQ(plan().toRent(), (ToRent{{{"gpu", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    jobs[0]->spec.kind = JobKind::service;
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{{"gpu", "z", false}, 1}}));
 }
 
 TEST_F(CapacityPlanTest, WhatWasRefusedLatelyIsAskedForAFewOnlyAndTheRestElsewhere) {
     types["plain"].zones = {"z", "y"};
-    refusals.note(plain("z"), now);
+    capacityErrors.note(plain("z"), now);
     job(make("wk-1", 10, 8));
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("y"), 10}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 10}}));
     now += 4s;  // the pause is over
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain("z"), 3}, {plain("y"), 7}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 3}, {plain("y"), 7}}));
 }
 
 TEST_F(CapacityPlanTest, NothingIsRentedForWhatIsOverOrFailsEverywhere) {
     auto& job1 = job(make("wk-1", 1, 8));
     for (const auto* id : {"m1", "m2"}) job1.run->errorMachines[id] = now;
-    EXPECT_EQ(plan().toRent(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
     job1.run->errorMachines["m3"] = now;
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
     job1.run->errorMachines.clear();
-    job1.final = bookkeeping::Final::cancelled;
+    job1.terminalState = bookkeeping::TerminalState::cancelled;
     job1.run.reset();
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
 }
 
 TEST_F(CapacityPlanTest, NothingIsRentedThatIsTooSmall) {
     job(make("wk-1", 1, 64));
-    EXPECT_EQ(plan().toRent(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), ToRent{});
 }
 
 }  // namespace burlpoint::tests
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,10 +1,13 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include "base/clock.h"
 #include "protocol/cloud_messages.h"
+#include "protocol/errors.h"
 #include "protocol/job_messages.h"
+#include "protocol/msgpack_codec.h"
 #include "protocol/peer_messages.h"
-#include "protocol/state_messages.h"
+#include "protocol/store_messages.h"
 #include "protocol/worker_messages.h"
 #include "storage/records.h"
 
@@ -26,7 +29,7 @@
     s.id = jobId();
     s.jobClass = shortName();
     s.team = shortName();
-    s.kind = *rc::gen::element(Kind::array, Kind::gang, Kind::service);
+    s.kind = *rc::gen::element(JobKind::array, JobKind::gang, JobKind::service);
     s.priority = *rc::gen::element(Priority::low, Priority::normal, Priority::high, Priority::production);
     s.tasks = *rc::gen::inRange<std::uint32_t>(1, kMaxTasks + 1);
     s.cpus = amount();
@@ -36,25 +39,25 @@
     s.imageGb = amount();
     if (*rc::gen::arbitrary<bool>()) s.types = std::vector<std::string>{shortName(), shortName()};
     if (*rc::gen::arbitrary<bool>()) s.zone = shortName();
-    s.oneZone = *rc::gen::arbitrary<bool>();
-    s.spread = *rc::gen::arbitrary<bool>();
+    s.singleZone = *rc::gen::arbitrary<bool>();
+    s.spreadZones = *rc::gen::arbitrary<bool>();
     s.spot = *rc::gen::arbitrary<bool>();
-    s.estimate = Seconds(amount());
-    s.checkpoint = Seconds(amount());
-    s.save = Seconds(amount());
+    s.estimatedRunTime = Seconds(amount());
+    s.checkpointInterval = Seconds(amount());
+    s.saveTime = Seconds(amount());
     if (*rc::gen::arbitrary<bool>()) s.deadline = Seconds(amount());
     for (int i = *rc::gen::inRange(0, 4); i > 0; --i)
         s.dependencies.push_back("wk-" + std::to_string(i) + std::to_string(*rc::gen::inRange(0, 1000)));
     return s;
 }
 
-Report report() {
-    Report r{shortName(), "10.0.0.1:9000", shortName(), shortName(), *rc::gen::arbitrary<bool>(),
-             big(),       big(),           big(),       {},          {}};
-    if (*rc::gen::arbitrary<bool>()) r.notice = Seconds(amount());
+Heartbeat heartbeat() {
+    Heartbeat r{shortName(), "10.0.0.1:9000", shortName(), shortName(), *rc::gen::arbitrary<bool>(),
+                big(),       big(),           big(),       {},          {}};
+    if (*rc::gen::arbitrary<bool>()) r.interruptionNotice = Seconds(amount());
     const int tasks = *rc::gen::inRange(0, 20);
     for (int i = 0; i < tasks; ++i) {
-        TaskReport t;
+        TaskStatus t;
         t.attempt = {jobId(), *rc::gen::inRange<std::uint32_t>(0, kMaxTasks), big()};
         t.state = *rc::gen::element(TaskState::fetching, TaskState::waiting, TaskState::running,
                                     TaskState::saving, TaskState::exited);
@@ -88,12 +91,12 @@
     }
     try {
         decode(bytes);
-    } catch (const Malformed&) {
+    } catch (const MalformedMessage&) {
     }
 }
 
 std::string packed(const JobSpec& s) {
-    Packer p;
+    MessagePacker p;
     packSpec(p, s);
     return p.take();
 }
@@ -107,31 +110,35 @@
     survives(bytes, [](const std::string& b) { decodeSpec(unpackBody(b).get()); });
 }
 
-RC_GTEST_PROP(Codec, ReportRoundTrip, ()) {
-    const auto r = report();
-    const auto bytes = encodeReport(r);
-    RC_ASSERT(decodeReport(bytes) == r);
-    survives(bytes, [](const std::string& b) { decodeReport(b); });
+RC_GTEST_PROP(Codec, HeartbeatRoundTrip, ()) {
+    const auto r = heartbeat();
+    const auto bytes = encodeHeartbeat(r);
+    RC_ASSERT(decodeHeartbeat(bytes) == r);
+    survives(bytes, [](const std::string& b) { decodeHeartbeat(b); });
 }
 
-RC_GTEST_PROP(Codec, OrdersRoundTrip, ()) {
-    std::vector<Order> orders;
+RC_GTEST_PROP(Codec, CommandsRoundTrip, ()) {
+    std::vector<WorkerCommand> commands;
     const int count = *rc::gen::inRange(0, 10);
     for (int i = 0; i < count; ++i) {
-        Order order{*rc::gen::element(Op::start, Op::stop, Op::forget), {jobId(), 7, big()}, Seconds(0)};
-        if (order.op == Op::stop) order.grace = Seconds(amount());
-        orders.push_back(order);
+        WorkerCommand command{
+            *rc::gen::element(CommandKind::start, CommandKind::stop, CommandKind::acknowledge),
+            {jobId(), 7, big()},
+            Seconds(0)};
+        if (command.kind == CommandKind::stop) command.grace = Seconds(amount());
+        commands.push_back(command);
     }
-    RC_ASSERT(decodeOrders(encodeReportReply(big(), orders)) == orders);
-    const auto direct = encodeDirectOrders(big(), big(), orders);
-    RC_ASSERT(decodeOrders(direct) == orders);
-    survives(direct, [](const std::string& b) { decodeOrders(b); });
+    RC_ASSERT(decodeCommands(encodeHeartbeatResponse(big(), commands)) == commands);
+    const auto direct = encodeDirectCommands(big(), big(), commands);
+    RC_ASSERT(decodeCommands(direct) == commands);
+    survives(direct, [](const std::string& b) { decodeCommands(b); });
 }
 
 RC_GTEST_PROP(Codec, JobRecordRoundTrip, ()) {
     storage::JobRecord r;
     r.spec = spec();
-    r.final = *rc::gen::element(storage::Final::open, storage::Final::done, storage::Final::cancelled);
+    r.terminalState = *rc::gen::element(storage::TerminalState::none, storage::TerminalState::done,
+                                        storage::TerminalState::cancelled);
     r.acceptedMs = big();
     r.done = *rc::gen::inRange<std::uint32_t>(0, r.spec.tasks + 1);
     r.chunkTasks = *rc::gen::inRange<std::uint32_t>(1, 1u << 20);
@@ -175,12 +182,12 @@
     const auto tryAll = [&](auto decode) {
         try {
             decode();
-        } catch (const Malformed&) {
+        } catch (const MalformedMessage&) {
         }
     };
-    tryAll([&] { decodeReport(bytes); });
-    tryAll([&] { decodeRentedPage(bytes); });
-    tryAll([&] { decodeRentalReply(bytes); });
+    tryAll([&] { decodeHeartbeat(bytes); });
+    tryAll([&] { decodeInstancePage(bytes); });
+    tryAll([&] { decodeInstanceIds(bytes); });
     tryAll([&] { decodeTransactionReply(bytes); });
     tryAll([&] { decodeWatch(unpackBody(bytes).get()); });
     tryAll([&] { decodeKeyPage(unpackBody(bytes).get()); });
@@ -193,7 +200,7 @@
     // A list of 2^32-1 elements, a map, a text and deep nesting, each in a few bytes.
     for (const auto& bytes : {std::string("\xdd\xff\xff\xff\xff", 5), std::string("\xdf\xff\xff\xff\xff", 5),
                               std::string("\xdb\xff\xff\xff\xff", 5), std::string(5000, '\x91')})
-        EXPECT_THROW(unpackBody(bytes), Malformed);
+        EXPECT_THROW(unpackBody(bytes), MalformedMessage);
 }
 
 /// The job that a submission's body describes.
@@ -207,7 +214,7 @@
     const auto refused = [&](auto change) {
         auto s = good;
         change(s);
-        EXPECT_THROW(specOf(packed(s)), Malformed);
+        EXPECT_THROW(specOf(packed(s)), MalformedMessage);
     };
     refused([](auto& s) { s.id = "wk-"; });
     refused([](auto& s) { s.id = "job-12"; });
@@ -215,7 +222,7 @@
     refused([](auto& s) { s.tasks = kMaxTasks + 1; });
     refused([](auto& s) { s.cpus = -1; });
     refused([](auto& s) { s.memoryGb = std::numeric_limits<double>::infinity(); });
-    refused([](auto& s) { s.estimate = Seconds(std::nan("")); });
-    EXPECT_THROW(specOf(Packer().map(1).field("uid", "wk-1").take()), Malformed);
-    EXPECT_THROW(specOf(Packer().list(0).take()), Malformed);
+    refused([](auto& s) { s.estimatedRunTime = Seconds(std::nan("")); });
+    EXPECT_THROW(specOf(MessagePacker().map(1).field("uid", "wk-1").take()), MalformedMessage);
+    EXPECT_THROW(specOf(MessagePacker().list(0).take()), MalformedMessage);
 }
--- a/tests/combined_failures_test.cpp
+++ b/tests/combined_failures_test.cpp
@@ -4,6 +4,7 @@
 
 #include <cstdlib>
 
+#include "base/clock.h"
 #include "histories.h"
 
 using namespace burlpoint;
@@ -17,7 +18,7 @@
     f.lose = 0.02;
     f.late = 0.02;
     f.crash = 0;
-    f.die = f.hang = f.cut = f.drainForRecall = 0.0005;
+    f.die = f.hang = f.cut = f.drainForInterruption = 0.0005;
     f.error = 0.01;
     f.unreachable = f.back = f.anew = f.sever = 0;
     f.copy = 0.01;
@@ -49,7 +50,7 @@
     std::size_t met = 0;
     for (const int seed : seeds) {
         World world(static_cast<std::uint64_t>(seed) * 0x9e3779b97f4a7c15u, scenario.faults);
-        if (seed % 2 == 0) world.settings.lease = Seconds(30);
+        if (seed % 2 == 0) world.settings.workerLease = Seconds(30);
         if (scenario.prepare) scenario.prepare(world);
         const auto wrong = play(world, scenario.time, scenario.script, scenario.make, scenario.mostJobs);
         ASSERT_EQ(wrong, "") << "seed " << seed;
@@ -66,7 +67,8 @@
 std::string someRunning(World& world) {
     std::vector<std::string> running;
     for (const auto& [id, spec] : world.jobs())
-        if (world.finalOf(id) == storage::Final::open && !world.holding(id).empty()) running.push_back(id);
+        if (world.terminalStateOf(id) == storage::TerminalState::none && !world.holding(id).empty())
+            running.push_back(id);
     return running.empty() ? ""
                            : running[static_cast<std::size_t>(world.below(static_cast<int>(running.size())))];
 }
@@ -106,7 +108,7 @@
     hold(m);
 }
 
-TEST(History, OldReportsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes) {
+TEST(History, OldHeartbeatsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes) {
     Scenario m;
     m.faults.copy = 0.4;
     m.faults.heldBack = 0.2;
@@ -150,7 +152,7 @@
     m.faults.heldBack = 0.1;
     m.script = [](World& world, int second) {
         if (second % 60 != 25) return;
-        world.endLeader(world.settings.lease * 1.0 + between(world, -1, 8));
+        world.endLeader(world.settings.workerLease * 1.0 + between(world, -1, 8));
         cancelSome(world, 2);
     };
     m.time = Seconds(120);
@@ -188,7 +190,7 @@
     Scenario m;
     m.faults = {};
     m.faults.lose = m.faults.late = m.faults.crash = m.faults.die = m.faults.hang = m.faults.cut = 0;
-    m.faults.error = m.faults.drainForRecall = m.faults.unreachable = m.faults.copy = m.faults.back = 0;
+    m.faults.error = m.faults.drainForInterruption = m.faults.unreachable = m.faults.copy = m.faults.back = 0;
     m.faults.anew = m.faults.sever = 0;
     m.faults.atEnd = 0.8;
     m.met = [](const World& world) { return world.met.endCancels; };
@@ -207,11 +209,11 @@
             const auto id = someRunning(world);
             if (id.empty()) return;
             for (const auto& machine : world.holding(id))
-                world.hang(machine, between(world, 1, world.settings.lease.count() * 1.1));
+                world.hang(machine, between(world, 1, world.settings.workerLease.count() * 1.1));
             world.cancel(id);
         }
     };
-    m.met = [](const World& world) { return std::min(world.met.heldOrders, world.met.hungCancels); };
+    m.met = [](const World& world) { return std::min(world.met.heldCommands, world.met.hungCancels); };
     hold(m);
 }
 
@@ -237,7 +239,7 @@
     };
     m.make = [](World& world, int number) {
         auto spec = randomJob(world, number);
-        spec.kind = Kind::array;
+        spec.kind = JobKind::array;
         spec.tasks = 2 + static_cast<std::uint32_t>(world.below(2));
         return spec;
     };
@@ -257,7 +259,7 @@
         if (second == 20) world.slowStore(Seconds(1.3));
         if (second == 40) world.slowStore(Seconds(0));
         if (second == 50) world.refuseLeader(Seconds(6));
-        if (second == 52) world.storeOutage(world.settings.cancel + Seconds(10));
+        if (second == 52) world.storeOutage(world.settings.cancelTimeout + Seconds(10));
         if (second >= 48 && second < 56) cancelSome(world, 1);
         if (second > 56 && second % 10 == 0) cancelSome(world, 1);
     };
@@ -269,9 +271,9 @@
     Scenario m;
     m.make = [](World& world, int number) {
         auto spec = randomJob(world, number);
-        spec.spread = false;
-        spec.oneZone = world.below(3) > 0;
-        if (!spec.oneZone) spec.zone = world.below(2) == 0 ? "a" : "b";
+        spec.spreadZones = false;
+        spec.singleZone = world.below(3) > 0;
+        if (!spec.singleZone) spec.zone = world.below(2) == 0 ? "a" : "b";
         return spec;
     };
     m.faults.crash = 0.01;
@@ -319,7 +321,7 @@
         half(world, [&](const std::string& id) { world.mute(id, between(world, 5, 45)); });
         cancelSome(world, 2);
     };
-    m.met = [](const World& world) { return world.met.muteOrders; };
+    m.met = [](const World& world) { return world.met.muteCommands; };
     hold(m);
 }
 
@@ -330,7 +332,7 @@
     m.faults.heldBack = 0.1;
     m.script = [](World& world, int second) {
         if (second % 60 != 20) return;
-        world.cutZone(world.below(2) == 0 ? "a" : "b", world.settings.lease + between(world, 1, 12),
+        world.cutZone(world.below(2) == 0 ? "a" : "b", world.settings.workerLease + between(world, 1, 12),
                       world.below(2) == 0);
         cancelSome(world, 2);
     };
@@ -347,18 +349,18 @@
             world.refuseLeader(Seconds(6));
             cancelSome(world, 6);
         }
-        if (second == 31) world.storeOutage(world.settings.cancel + Seconds(12));
+        if (second == 31) world.storeOutage(world.settings.cancelTimeout + Seconds(12));
     };
     hold(m);
 }
 
-TEST(History, AReportIsHeldBackUntilANewLeaderHasActed) {
+TEST(History, AHeartbeatIsHeldBackUntilANewLeaderHasActed) {
     Scenario m;
     m.faults.heldBack = 0.6;
     m.faults.back = 0.01;
     m.faults.crash = 0.05;
     m.faults.error = 0.1;
-    m.met = [](const World& world) { return world.met.heldReports; };
+    m.met = [](const World& world) { return world.met.heldHeartbeats; };
     hold(m);
 }
 
@@ -400,8 +402,8 @@
     m.faults.afterwards = 0.05;
     m.script = [](World& world, int second) {
         for (const auto& [id, spec] : world.jobs()) {
-            const bool ending =
-                spec.kind != Kind::service && world.allDone(id) && world.finalOf(id) == storage::Final::open;
+            const bool ending = spec.kind != JobKind::service && world.allDone(id) &&
+                                world.terminalStateOf(id) == storage::TerminalState::none;
             if (ending && world.below(2) == 0) {
                 world.cancel(id);
                 break;
@@ -421,7 +423,7 @@
     m.prepare = [](World& world) {
         world.longestRun = Seconds(6);
         world.lowerLimits(Seconds(20 + world.below(50)), {3, 1024, 4});
-        if (world.below(2) == 0) world.settings.nextState = protocol::StateLimits{4, 1, 3};
+        if (world.below(2) == 0) world.settings.nextStoreLimits = protocol::StoreLimits{4, 1, 3};
     };
     m.script = [](World& world, int second) {
         if (second % 30 == 12) world.storeOutage(between(world, 2, 20));
--- a/tests/node_test.cpp
+++ b/tests/controller_test.cpp
@@ -1,15 +1,20 @@
-#include "coordination/node.h"
+#include "coordination/controller/controller.h"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "state_stub.h"
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+#include "store_stub.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
 
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using protocol::Settings;
-using transport::Outcome;
+using transport::HttpResult;
 
 namespace {
 
@@ -18,14 +23,14 @@
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-/// Whole nodes on loopback around the stand-in for the state service; there is no cloud.
+/// Whole nodes on loopback around the stand-in for the key-value store; there is no cloud.
 struct Nodes : testing::Test {
     static constexpr char kNowhere[] = "127.0.0.1:1";
 
     asio::io_context io{1};
-    tests::StateStub stub{io};
-    tests::StateStub own{io, &stub};  // a way to the same store for one node
-    transport::Client http{io, 50};
+    tests::StoreStub stub{io};
+    tests::StoreStub own{io, &stub};  // a way to the same store for one node
+    transport::HttpClient http{io, 50};
     protocol::Policy policy;
     Settings one = settings("one"), two = settings("two"), three = settings("three");
 
@@ -33,53 +38,54 @@
         Settings s;
         s.name = name;
         s.zones = {"z"};
-        s.listen = freeAddress(io);
-        s.peerListen = freeAddress(io);
-        s.state = stub.address();
-        s.cloud = kNowhere;
+        s.listenAddress = freeAddress(io);
+        s.peerListenAddress = freeAddress(io);
+        s.storeAddress = stub.address();
+        s.cloudAddress = kNowhere;
         return s;
     }
-    static protocol::Peer peer(const Settings& s) { return {s.name, "z", s.peerListen}; }
+    static protocol::Peer peer(const Settings& s) { return {s.name, "z", s.peerListenAddress}; }
     static protocol::Peer unreachable(const Settings& s) { return {s.name, "z", kNowhere}; }
 
-    Outcome ask(const std::string& address, const std::string& path, const std::string& body = {}) {
-        std::optional<Outcome> out;
-        http.request(address, "POST", path, body, 4s, [&](Outcome outcome) { out = std::move(outcome); });
+    HttpResult ask(const std::string& address, const std::string& path, const std::string& body = {}) {
+        std::optional<HttpResult> out;
+        http.request(address, "POST", path, body, 4s, [&](HttpResult outcome) { out = std::move(outcome); });
         while (!out) io.run_one();
         return *out;
     }
-    Outcome report(const Settings& to, std::uint64_t token = 0,
-                   std::vector<protocol::TaskReport> tasks = {}) {
-        protocol::Report r{"m1", "127.0.0.1:1", "plain", "z", false,
-                           1,    ++sequence,    token,   {},  std::move(tasks)};
-        return ask(to.listen, protocol::paths::kReport, protocol::encodeReport(r));
+    HttpResult heartbeat(const Settings& to, std::uint64_t fencingToken = 0,
+                         std::vector<protocol::TaskStatus> tasks = {}) {
+        protocol::Heartbeat r{"m1", "127.0.0.1:1", "plain",      "z", false,
+                              1,    ++sequence,    fencingToken, {},  std::move(tasks)};
+        return ask(to.listenAddress, protocol::paths::kHeartbeat, protocol::encodeHeartbeat(r));
     }
     /// As a leader would ask.
     protocol::PeerStatus question(const Settings& to, const protocol::PeerStatus& status) {
         return protocol::decodePeerStatus(
-            ask(to.peerListen, protocol::paths::kPeer, protocol::encodePeerStatus(status)).body);
+            ask(to.peerListenAddress, protocol::paths::kPeer, protocol::encodePeerStatus(status)).body);
     }
-    std::uint64_t store(const protocol::JobSpec& spec, storage::Final final) {
+    std::uint64_t store(const protocol::JobSpec& spec, storage::TerminalState terminalState) {
         std::vector<std::string> failed;
         return stub.store.transact(
-            {}, {{storage::keys::job(spec.id), storage::encodeJob({spec, final, 0, 0, 4}), 0}}, failed);
+            {}, {{storage::keys::job(spec.id), storage::encodeJob({spec, terminalState, 0, 0, 4}), 0}},
+            failed);
     }
     static protocol::JobSpec job(const std::string& id) {
         protocol::JobSpec spec;
         spec.id = id;
         spec.jobClass = spec.image = std::string(1, 'x');
         spec.team = "team";
-        spec.kind = protocol::Kind::service;
+        spec.kind = protocol::JobKind::service;
         spec.cpus = 1;
         return spec;
     }
-    void runFor(transport::Duration time) {
-        const auto end = transport::Clock::now() + time;
-        while (transport::Clock::now() < end) io.run_one_for(5ms);
+    void runFor(Duration time) {
+        const auto end = Clock::now() + time;
+        while (Clock::now() < end) io.run_one_for(5ms);
     }
-    static std::string elsewhere(const Outcome& outcome) {
+    static std::string elsewhere(const HttpResult& outcome) {
         if (outcome.status != 421) return std::to_string(outcome.status);
-        return protocol::Fields(protocol::unpackBody(outcome.body).get())
+        return protocol::MapReader(protocol::unpackBody(outcome.body).get())
             .maybeText("harbormaster")
             .value_or("");
     }
@@ -93,90 +99,91 @@
     one.peers = {peer(two), unreachable(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {unreachable(one), peer(two)};
-    coordination::Node first(io, one, policy);
-    while (report(one).status != 200) runFor(50ms);
-    coordination::Node second(io, two, policy), third(io, three, policy);
-    while (elsewhere(report(three)) != "two") runFor(50ms);
-    const auto relayed = report(two);  // which passes it on
+    coordination::Controller first(io, one, policy);
+    while (heartbeat(one).status != 200) runFor(50ms);
+    coordination::Controller second(io, two, policy), third(io, three, policy);
+    while (elsewhere(heartbeat(three)) != "two") runFor(50ms);
+    const auto relayed = heartbeat(two);  // which passes it on
     EXPECT_EQ(relayed.status, 200);
-    EXPECT_EQ(protocol::Fields(protocol::unpackBody(relayed.body).get()).integer("helm"), 1u);
+    EXPECT_EQ(protocol::MapReader(protocol::unpackBody(relayed.body).get()).integer("helm"), 1u);
 }
 
-// A follower that the state service refuses is told of a new leader by that one alone. Seen on a simulated
+// A follower that the key-value store refuses is told of a new leader by that one alone. Seen on a simulated
 // day: it was the only node that both the leader and the workers behind a cut could reach.
 TEST_F(Nodes, AFollowerRefusedByTheStoreFindsTheNewLeader) {
-    two.state = own.address();
+    two.storeAddress = own.address();
     one.peers = {peer(two), peer(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {peer(one), peer(two)};
-    auto first = std::make_unique<coordination::Node>(io, one, policy);
-    while (report(one).status != 200) runFor(50ms);
-    coordination::Node second(io, two, policy), third(io, three, policy);
-    while (report(two).status != 200) runFor(50ms);  // it has read who leads
+    auto first = std::make_unique<coordination::Controller>(io, one, policy);
+    while (heartbeat(one).status != 200) runFor(50ms);
+    coordination::Controller second(io, two, policy), third(io, three, policy);
+    while (heartbeat(two).status != 200) runFor(50ms);  // it has read who leads
     own.outage = true;
     first.reset();
     stub.store.endLease(stub.store.values.at(storage::keys::kLeader).lease);
     stub.wake();
-    while (report(three).status != 200) runFor(50ms);
+    while (heartbeat(three).status != 200) runFor(50ms);
     // The next leader's question comes within a second; what is waited for is far less than these rounds
     // take.
     constexpr int kRounds = 400;
     int rounds = 0;
-    Outcome relayed;
+    HttpResult relayed;
     do {
         runFor(50ms);
-        relayed = report(two);
+        relayed = heartbeat(two);
     } while (relayed.status != 200 && ++rounds < kRounds);
     ASSERT_EQ(relayed.status, 200);
-    EXPECT_EQ(protocol::Fields(protocol::unpackBody(relayed.body).get()).integer("helm"), 2u);
+    EXPECT_EQ(protocol::MapReader(protocol::unpackBody(relayed.body).get()).integer("helm"), 2u);
 }
 
 // The gap: the store refuses the leader alone, another node confirms a cancellation, and then nobody is
-// served for longer than a cancelled task may go on. The grants that carry the leader through tell it what
+// served for longer than a cancelled task may go on. The votes that carry the leader through tell it what
 // to stop, and its other tasks go on.
-TEST_F(Nodes, GrantsTellALeaderWhatItsPeersHaveConfirmed) {
+TEST_F(Nodes, VotesTellALeaderWhatItsPeersHaveConfirmed) {
     std::vector<std::string> failed;
-    protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, protocol::Seconds(5), {"z"}};
+    protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
-    policy.leadership = protocol::Seconds(4);
+    policy.leadership = Seconds(4);
     for (auto* s : {&one, &two, &three}) s->teams = {{"team", 0, 0, 0, 0}};
-    one.state = own.address();
+    one.storeAddress = own.address();
     one.peers = {peer(two), peer(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {peer(one), peer(two)};
-    coordination::Node first(io, one, policy);
-    while (report(one).status != 200) runFor(50ms);
-    coordination::Node second(io, two, policy), third(io, three, policy);
+    coordination::Controller first(io, one, policy);
+    while (heartbeat(one).status != 200) runFor(50ms);
+    coordination::Controller second(io, two, policy), third(io, three, policy);
     for (const auto* id : {"wk-1", "wk-2"}) {
-        protocol::Packer p;
+        protocol::MessagePacker p;
         protocol::packSpec(p, job(id));
-        while (ask(two.listen, protocol::paths::kSubmissions, p.take()).status != 201) runFor(50ms);
+        while (ask(two.listenAddress, protocol::paths::kSubmissions, p.take()).status != 201) runFor(50ms);
     }
-    std::vector<protocol::TaskReport> tasks;
-    std::uint64_t token = 0;
+    std::vector<protocol::TaskStatus> tasks;
+    std::uint64_t fencingToken = 0;
     while (tasks.size() < 2) {
-        const auto answer = report(one, token, tasks);
+        const auto answer = heartbeat(one, fencingToken, tasks);
         ASSERT_EQ(answer.status, 200);
-        token = protocol::Fields(protocol::unpackBody(answer.body).get()).integer("helm");
-        for (const auto& order : protocol::decodeOrders(answer.body))
-            if (order.op == protocol::Op::start)
-                tasks.push_back({order.attempt, protocol::TaskState::running, {}, false});
+        fencingToken = protocol::MapReader(protocol::unpackBody(answer.body).get()).integer("helm");
+        for (const auto& command : protocol::decodeCommands(answer.body))
+            if (command.kind == protocol::CommandKind::start)
+                tasks.push_back({command.attempt, protocol::TaskState::running, {}, false});
         runFor(50ms);
     }
     runFor(1500ms);  // the others come to know this leader and each other
     own.outage = true;
     runFor(1200ms);  // too short to tell a refusal from an outage by
-    EXPECT_EQ(ask(two.listen, std::string(protocol::paths::kSubmissions) + "/wk-1/cancel").status, 200);
+    EXPECT_EQ(ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-1/cancel").status,
+              200);
     stub.outage = true;
     bool stopped = false;
     // For twice as long as the leader's own lease.
     for (int i = 0; i < 80; ++i) {
-        const auto answer = report(one, token, tasks);
+        const auto answer = heartbeat(one, fencingToken, tasks);
         ASSERT_EQ(answer.status, 200) << "in round " << i;
-        for (const auto& order : protocol::decodeOrders(answer.body)) {
-            EXPECT_EQ(order.op, protocol::Op::stop);
-            EXPECT_EQ(order.attempt.job, "wk-1");
-            std::erase_if(tasks, [&](const auto& t) { return t.attempt == order.attempt; });
+        for (const auto& command : protocol::decodeCommands(answer.body)) {
+            EXPECT_EQ(command.kind, protocol::CommandKind::stop);
+            EXPECT_EQ(command.attempt.job, "wk-1");
+            std::erase_if(tasks, [&](const auto& t) { return t.attempt == command.attempt; });
             stopped = true;
         }
         runFor(100ms);
@@ -185,40 +192,40 @@
     EXPECT_EQ(tasks.size(), 1u);
 }
 
-// A leader that is cut from the store and from its peers acts on until its tenure is over, and users are told
-// of cancellations elsewhere meanwhile. Seen on simulated days: it started tasks of such a job for six
-// seconds.
+// A leader that is cut from the store and from its peers acts on until its leader lease is over, and users
+// are told of cancellations elsewhere meanwhile. Seen on simulated days: it started tasks of such a job for
+// six seconds.
 TEST_F(Nodes, ALeaderThatCannotReadStartsNothing) {
     std::vector<std::string> failed;
-    protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, protocol::Seconds(5), {"z"}};
+    protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
-    policy.leadership = protocol::Seconds(8);
+    policy.leadership = Seconds(8);
     for (auto* s : {&one, &two}) {
         s->teams = {{"team", 0, 0, 0, 0}};
-        s->lease = protocol::Seconds(24);
-        s->cancel = protocol::Seconds(44);
+        s->workerLease = Seconds(24);
+        s->cancelTimeout = Seconds(44);
     }
-    one.state = own.address();
+    one.storeAddress = own.address();
     one.peers = {unreachable(two)};
     two.peers = {unreachable(one)};
-    coordination::Node first(io, one, policy);
-    while (report(one).status != 200) runFor(50ms);
-    coordination::Node second(io, two, policy);
-    protocol::Packer p;
+    coordination::Controller first(io, one, policy);
+    while (heartbeat(one).status != 200) runFor(50ms);
+    coordination::Controller second(io, two, policy);
+    protocol::MessagePacker p;
     protocol::packSpec(p, job("wk-1"));
     const auto body = p.take();
-    while (ask(two.listen, protocol::paths::kSubmissions, body).status != 201) runFor(50ms);
-    std::vector<protocol::TaskReport> tasks;
-    std::uint64_t token = 0;
+    while (ask(two.listenAddress, protocol::paths::kSubmissions, body).status != 201) runFor(50ms);
+    std::vector<protocol::TaskStatus> tasks;
+    std::uint64_t fencingToken = 0;
     int starts = 0;
     const auto round = [&] {
-        const auto answer = report(one, token, tasks);
+        const auto answer = heartbeat(one, fencingToken, tasks);
         ASSERT_EQ(answer.status, 200);
-        token = protocol::Fields(protocol::unpackBody(answer.body).get()).integer("helm");
-        for (const auto& order : protocol::decodeOrders(answer.body)) {
-            if (order.op == protocol::Op::forget) tasks.clear();
-            if (order.op != protocol::Op::start) continue;
-            tasks = {{order.attempt, protocol::TaskState::running, {}, false}};
+        fencingToken = protocol::MapReader(protocol::unpackBody(answer.body).get()).integer("helm");
+        for (const auto& command : protocol::decodeCommands(answer.body)) {
+            if (command.kind == protocol::CommandKind::acknowledge) tasks.clear();
+            if (command.kind != protocol::CommandKind::start) continue;
+            tasks = {{command.attempt, protocol::TaskState::running, {}, false}};
             ++starts;
         }
         runFor(100ms);
@@ -236,25 +243,25 @@
     round();
     own.outage = true;
     const auto cancel = std::string(protocol::paths::kSubmissions).append("/wk-1/cancel");
-    while (ask(two.listen, cancel).status != 200) runFor(50ms);
+    while (ask(two.listenAddress, cancel).status != 200) runFor(50ms);
     runFor(1600ms);
     end();
     // Whether it is entitled all that time is for the clock; what it must not do is not.
     for (int i = 0; i < 20; ++i) {
-        const auto answer = report(one, token, tasks);
+        const auto answer = heartbeat(one, fencingToken, tasks);
         if (answer.status != 200) break;
-        for (const auto& order : protocol::decodeOrders(answer.body))
-            EXPECT_NE(order.op, protocol::Op::start);
+        for (const auto& command : protocol::decodeCommands(answer.body))
+            EXPECT_NE(command.kind, protocol::CommandKind::start);
         runFor(100ms);
     }
 }
 
 // What does not fit one message comes in parts, and no grant before the last. A process that is not the one
 // that was asked before begins anew.
-TEST_F(Nodes, APeerGrantsOnlyOnceItHasToldEverything) {
+TEST_F(Nodes, APeerVotesOnlyOnceItHasToldEverything) {
     std::uint64_t middle = 0;
     for (int i = 0; i < 1200; ++i) {
-        const auto revision = store(job("wk-" + std::to_string(i)), storage::Final::cancelled);
+        const auto revision = store(job("wk-" + std::to_string(i)), storage::TerminalState::cancelled);
         if (i == 599) middle = revision;
     }
     std::vector<std::string> failed;
@@ -263,14 +270,14 @@
                          {storage::keys::kToken, storage::encodeToken(7), 0}},
                         failed);
     two.peers = {peer(one), unreachable(three)};
-    one.peerListen = kNowhere;
-    coordination::Node second(io, two, policy);
+    one.peerListenAddress = kNowhere;
+    coordination::Controller second(io, two, policy);
     protocol::PeerStatus asking;
     asking.node = "one";
-    asking.token = 7;
+    asking.fencingToken = 7;
     asking.revision = stub.store.revision;
     while (question(two, asking).log == 0) runFor(50ms);
-    while (ask(two.listen, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
+    while (ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
         runFor(50ms);
     stub.outage = true;
     while (question(two, asking).grantMs == 0) runFor(50ms);
--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -8,8 +8,10 @@
 #include <iostream>
 #include <sstream>
 
+#include "base/clock.h"
 #include "histories.h"
 #include "protocol/cloud_messages.h"
+#include "protocol/msgpack_codec.h"
 #include "protocol/peer_messages.h"
 #include "storage/records.h"
 
@@ -34,25 +36,27 @@
 }
 
 // The trace has to stay the same when types and fields are renamed, so it uses words and numbers of its own.
-std::string describe(const std::vector<Order>& orders) { return hex(protocol::encodeReportReply(0, orders)); }
+std::string describe(const std::vector<WorkerCommand>& commands) {
+    return hex(protocol::encodeHeartbeatResponse(0, commands));
+}
 
-std::string describe(const coordination::AnswerReport& action) {
+std::string describe(const coordination::AnswerHeartbeat& action) {
     return "answer-heartbeat " + std::to_string(action.request) +
-           (action.accepted ? " accepted " : " refused ") + describe(action.orders);
+           (action.accepted ? " accepted " : " refused ") + describe(action.commands);
 }
-std::string describe(const coordination::SendOrders& action) {
-    return "command " + action.machine + " " + action.address + " " + std::to_string(action.session) + " " +
-           std::to_string(action.known.session) + "." + std::to_string(action.known.sequence) + " " +
-           describe(action.orders);
+std::string describe(const coordination::SendCommands& action) {
+    return "command " + action.machine + " " + action.address + " " + std::to_string(action.incarnation) +
+           " " + std::to_string(action.known.incarnation) + "." + std::to_string(action.known.sequence) +
+           " " + describe(action.commands);
 }
 std::string describe(const coordination::WriteState& action) {
     return "write " + hex(protocol::encodeTransaction(action.conditions, action.writes));
 }
 std::string describe(const coordination::RefreshReplica&) { return "refresh"; }
-std::string describe(const coordination::Rent& action) {
-    return "scale-out " + hex(protocol::encodeRental(action.request));
+std::string describe(const coordination::ScaleOut& action) {
+    return "scale-out " + hex(protocol::encodeInstanceRequest(action.request));
 }
-std::string describe(const coordination::Release& action) { return "scale-in" + joinedIds(action.machines); }
+std::string describe(const coordination::ScaleIn& action) { return "scale-in" + joinedIds(action.machines); }
 std::string describe(const coordination::ListMachines&) { return "list-machines"; }
 std::string describe(const coordination::ListTypes&) { return "list-types"; }
 std::string describe(const coordination::Resign& action) {
@@ -109,7 +113,7 @@
     spec.id = "wk-000412";
     spec.jobClass = "train";
     spec.team = "vision";
-    spec.kind = Kind::gang;
+    spec.kind = JobKind::gang;
     spec.priority = protocol::Priority::high;
     spec.tasks = 16;
     spec.cpus = 8.5;
@@ -119,10 +123,10 @@
     spec.imageGb = 6.25;
     spec.types = std::vector<std::string>{"g8", "c4"};
     spec.zone = "a";
-    spec.oneZone = spec.spot = true;
-    spec.estimate = Seconds(240);
-    spec.checkpoint = Seconds(30);
-    spec.save = Seconds(4);
+    spec.singleZone = spec.spot = true;
+    spec.estimatedRunTime = Seconds(240);
+    spec.checkpointInterval = Seconds(30);
+    spec.saveTime = Seconds(4);
     spec.deadline = Seconds(900);
     spec.dependencies = {"wk-000398", "wk-000405"};
     return spec;
@@ -133,13 +137,13 @@
 }
 
 void traceJobMessages() {
-    protocol::Packer packed;
+    protocol::MessagePacker packed;
     protocol::packSpec(packed, fullSpec());
     writeEncoding("job", packed.take());
     writeEncoding("minimal-job", [] {
         JobSpec minimal;
         minimal.id = "wk-1";
-        protocol::Packer packer;
+        protocol::MessagePacker packer;
         protocol::packSpec(packer, minimal);
         return packer.take();
     }());
@@ -151,29 +155,30 @@
 void traceWorkerMessages() {
     using protocol::ExitReason;
     using protocol::TaskState;
-    Report report{"m-1", "10.0.0.1:9000", "g8", "a", true, 2, 88, 41, Seconds(12.5), {}};
+    Heartbeat heartbeat{"m-1", "10.0.0.1:9000", "g8", "a", true, 2, 88, 41, Seconds(12.5), {}};
     for (const auto state : {TaskState::fetching, TaskState::waiting, TaskState::running, TaskState::saving})
-        report.tasks.push_back(
+        heartbeat.tasks.push_back(
             {{"wk-1", static_cast<std::uint32_t>(state), 7}, state, ExitReason::none, false});
     for (const auto why : {ExitReason::done, ExitReason::stopped, ExitReason::peers, ExitReason::alone,
                            ExitReason::error, ExitReason::noRoom, ExitReason::busy, ExitReason::unknown})
-        report.tasks.push_back({{"wk-2", static_cast<std::uint32_t>(why), 8},
-                                TaskState::exited,
-                                why,
-                                why == ExitReason::stopped});
-    writeEncoding("heartbeat", protocol::encodeReport(report));
-    const std::vector<Order> orders{{protocol::Op::start, {"wk-1", 0, 1}, Seconds(0)},
-                                    {protocol::Op::stop, {"wk-1", 1, 2}, Seconds(10.5)},
-                                    {protocol::Op::forget, {"wk-1", 2, 3}, Seconds(0)}};
-    writeEncoding("heartbeat-reply", protocol::encodeReportReply(41, orders));
-    writeEncoding("direct-command", protocol::encodeDirectOrders(41, 2, orders));
-    writeEncoding("elsewhere", protocol::encodeElsewhere("node-2"));
-    writeEncoding("elsewhere-unknown", protocol::encodeElsewhere(""));
+        heartbeat.tasks.push_back({{"wk-2", static_cast<std::uint32_t>(why), 8},
+                                   TaskState::exited,
+                                   why,
+                                   why == ExitReason::stopped});
+    writeEncoding("heartbeat", protocol::encodeHeartbeat(heartbeat));
+    const std::vector<WorkerCommand> commands{
+        {protocol::CommandKind::start, {"wk-1", 0, 1}, Seconds(0)},
+        {protocol::CommandKind::stop, {"wk-1", 1, 2}, Seconds(10.5)},
+        {protocol::CommandKind::acknowledge, {"wk-1", 2, 3}, Seconds(0)}};
+    writeEncoding("heartbeat-reply", protocol::encodeHeartbeatResponse(41, commands));
+    writeEncoding("direct-command", protocol::encodeDirectCommands(41, 2, commands));
+    writeEncoding("elsewhere", protocol::encodeRedirect("node-2"));
+    writeEncoding("elsewhere-unknown", protocol::encodeRedirect(""));
 }
 
 void traceOtherMessages() {
-    writeEncoding("rental", protocol::encodeRental({"r-17", "g8", "a", true, 12}));
-    writeEncoding("release", protocol::encodeRelease({"m-1", "m-2"}));
+    writeEncoding("rental", protocol::encodeInstanceRequest({"r-17", "g8", "a", true, 12}));
+    writeEncoding("release", protocol::encodeInstanceDeletion({"m-1", "m-2"}));
     writeEncoding("types", protocol::encodeMachineTypes(
                                {{"g8", 96, 8, 768, 200, 1.5, 12, 4.5, Seconds(45), {"a", "b"}}}));
     writeEncoding("transaction",
@@ -186,16 +191,17 @@
     for (const auto& path : {protocol::paths::extendLease(7), protocol::paths::lease(7),
                              protocol::paths::keyPage("bp/", "bp/job/wk 1", 500),
                              protocol::paths::watch("bp/", 431, std::chrono::milliseconds(10'000)),
-                             protocol::paths::rentedPage("m-1", 500)})
+                             protocol::paths::instancePage("m-1", 500)})
         writeEncoding("path", path);
 }
 
 void traceRecords() {
-    using storage::Final;
-    for (const auto final : {Final::open, Final::done, Final::cancelled}) {
-        const storage::JobRecord record{fullSpec(), final, 1'764'000'000'000, 16, 64, 1'764'000'100'000};
+    using storage::TerminalState;
+    for (const auto terminalState : {TerminalState::none, TerminalState::done, TerminalState::cancelled}) {
+        const storage::JobRecord record{fullSpec(), terminalState,    1'764'000'000'000, 16,
+                                        64,         1'764'000'100'000};
         writeEncoding("job-record", storage::encodeJob(record));
-        writeEncoding("final-record", storage::encodeFinal(record, 200));
+        writeEncoding("final-record", storage::encodeTerminatedJob(record, 200));
     }
     writeEncoding("leader-record", storage::encodeLeader({"node-1", 41}));
     writeEncoding("token-record", storage::encodeToken(41));
--- a/tests/fetch_pacing_test.cpp
+++ b/tests/fetch_pacing_test.cpp
@@ -1,18 +1,17 @@
-#include "coordination/fetch_pacing.h"
+#include "coordination/scheduling/fetch_pacing.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using coordination::FetchPacing;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
 
 namespace {
 
@@ -29,17 +28,17 @@
     FetchPacing pacing{settings, policy};
 
     Pacing() {
-        settings.report = Seconds(2);
+        settings.heartbeatInterval = Seconds(2);
         policy.fetchStart = Seconds(5);
     }
     Machine& machine(const std::string& id, const std::string& zone, const std::vector<std::string>& images) {
         auto& machine = fleet.add(id, now);
         machine.type = type.name;
-        machine.kind = &type;
+        machine.typeInfo = &type;
         machine.zone = zone;
-        machine.reports = true;
+        machine.sendsHeartbeats = true;
         machine.acknowledged = true;
-        machine.lastReport = now;
+        machine.lastHeartbeat = now;
         for (const auto& image : images) fleet.useImage(machine, image, 1, kCacheGb);
         return machine;
     }
@@ -49,7 +48,7 @@
         job.spec.image = image;
         job.spec.tasks = tasks;
         job.spec.cpus = 1;
-        job.spec.estimate = Seconds(10);
+        job.spec.estimatedRunTime = Seconds(10);
         job.beginRun(false, now);
         return job;
     }
@@ -58,7 +57,7 @@
         for (const auto& each : jobs) waiting.push_back(each.get());
         std::vector<const Machine*> up;
         for (const auto& [id, each] : fleet.machines())
-            if (each->reports && each->acknowledged) up.push_back(each.get());
+            if (each->sendsHeartbeats && each->acknowledged) up.push_back(each.get());
         pacing.refresh(waiting, up, fleet, now);
     }
 };
@@ -70,12 +69,12 @@
     machine("m1", "a", {"i"});
     machine("m2", "a", {});
     machine("m3", "b", {});
-    machine("m4", "b", {"i"}).reports = false;  // not up, so it counts on neither side
+    machine("m4", "b", {"i"}).sendsHeartbeats = false;  // not up, so it counts on neither side
     auto& paced = job("i", 30);
     refresh();
     pacing.admit(paced, fleet);
     EXPECT_TRUE(paced.run->admitted);
-    EXPECT_NEAR(paced.run->pacedTotal, 20, 1e-9);
+    EXPECT_NEAR(paced.run->expectedPacedFetches, 20, 1e-9);
 }
 
 TEST_F(Pacing, AdmissionWaitsForAMachineAndHappensOnce) {
@@ -87,11 +86,11 @@
     refresh();
     pacing.admit(paced, fleet);
     EXPECT_TRUE(paced.run->admitted);
-    EXPECT_DOUBLE_EQ(paced.run->pacedTotal, 10);
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);
     fleet.useImage(first, "i", 1, kCacheGb);
     refresh();
     pacing.admit(paced, fleet);
-    EXPECT_DOUBLE_EQ(paced.run->pacedTotal, 10);  // Md is that of the admission
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);  // Md is that of the admission
 }
 
 // More machines may have the image than were up at the last refresh.
@@ -101,7 +100,7 @@
     refresh();
     machine("m2", "a", {"i"});
     pacing.admit(paced, fleet);
-    EXPECT_DOUBLE_EQ(paced.run->pacedTotal, 0);
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 0);
 }
 
 // m/M >= md/Md: with M = 10 and Md = 5, each fetch takes two launches.
@@ -111,14 +110,14 @@
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
-    ASSERT_DOUBLE_EQ(paced.run->pacedTotal, 5);
+    ASSERT_DOUBLE_EQ(paced.run->expectedPacedFetches, 5);
     EXPECT_TRUE(pacing.allows(paced, lacking, now));  // 0/10 >= 0/5
-    paced.run->launched = 1;
-    paced.run->paced = 1;
+    paced.run->launchedTasks = 1;
+    paced.run->pacedFetches = 1;
     EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 1/10 < 1/5
-    paced.run->launched = 2;
+    paced.run->launchedTasks = 2;
     EXPECT_TRUE(pacing.allows(paced, lacking, now));  // 2/10 >= 1/5
-    paced.run->paced = 2;
+    paced.run->pacedFetches = 2;
     EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 2/10 < 2/5
 }
 
@@ -128,10 +127,10 @@
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
-    ASSERT_DOUBLE_EQ(paced.run->pacedTotal, 0);
+    ASSERT_DOUBLE_EQ(paced.run->expectedPacedFetches, 0);
     auto& later = machine("m2", "b", {});
     refresh();
-    paced.run->paced = 3;
+    paced.run->pacedFetches = 3;
     EXPECT_TRUE(pacing.allows(paced, later, now));
 }
 
@@ -160,7 +159,7 @@
     refresh();
     pacing.recordFetch(paced, "b", now - 1h);  // E[tr] is half an hour and more
     pacing.recordFetch(paced, "a", now);
-    EXPECT_EQ(paced.run->paced, 2u);
+    EXPECT_EQ(paced.run->pacedFetches, 2u);
     EXPECT_FALSE(pacing.allows(paced, here, now));
     EXPECT_FALSE(pacing.allows(paced, here, now + 4900ms));
     EXPECT_TRUE(pacing.allows(paced, here, now + 5s));  // the operators' starting value
@@ -202,13 +201,13 @@
 // DESIGN: a cut zone inflates E[tr]. Only zones that were heard within three report intervals count.
 TEST_F(Pacing, AZoneThatIsCutOffDoesNotHoldBackTheOthers) {
     auto& first = machine("m1", "a", {});
-    machine("m2", "b", {}).lastReport = now - 6s;
+    machine("m2", "b", {}).lastHeartbeat = now - 6s;
     auto& paced = job("i", 100);
     pacing.recordFetch(paced, "a", now - 1s);
     pacing.recordFetch(paced, "b", now - 1h);
     refresh();
     EXPECT_TRUE(pacing.allows(paced, first, now));  // E[tr] is that of zone a alone
-    fleet.find("m2")->lastReport = now - 5900ms;
+    fleet.find("m2")->lastHeartbeat = now - 5900ms;
     refresh();
     EXPECT_FALSE(pacing.allows(paced, first, now));
 }
--- a/tests/fleet_recount.h
+++ b/tests/fleet_recount.h
@@ -24,7 +24,7 @@
         const auto& spec = placement.job->spec;
         const auto need = bookkeeping::needOf(spec);
         const auto priority = static_cast<std::size_t>(placement.job->priority());
-        const bool service = spec.kind == protocol::Kind::service;
+        const bool service = spec.kind == protocol::JobKind::service;
         expected.used += need;
         if (spec.gpus <= 0) expected.plainUse[service ? bookkeeping::kReplicaUse : priority] += need;
         if (!service && !bookkeeping::isLargeGang(spec)) expected.stoppable[priority] += need;
@@ -59,7 +59,7 @@
             ++zones[placement.job][machine->zone];
         }
         wrong += recountMachine(fleet, *machine);
-        if (machine->roster == bookkeeping::RosterState::stored && !machine->reconciled)
+        if (machine->registration == bookkeeping::RegistrationState::stored && !machine->reconciled)
             ++unreconciled[{machine->type, machine->zone, machine->spot}];
     }
     for (const auto& [team, use] : teams)
--- a/tests/gang_planner_test.cpp
+++ b/tests/gang_planner_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/gang_planner.h"
+#include "coordination/scheduling/gang_planner.h"
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
   protected:
     /// A gang of four tasks of four processors, two for each plain machine.
     protocol::JobSpec gang(const std::string& id = "wk-103") const {
-        auto made = spec(id, Kind::gang);
+        auto made = spec(id, JobKind::gang);
         made.cpus = 4;
         return made;
     }
@@ -52,7 +52,7 @@
 
 TEST_F(GangPlannerTest, AGangOfOneZoneIsNotSplit) {
     auto bound = gang();
-    bound.oneZone = true;
+    bound.singleZone = true;
     auto& job = accept(bound);
     machine("m1", "a");
     machine("m2", "b");
@@ -65,7 +65,7 @@
 
 TEST_F(GangPlannerTest, ASpreadGangHasHalfOfItInAZone) {
     auto spread = gang();
-    spread.spread = true;
+    spread.spreadZones = true;
     auto& job = accept(spread);
     machine("m1", "a");
     machine("m2", "a");
--- a/tests/worker_relay_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -1,14 +1,20 @@
-#include "coordination/worker_relay.h"
+#include "coordination/controller/heartbeat_forwarder.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
 #include "protocol/worker_messages.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
 
 using namespace burlpoint;
 using namespace std::chrono_literals;
-using coordination::ReportOrigin;
-using coordination::WorkerRelay;
-using transport::Time;
+using coordination::HeartbeatForwarder;
+using coordination::HeartbeatOrigin;
 
 namespace {
 
@@ -25,10 +31,10 @@
         status.leaderToken = leaderToken;
         peers.noteStatus(status, now);
     }
-    static std::string report(const std::string& machine) {
-        return protocol::encodeReport({machine, "127.0.0.1:1", "plain", "z", false, 1, 1, 0, {}, {}});
+    static std::string heartbeat(const std::string& machine) {
+        return protocol::encodeHeartbeat({machine, "127.0.0.1:1", "plain", "z", false, 1, 1, 0, {}, {}});
     }
-    transport::Response answer(const std::string& body, ReportOrigin origin = ReportOrigin::worker,
+    transport::Response answer(const std::string& body, HeartbeatOrigin origin = HeartbeatOrigin::worker,
                                bool leading = false) {
         std::optional<transport::Response> out;
         const auto reply = [&](transport::Response response) { out = std::move(response); };
@@ -40,62 +46,62 @@
     static std::string named(const transport::Response& response) {
         EXPECT_EQ(response.status, 421);
         const auto handle = protocol::unpackBody(response.body);
-        return protocol::Fields(handle.get()).maybeText("harbormaster").value_or("");
+        return protocol::MapReader(handle.get()).maybeText("harbormaster").value_or("");
     }
 
     asio::io_context io{1};
     int leaderStatus = 200;
     std::vector<std::string> relayed;  // bodies that the leader got
-    transport::Server leader{io,
-                             transport::parseEndpoint("127.0.0.1:0"),
-                             {},
-                             [this](transport::Request&& request, const transport::Reply& reply) {
-                                 EXPECT_EQ(request.path, protocol::paths::kRelay);
-                                 relayed.push_back(request.body);
-                                 transport::Response response;
-                                 response.status = leaderStatus;
-                                 response.body = "as the leader says";
-                                 reply(response);
-                             }};
-    transport::Client http{io, 10};
+    transport::HttpServer leader{io,
+                                 transport::parseEndpoint("127.0.0.1:0"),
+                                 {},
+                                 [this](transport::Request&& request, const transport::Reply& reply) {
+                                     EXPECT_EQ(request.path, protocol::paths::kRelay);
+                                     relayed.push_back(request.body);
+                                     transport::Response response;
+                                     response.status = leaderStatus;
+                                     response.body = "as the leader says";
+                                     reply(response);
+                                 }};
+    transport::HttpClient http{io, 10};
     protocol::Settings settings;
     bookkeeping::StateReplica replica;
     coordination::PeerExchange peers{settings, replica, [](const auto&) {}};
     static constexpr std::size_t kMaxRelays = 2;
-    WorkerRelay relay{settings, http, peers, kMaxRelays};
+    HeartbeatForwarder relay{settings, http, peers, kMaxRelays};
     Time now{1000s};
 };
 
 }  // namespace
 
-TEST_F(WorkerRelayTest, PassesTheFirstReportOnAndSendsTheWorkerToTheLeaderThen) {
+TEST_F(WorkerRelayTest, PassesTheFirstHeartbeatOnAndSendsTheWorkerToTheLeaderThen) {
     hear("two", 7);
-    const auto first = answer(report("m1"));
+    const auto first = answer(heartbeat("m1"));
     EXPECT_EQ(first.status, 200);
     EXPECT_EQ(first.body, "as the leader says");
-    EXPECT_EQ(relayed, std::vector{report("m1")});
-    EXPECT_EQ(named(answer(report("m1"))), "two");
-    EXPECT_EQ(answer(report("m2")).status, 200);  // each worker for itself
+    EXPECT_EQ(relayed, std::vector{heartbeat("m1")});
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "two");
+    EXPECT_EQ(answer(heartbeat("m2")).status, 200);  // each worker for itself
     EXPECT_EQ(relayed.size(), 2u);
 }
 
 TEST_F(WorkerRelayTest, WhatTheLeaderDoesNotAnswerNamesNobody) {
     hear("two", 7);
     leaderStatus = 503;
-    EXPECT_EQ(named(answer(report("m1"))), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "");
     settings.peers[0].name = "another";
-    EXPECT_EQ(named(answer(report("m2"))), "");  // the settings know no such leader
+    EXPECT_EQ(named(answer(heartbeat("m2"))), "");  // the settings know no such leader
     EXPECT_EQ(relayed.size(), 1u);
 }
 
 TEST_F(WorkerRelayTest, ALeaderNotHeardOfIsNotNamed) {
-    EXPECT_EQ(named(answer(report("m1"))), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "");
     hear("three", 7);
-    EXPECT_EQ(named(answer(report("m1"))), "three");
-    EXPECT_EQ(named(answer(report("m1"), ReportOrigin::peer)), "");
-    EXPECT_EQ(named(answer(report("m1"), ReportOrigin::worker, true)), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "three");
+    EXPECT_EQ(named(answer(heartbeat("m1"), HeartbeatOrigin::peer)), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"), HeartbeatOrigin::worker, true)), "");
     replica.leader.reset();
-    EXPECT_EQ(named(answer(report("m1"))), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "");
     EXPECT_TRUE(relayed.empty());
 }
 
@@ -106,33 +112,33 @@
     std::vector<transport::Response> answers;
     const auto reply = [&](transport::Response response) { answers.push_back(std::move(response)); };
     for (const auto* machine : {"m1", "m2", "m3"})
-        relay.answer({report(machine), ReportOrigin::worker, reply}, false, now);
+        relay.answer({heartbeat(machine), HeartbeatOrigin::worker, reply}, false, now);
     ASSERT_EQ(answers.size(), 1u);  // without waiting for the two under way
     EXPECT_EQ(named(answers[0]), "two");
     while (answers.size() < 3) io.run_one();
     EXPECT_EQ(relayed.size(), kMaxRelays);
-    // Back from the leader, it did not get through: with room again its report is passed on.
-    EXPECT_EQ(answer(report("m3")).status, 200);
+    // Back from the leader, it did not get through: with room again its heartbeat is passed on.
+    EXPECT_EQ(answer(heartbeat("m3")).status, 200);
 }
 
 TEST_F(WorkerRelayTest, ALeaderKnownFromItsPeersAloneIsUsed) {
     replica.leader.reset();
     protocol::PeerStatus status;
     status.node = "two";
-    status.token = 8;
+    status.fencingToken = 8;
     peers.noteStatus(status, now);
-    EXPECT_EQ(answer(report("m1")).status, 200);
-    EXPECT_EQ(named(answer(report("m1"))), "two");
+    EXPECT_EQ(answer(heartbeat("m1")).status, 200);
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "two");
 }
 
-TEST_F(WorkerRelayTest, APeersReportGoesNoFurther) {
+TEST_F(WorkerRelayTest, APeersHeartbeatGoesNoFurther) {
     hear("two", 7);
-    EXPECT_EQ(named(answer(report("m1"), ReportOrigin::peer)), "");
-    EXPECT_EQ(named(answer(report("m1"), ReportOrigin::worker, true)), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"), HeartbeatOrigin::peer)), "");
+    EXPECT_EQ(named(answer(heartbeat("m1"), HeartbeatOrigin::worker, true)), "");
     EXPECT_TRUE(relayed.empty());
 }
 
-TEST_F(WorkerRelayTest, AMalformedReportIsNotPassedOn) {
+TEST_F(WorkerRelayTest, AMalformedHeartbeatIsNotPassedOn) {
     hear("two", 7);
     EXPECT_EQ(answer("nonsense").status, 400);
     EXPECT_TRUE(relayed.empty());
@@ -140,17 +146,17 @@
 
 TEST_F(WorkerRelayTest, ForgetsOnlyWorkersThatStayAway) {
     hear("two", 7);
-    EXPECT_EQ(answer(report("m1")).status, 200);
+    EXPECT_EQ(answer(heartbeat("m1")).status, 200);
     relay.forgetOld(now + 1s);
-    EXPECT_EQ(named(answer(report("m1"))), "two");
+    EXPECT_EQ(named(answer(heartbeat("m1"))), "two");
     relay.forgetOld(now + 60s);
-    EXPECT_EQ(answer(report("m1")).status, 200);
+    EXPECT_EQ(answer(heartbeat("m1")).status, 200);
 }
 
 // Seen on a simulated day: workers cut off from the leader's zone lost their leases beside a node that saw
 // both.
-TEST(RelayDecider, StandsInForAWorkerThatComesBackFromTheLeader) {
-    coordination::RelayDecider detour;
+TEST(ForwardDecider, StandsInForAWorkerThatComesBackFromTheLeader) {
+    coordination::ForwardDecider detour;
     Time now{1000s};
     EXPECT_TRUE(detour.shouldRelay(now));
     EXPECT_FALSE(detour.shouldRelay(now += 2s));  // try the leader
