--- a/tests/report_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -1,39 +1,39 @@
-#include "coordination/report_reconciler.h"
+#include "coordination/workers/heartbeat_reconciler.h"
 
 #include <gtest/gtest.h>
 
-#include "coordination/removed_machines.h"
+#include "base/clock.h"
+#include "coordination/workers/machine_tombstones.h"
 #include "placement_fixture.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
 using namespace std::chrono_literals;
 using bookkeeping::PlacementState;
-using coordination::AttemptNumbers;
-using coordination::MessageKind;
-using coordination::RemovedMachines;
+using coordination::AttemptIdGenerator;
+using coordination::MachineTombstones;
+using coordination::StatusSource;
 using protocol::ExitReason;
-using protocol::Report;
-using protocol::Seconds;
-using protocol::TaskReport;
+using protocol::Heartbeat;
 using protocol::TaskState;
+using protocol::TaskStatus;
 
 namespace {
 
 class ReconcilerTest : public PlacementFixture {
   protected:
-    /// A message of the machine's present session, newer than those before.
-    Report message(const Machine& from, std::vector<TaskReport> tasks = {}) const {
-        return {from.id,      from.id,           from.type, from.zone, from.spot,
-                from.session, from.sequence + 1, kToken,    {},        std::move(tasks)};
+    /// A message of the machine's present incarnation, newer than those before.
+    Heartbeat message(const Machine& from, std::vector<TaskStatus> tasks = {}) const {
+        return {from.id,          from.id,           from.type, from.zone, from.spot,
+                from.incarnation, from.sequence + 1, kToken,    {},        std::move(tasks)};
     }
-    static TaskReport task(const bookkeeping::Placement& placement, TaskState state,
+    static TaskStatus task(const bookkeeping::Placement& placement, TaskState state,
                            ExitReason why = ExitReason::none) {
         return {{placement.job->spec.id, placement.task, placement.attempt}, state, why, false};
     }
-    void apply(Machine& from, const Report& report, MessageKind kind = MessageKind::report) {
+    void apply(Machine& from, const Heartbeat& heartbeat, StatusSource kind = StatusSource::heartbeat) {
         now += 1s;
-        reconciler.apply(from, report, kind, now);
+        reconciler.apply(from, heartbeat, kind, now);
     }
     bookkeeping::Placement& sent(Machine& on, Job& job, std::uint32_t number) {
         auto& placement = place(on, job, number, PlacementState::sent);
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_F(ReconcilerTest, AReportWithoutTheTaskSettlesAStart) {
+TEST_F(ReconcilerTest, AHeartbeatWithoutTheTaskSettlesAStart) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     sent(on, job, 0);
@@ -53,12 +53,12 @@
     EXPECT_TRUE(job.isWaiting(0));
 }
 
-// The start may still be on its way in the response to a report.
+// The start may still be on its way in the response to a heartbeat.
 TEST_F(ReconcilerTest, AnAnswerToACommandSettlesNoStart) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     sent(on, job, 0);
-    apply(on, message(on), MessageKind::answer);
+    apply(on, message(on), StatusSource::answer);
     EXPECT_EQ(count(on, job), 1u);
 }
 
@@ -76,24 +76,24 @@
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     on.acknowledged = false;
-    auto report = message(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
-    report.token = kToken - 1;
-    apply(on, report);
+    auto heartbeat = message(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
+    heartbeat.fencingToken = kToken - 1;
+    apply(on, heartbeat);
     EXPECT_EQ(count(on, job), 0u);
     EXPECT_FALSE(on.acknowledged);
 }
 
-TEST_F(ReconcilerTest, ANewSessionHasNoneOfTheTasksBefore) {
+TEST_F(ReconcilerTest, ANewIncarnationHasNoneOfTheTasksBefore) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     place(on, job, 0);
     place(on, job, 1, PlacementState::planned);
-    auto report = message(on);
-    report.session = 2;
-    report.sequence = 1;
-    apply(on, report);
+    auto heartbeat = message(on);
+    heartbeat.incarnation = 2;
+    heartbeat.sequence = 1;
+    apply(on, heartbeat);
     EXPECT_EQ(count(on, job), 1u);  // the planned one was never sent
-    EXPECT_EQ(on.session, 2u);
+    EXPECT_EQ(on.incarnation, 2u);
 }
 
 TEST_F(ReconcilerTest, AnExitFreesTheTaskAndADoneOneIsToBeStored) {
@@ -109,7 +109,7 @@
 }
 
 TEST_F(ReconcilerTest, AGangThatIsDoneIsDoneWhole) {
-    auto& job = accept(spec("wk-1", Kind::gang));
+    auto& job = accept(spec("wk-1", JobKind::gang));
     auto& on = machine("m1");
     apply(on, message(on, {task(place(on, job, 0), TaskState::exited, ExitReason::done)}));
     for (std::uint32_t each = 0; each < job.spec.tasks; ++each) EXPECT_TRUE(job.isFinished(each));
@@ -128,16 +128,16 @@
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     const auto running = task(place(on, job, 0), TaskState::running);
-    job.final = storage::Final::cancelled;
+    job.terminalState = storage::TerminalState::cancelled;
     apply(on, message(on, {running}));
     EXPECT_EQ(countStopping(on), 1u);
-    EXPECT_EQ(stopper.takeUrgent(), std::set<std::string>{"m1"});
+    EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
 TEST_F(ReconcilerTest, StartsThatNeverArriveMakeAMachineUnreachableUntilOneDoes) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
-    for (std::uint32_t i = 0; i < coordination::kMaxUndelivered; ++i) {
+    for (std::uint32_t i = 0; i < coordination::kMaxUndeliveredResponses; ++i) {
         EXPECT_FALSE(on.unreachableSince);
         sent(on, job, 0);
         apply(on, message(on));
@@ -148,7 +148,7 @@
 }
 
 TEST_F(ReconcilerTest, ALostTaskStopsAGangThatHasBegun) {
-    auto& job = accept(spec("wk-1", Kind::gang));
+    auto& job = accept(spec("wk-1", JobKind::gang));
     auto& on = machine("m1");
     auto& other = machine("m2");
     for (std::uint32_t each = 0; each < 2; ++each) place(on, job, each);
@@ -168,12 +168,12 @@
     EXPECT_EQ(fleet.find("m1")->errorJobs.size(), 1u);
     EXPECT_EQ(fleet.find("m2")->errorJobs.size(), 1u);
     EXPECT_EQ(fleet.find("m3")->errorJobs.size(), 0u);
-    EXPECT_EQ(job.run->notBefore, now + 5s);
+    EXPECT_EQ(job.run->backoffUntil, now + 5s);
 }
 
-TEST_F(ReconcilerTest, ARecallStopsWhatWouldNotBeDone) {
+TEST_F(ReconcilerTest, AInterruptionStopsWhatWouldNotBeDone) {
     auto array = spec("wk-1");
-    array.estimate = Seconds(100);
+    array.estimatedRunTime = Seconds(100);
     auto& nearlyDone = accept(array);
     auto& begun = accept([&] {
         auto other = array;
@@ -184,9 +184,9 @@
     const auto old = task(place(on, nearlyDone, 0), TaskState::running);
     now += 60s;
     const auto fresh = task(place(on, begun, 0), TaskState::running);
-    auto report = message(on, {old, fresh});
-    report.notice = Seconds(15);
-    apply(on, report);
+    auto heartbeat = message(on, {old, fresh});
+    heartbeat.interruptionNotice = Seconds(15);
+    apply(on, heartbeat);
     EXPECT_TRUE(on.draining);
     for (const auto& [key, placement] : on.placements) EXPECT_EQ(placement.stopping, key.job == &begun);
 }
@@ -203,39 +203,39 @@
 }
 
 TEST(AttemptNumbersTest, ContainTheTokenAndRise) {
-    AttemptNumbers numbers(3);
+    AttemptIdGenerator numbers(3);
     const auto first = numbers.next();
     EXPECT_EQ(first >> 32, 3u);
     EXPECT_GT(numbers.next(), first);
-    EXPECT_GT(AttemptNumbers(4).next(), numbers.next());
+    EXPECT_GT(AttemptIdGenerator(4).next(), numbers.next());
 }
 
 TEST(RemovedMachinesTest, WhatIsNoNewerThanTheLastMessageIsALateCopy) {
-    RemovedMachines removed;
+    MachineTombstones removed;
     bookkeeping::Machine machine;
     machine.id = "m1";
-    machine.session = 2;
+    machine.incarnation = 2;
     machine.sequence = 5;
     removed.note(machine);
-    Report report;
-    report.machine = "m1";
-    report.session = 2;
-    report.sequence = 5;
-    EXPECT_TRUE(removed.isLateCopy(report));
-    report.sequence = 6;
-    EXPECT_FALSE(removed.isLateCopy(report));
-    report.machine = "m2";
-    report.session = 1;
-    EXPECT_FALSE(removed.isLateCopy(report));
+    Heartbeat heartbeat;
+    heartbeat.machine = "m1";
+    heartbeat.incarnation = 2;
+    heartbeat.sequence = 5;
+    EXPECT_TRUE(removed.isLateCopy(heartbeat));
+    heartbeat.sequence = 6;
+    EXPECT_FALSE(removed.isLateCopy(heartbeat));
+    heartbeat.machine = "m2";
+    heartbeat.incarnation = 1;
+    EXPECT_FALSE(removed.isLateCopy(heartbeat));
 }
 
 TEST(RemovedMachinesTest, OfADeletedMachineAllIsLate) {
-    RemovedMachines removed;
+    MachineTombstones removed;
     removed.noteDeleted("m1");
-    Report report;
-    report.machine = "m1";
-    report.session = 1'000'000;
-    EXPECT_TRUE(removed.isLateCopy(report));
+    Heartbeat heartbeat;
+    heartbeat.machine = "m1";
+    heartbeat.incarnation = 1'000'000;
+    EXPECT_TRUE(removed.isLateCopy(heartbeat));
     EXPECT_TRUE(removed.isDeleted("m1"));
     bookkeeping::Machine machine;
     machine.id = "m1";
@@ -244,14 +244,14 @@
 }
 
 TEST(RemovedMachinesTest, AMachineThatIsBackHasItsCounters) {
-    RemovedMachines removed;
+    MachineTombstones removed;
     bookkeeping::Machine machine;
     machine.id = "m1";
-    machine.session = 2;
+    machine.incarnation = 2;
     machine.sequence = 5;
     removed.note(machine);
     bookkeeping::Machine back;
     back.id = "m1";
     removed.restoreCounters(back);
-    EXPECT_EQ(back.newestMessage(), machine.newestMessage());
+    EXPECT_EQ(back.latestVersion(), machine.latestVersion());
 }
--- a/tests/histories.h
+++ b/tests/histories.h
@@ -4,6 +4,7 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "world.h"
 
 // What all histories have in common: the jobs, a script of troubles, and the verdict once they are over.
@@ -19,28 +20,28 @@
     s.priority = static_cast<protocol::Priority>(world.below(4));
     s.memoryGb = 1;
     s.cpus = 1 + world.below(3);
-    s.estimate = Seconds(5);
+    s.estimatedRunTime = Seconds(5);
     s.spot = world.below(2) == 0;
     switch (world.below(4)) {
         case 0:
-            s.kind = Kind::service;
+            s.kind = JobKind::service;
             s.tasks = 1 + static_cast<std::uint32_t>(world.below(3));
-            s.spread = world.below(2) == 0;
+            s.spreadZones = world.below(2) == 0;
             s.spot = false;
             break;
         case 1:
-            s.kind = Kind::gang;
+            s.kind = JobKind::gang;
             s.tasks = 1 + static_cast<std::uint32_t>(world.below(3));
-            s.oneZone = world.below(2) == 0;
+            s.singleZone = world.below(2) == 0;
             s.cpus = 2;
             s.gpus = s.team == "third" ? 0 : world.below(2);
-            s.checkpoint = Seconds(world.below(2) * 2);
-            s.save = Seconds(1);
+            s.checkpointInterval = Seconds(world.below(2) * 2);
+            s.saveTime = Seconds(1);
             break;
         default:
             s.tasks = 1 + static_cast<std::uint32_t>(world.below(12));
-            s.oneZone = world.below(4) == 0;
-            s.spread = !s.oneZone && world.below(4) == 0;
+            s.singleZone = world.below(4) == 0;
+            s.spreadZones = !s.singleZone && world.below(4) == 0;
             if (world.below(4) == 0) s.zone = world.settings.zones[static_cast<std::size_t>(world.below(2))];
             if (world.below(4) == 0) s.types = std::vector<std::string>{"cpu"};
     }
@@ -50,13 +51,13 @@
 /// A job that may need up to three that came before it.
 inline JobSpec partOfAGraph(World& world, int number) {
     auto spec = randomJob(world, number);
-    if (spec.kind == Kind::service || world.below(3) == 0) return spec;
+    if (spec.kind == JobKind::service || world.below(3) == 0) return spec;
     for (int i = 0; i < 3 && number > 1; ++i) {
         const auto id = "wk-" + std::to_string(std::max(1, number - 1 - world.below(8)));
         const auto known = world.jobs().find(id);
         if (id == spec.id || world.below(2) == 0 || known == world.jobs().end()) continue;
         const auto& needs = spec.dependencies;
-        if (known->second.kind == Kind::service || std::count(needs.begin(), needs.end(), id)) continue;
+        if (known->second.kind == JobKind::service || std::count(needs.begin(), needs.end(), id)) continue;
         spec.dependencies.push_back(id);
     }
     return spec;
@@ -75,21 +76,22 @@
     if (world.starts == 0) return "nothing_ran";
     world.calm();
     for (const auto& [id, spec] : world.jobs())
-        if (spec.kind == Kind::service) world.cancel(id);
+        if (spec.kind == JobKind::service) world.cancel(id);
     // Long tasks, one after the other at a team's limit, take that much longer.
     const int turns = static_cast<int>(30 * std::max(1.0, world.longestRun / Seconds(12)));
     for (int i = 0; i < turns; ++i) {
         world.run(Seconds(10));
         bool over = true;
-        for (const auto& [id, spec] : world.jobs()) over &= world.finalOf(id) != storage::Final::open;
+        for (const auto& [id, spec] : world.jobs())
+            over &= world.terminalStateOf(id) != storage::TerminalState::none;
         if (over) break;
     }
-    world.run(world.settings.cancel);
+    world.run(world.settings.cancelTimeout);
     if (!world.broken.empty()) return joined(world.broken);
     for (const auto& [id, spec] : world.jobs()) {
-        const auto final = world.finalOf(id);
-        if (final == storage::Final::open) return "not over: " + world.explain(id);
-        if (final != storage::Final::done) continue;
+        const auto terminalState = world.terminalStateOf(id);
+        if (terminalState == storage::TerminalState::none) return "not over: " + world.explain(id);
+        if (terminalState != storage::TerminalState::done) continue;
         for (std::uint32_t t = 0; t < spec.tasks; ++t)
             if (!world.completed.contains(id + "/" + std::to_string(t))) return "not_done: " + id;
     }
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -1,6 +1,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include "base/clock.h"
 #include "histories.h"
 
 using namespace burlpoint;
@@ -39,8 +40,8 @@
     live(seed(), faults, Seconds(100));
 }
 
-// Machines that report and hear nothing, copies of reports that come long after, workers back at once, some
-// counting from the beginning, and leaders that lose the store while workers still reach them.
+// Machines that heartbeat and hear nothing, copies of heartbeats that come long after, workers back at once,
+// some counting from the beginning, and leaders that lose the store while workers still reach them.
 RC_GTEST_PROP(History, RulesHoldWithUnreachableMachinesLateCopiesAndInstantReturns, ()) {
     World::Faults faults;
     faults.unreachable = 0.02;
@@ -57,17 +58,17 @@
     live(seed(), {}, Seconds(150), partOfAGraph);
 }
 
-// The state service lowers its limits at some moment, announced in the settings or not, under all else. A
+// The key-value store lowers its limits at some moment, announced in the settings or not, under all else. A
 // history with few changes may not meet them, so that is counted over all.
 TEST(History, RulesHoldAcrossLoweredLimits) {
     std::size_t large = 0, many = 0, spared = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         World world(seed * 0x9e3779b97f4a7c15u, {});
         const bool told = seed % 2 == 0;
-        const StoreLimits limits{told ? 3u : 2u, 1024, 3};
+        const StubLimits limits{told ? 3u : 2u, 1024, 3};
         if (told)
-            world.settings.nextState =
-                protocol::StateLimits{limits.changes, static_cast<double>(limits.valueBytes) / 1024,
+            world.settings.nextStoreLimits =
+                protocol::StoreLimits{limits.changes, static_cast<double>(limits.maxValueBytes) / 1024,
                                       static_cast<unsigned>(limits.ops)};
         world.lowerLimits(Seconds(5 + world.below(85)), limits);
         ASSERT_EQ(play(world, Seconds(100), {}, seed % 4 < 2 ? Make(randomJob) : Make(partOfAGraph)), "")
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,10 +1,17 @@
-#include "transport/http.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include <asio/buffer.hpp>
+#include <asio/write.hpp>
 #include <optional>
 
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_server.h"
+
+using namespace burlpoint;
 using namespace burlpoint::transport;
 using namespace std::chrono_literals;
 
@@ -13,23 +20,24 @@
 /// A server on loopback that answers with the method, the path and the body's size.
 struct Echo {
     asio::io_context io{1};
-    std::unique_ptr<Server> server;
+    std::unique_ptr<HttpServer> server;
     std::string address;
 
     explicit Echo(ServerLimits limits = {}) {
-        server = std::make_unique<Server>(
+        server = std::make_unique<HttpServer>(
             io, parseEndpoint("127.0.0.1:0"), limits, [](Request&& r, const Reply& reply) {
                 Response response;
-                response.status = r.oversize ? 413 : 200;
+                response.status = r.tooLarge ? 413 : 200;
                 response.body = r.method + " " + r.path + "?" + r.query + " " + std::to_string(r.body.size());
                 reply(response);
             });
         address = "127.0.0.1:" + std::to_string(server->localEndpoint().port());
     }
-    Outcome ask(Client& client, const char* method, const std::string& target, const std::string& body = {}) {
-        Outcome out;
+    HttpResult ask(HttpClient& client, const char* method, const std::string& target,
+                   const std::string& body = {}) {
+        HttpResult out;
         bool done = false;
-        client.request(address, method, target, body, 5000ms, [&](Outcome o) {
+        client.request(address, method, target, body, 5000ms, [&](HttpResult o) {
             out = std::move(o);
             done = true;
         });
@@ -62,14 +70,14 @@
 };
 
 /// So many clients with one connection each.
-std::vector<std::unique_ptr<Client>> makeClients(Echo& echo, std::size_t count) {
-    std::vector<std::unique_ptr<Client>> clients(count);
-    for (auto& client : clients) client = std::make_unique<Client>(echo.io, 1);
+std::vector<std::unique_ptr<HttpClient>> makeClients(Echo& echo, std::size_t count) {
+    std::vector<std::unique_ptr<HttpClient>> clients(count);
+    for (auto& client : clients) client = std::make_unique<HttpClient>(echo.io, 1);
     return clients;
 }
 
 /// Each client has to get its answer, one after the other.
-void askAll(Echo& echo, const std::vector<std::unique_ptr<Client>>& clients) {
+void askAll(Echo& echo, const std::vector<std::unique_ptr<HttpClient>>& clients) {
     for (const auto& client : clients) ASSERT_EQ(echo.ask(*client, "GET", "/").status, 200);
 }
 
@@ -77,7 +85,7 @@
 
 TEST(Http, RequestsShareAConnection) {
     Echo echo;
-    Client client(echo.io, 10);
+    HttpClient client(echo.io, 10);
     EXPECT_EQ(echo.ask(client, "GET", "/a/b?c=1").body, "GET /a/b?c=1 0");
     EXPECT_EQ(echo.ask(client, "POST", "/x", std::string(60'000, 'y')).body, "POST /x? 60000");
     EXPECT_EQ(echo.server->connections(), 1u);
@@ -85,16 +93,16 @@
 
 TEST(Http, OversizeBodiesAreAnsweredAtOnce) {
     Echo echo;
-    Client client(echo.io, 10);
+    HttpClient client(echo.io, 10);
     EXPECT_EQ(echo.ask(client, "POST", "/x", std::string(70'000, 'y')).status, 413);
     EXPECT_EQ(echo.ask(client, "GET", "/after").status, 200);
 }
 
 TEST(Http, AFullTableFailsAtOnceAndRefusalsAreNoResponse) {
     Echo echo;
-    Client client(echo.io, 0);
+    HttpClient client(echo.io, 0);
     EXPECT_EQ(echo.ask(client, "GET", "/").status, 0);
-    Client other(echo.io, 1);
+    HttpClient other(echo.io, 1);
     echo.address = "127.0.0.1:1";
     EXPECT_EQ(echo.ask(other, "GET", "/").status, 0);
     echo.address = "nonsense";
@@ -104,10 +112,10 @@
 // A leader of a large fleet found its table full of connections that it only kept for later.
 TEST(Http, AnIdleConnectionGivesWayToOneThatIsNeeded) {
     Echo one, other;
-    Client client(one.io, 1);
+    HttpClient client(one.io, 1);
     EXPECT_EQ(one.ask(client, "GET", "/").status, 200);
     std::optional<int> status;
-    client.request(other.address, "GET", "/", "", 2000ms, [&](Outcome o) { status = o.status; });
+    client.request(other.address, "GET", "/", "", 2000ms, [&](HttpResult o) { status = o.status; });
     while (!status) {
         one.io.run_one_for(1ms);
         other.io.run_one_for(1ms);
@@ -119,7 +127,7 @@
     ServerLimits limits;
     limits.connections = 1;
     Echo echo(limits);
-    Client client(echo.io, 10);
+    HttpClient client(echo.io, 10);
     EXPECT_EQ(echo.ask(client, "GET", "/").status, 200);
     EXPECT_EQ(echo.raw("GET / HTTP/1.1\r\n\r\n"), "");
     EXPECT_EQ(echo.ask(client, "GET", "/").status, 200);
@@ -146,25 +154,25 @@
 
 TEST(Http, AResponseBeyondTheLimitIsToldApart) {
     asio::io_context io{1};
-    Server server(io, parseEndpoint("127.0.0.1:0"), {}, [](Request&& request, const Reply& reply) {
+    HttpServer server(io, parseEndpoint("127.0.0.1:0"), {}, [](Request&& request, const Reply& reply) {
         Response response;
-        if (request.path == "/large") response.body.assign(Client::kMaxResponseBytes + 1, 'x');
+        if (request.path == "/large") response.body.assign(HttpClient::kMaxResponseBytes + 1, 'x');
         reply(response);
     });
-    Client client(io, 2);
+    HttpClient client(io, 2);
     const auto ask = [&](const char* target) {
-        std::optional<Outcome> outcome;
+        std::optional<HttpResult> outcome;
         client.request("127.0.0.1:" + std::to_string(server.localEndpoint().port()), "GET", target, "",
-                       5000ms, [&](Outcome o) { outcome = std::move(o); });
+                       5000ms, [&](HttpResult o) { outcome = std::move(o); });
         while (!outcome) io.run_one();
         return *outcome;
     };
     const auto large = ask("/large");
     EXPECT_EQ(large.status, 0);
-    EXPECT_TRUE(large.oversize);
+    EXPECT_TRUE(large.tooLarge);
     const auto small = ask("/small");
     EXPECT_EQ(small.status, 200);
-    EXPECT_FALSE(small.oversize);
+    EXPECT_FALSE(small.tooLarge);
 }
 
 TEST(Http, MalformedRequestsAreRefused) {
@@ -180,7 +188,7 @@
     const std::string request = "POST /p HTTP/1.1\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
     const auto cut = *rc::gen::inRange<std::size_t>(0, request.size() + 1);
     echo.raw(request.substr(0, cut) + tail);
-    Client client(echo.io, 2);
+    HttpClient client(echo.io, 2);
     RC_ASSERT(echo.ask(client, "GET", "/still").status == 200);
 }
 
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -1,9 +1,11 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/state_replica.h"
-#include "coordination/election.h"
+#include "coordination/leadership/election.h"
+#include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
 using namespace burlpoint::bookkeeping;
@@ -28,8 +30,8 @@
     return replica.apply({key, &handle.get(), version}, changes);
 }
 
-std::string record(const protocol::JobSpec& spec, Final final, std::uint32_t done = 0) {
-    return storage::encodeJob({spec, final, 0, done, 8});
+std::string record(const protocol::JobSpec& spec, TerminalState terminalState, std::uint32_t done = 0) {
+    return storage::encodeJob({spec, terminalState, 0, done, 8});
 }
 
 }  // namespace
@@ -66,10 +68,10 @@
         std::uint32_t waiting = 0, live = 0;
         for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
             waiting += job.isWaiting(t);
-            live += job.run->live[t];
+            live += job.run->placedCount[t];
         }
         RC_ASSERT(job.run->waiting == waiting);
-        RC_ASSERT(job.run->liveTotal == live);
+        RC_ASSERT(job.run->placedTotal == live);
         RC_ASSERT(live == a.placements.size() + b.placements.size());
         RC_ASSERT(job.run->running == live);
         RC_ASSERT(std::abs(fleet.teamUse("t").cpus - 0.1 * live) < 1e-6);
@@ -84,11 +86,11 @@
     StateReplica replica;
     const auto spec = arrayOf(20);
     const auto key = storage::keys::job(spec.id);
-    EXPECT_TRUE(store(replica, key, record(spec, Final::open), 5));
-    EXPECT_TRUE(store(replica, key, record(spec, Final::cancelled, 3), 9));
-    EXPECT_TRUE(store(replica, key, record(spec, Final::open), 5));
+    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::none), 5));
+    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::cancelled, 3), 9));
+    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::none), 5));
     ASSERT_NE(replica.find(spec.id), nullptr);
-    EXPECT_EQ(replica.find(spec.id)->final, Final::cancelled);
+    EXPECT_EQ(replica.find(spec.id)->terminalState, TerminalState::cancelled);
     EXPECT_EQ(replica.find(spec.id)->accepted, 5u);
     EXPECT_TRUE(replica.openJobs().empty());
 }
@@ -102,10 +104,10 @@
     std::vector<Change> changes;
     replica.noteCancelled(spec.id, 9, changes);
     EXPECT_TRUE(changes.empty());
-    EXPECT_TRUE(store(replica, key, record(spec, Final::open), 5));
-    EXPECT_EQ(replica.find(spec.id)->final, Final::cancelled);
+    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::none), 5));
+    EXPECT_EQ(replica.find(spec.id)->terminalState, TerminalState::cancelled);
     EXPECT_TRUE(store(replica, storage::keys::doneChunk(spec.id, 0), storage::encodeBits({true}, 0, 8), 6));
-    EXPECT_TRUE(store(replica, key, record(spec, Final::cancelled, 3), 9));
+    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::cancelled, 3), 9));
     replica.noteCancelled(spec.id, 9, changes);
     EXPECT_TRUE(changes.empty());
     ASSERT_EQ(replica.cancelled().size(), 1u);
@@ -114,18 +116,18 @@
 
     auto other = arrayOf(3);
     other.id = "wk-2";
-    EXPECT_TRUE(store(replica, storage::keys::job(other.id), record(other, Final::open), 11));
+    EXPECT_TRUE(store(replica, storage::keys::job(other.id), record(other, TerminalState::none), 11));
     replica.noteCancelled(other.id, 12, changes);
     ASSERT_EQ(changes.size(), 1u);
     EXPECT_EQ(changes[0].id, other.id);
-    EXPECT_EQ(replica.find(other.id)->final, Final::cancelled);
+    EXPECT_EQ(replica.find(other.id)->terminalState, TerminalState::cancelled);
     EXPECT_EQ(replica.cancelled().size(), 2u);
 }
 
 TEST(StateReplica, ReadsBitmapsInChunks) {
     StateReplica replica;
     const auto spec = arrayOf(20);
-    EXPECT_TRUE(store(replica, storage::keys::job(spec.id), record(spec, Final::open), 1));
+    EXPECT_TRUE(store(replica, storage::keys::job(spec.id), record(spec, TerminalState::none), 1));
     std::vector<bool> bits(20);
     bits[9] = bits[17] = true;
     EXPECT_TRUE(store(replica, storage::keys::doneChunk(spec.id, 1), storage::encodeBits(bits, 8, 8), 2));
@@ -139,20 +141,20 @@
 TEST(StateReplica, MalformedValuesChangeNothing) {
     StateReplica replica;
     const auto spec = arrayOf(3);
-    EXPECT_FALSE(
-        store(replica, storage::keys::job("wk-2"), record(spec, Final::open), 1));  // under another's key
-    EXPECT_FALSE(store(replica, storage::keys::kToken, protocol::Packer().value(7).take(), 1));
+    EXPECT_FALSE(store(replica, storage::keys::job("wk-2"), record(spec, TerminalState::none),
+                       1));  // under another's key
+    EXPECT_FALSE(store(replica, storage::keys::kToken, protocol::MessagePacker().value(7).take(), 1));
     EXPECT_EQ(replica.find("wk-2"), nullptr);
     EXPECT_EQ(replica.tokenVersion, 0u);
 }
 
-TEST(Tenure, CountsFromTheSendingOfTheRenewal) {
-    coordination::Tenure tenure;
+TEST(LeaderLease, CountsFromTheSendingOfTheRenewal) {
+    coordination::LeaderLease tenure;
     const Time start{1000s};
     EXPECT_FALSE(tenure.valid(start));
     tenure.begin(start, 8000ms);
     EXPECT_TRUE(tenure.valid(start + 7800ms));
-    EXPECT_FALSE(tenure.valid(start + 7900ms));  // before the state service's 8 s are over
+    EXPECT_FALSE(tenure.valid(start + 7900ms));  // before the key-value store's 8 s are over
     tenure.renewed(start + 5s);
     EXPECT_TRUE(tenure.valid(start + 12s));
     tenure.renewed(start + 2s);  // an answer that was overtaken shortens nothing
--- /dev/null
+++ b/tests/key_value_client_test.cpp
@@ -0,0 +1,59 @@
+// The client of the key-value store where a response is larger than a node takes.
+#include "storage/key_value_client.h"
+
+#include <gtest/gtest.h>
+
+#include <optional>
+
+#include "base/clock.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
+
+using namespace burlpoint;
+using namespace std::chrono_literals;
+using storage::ReadStatus;
+using transport::HttpClient;
+
+namespace {
+
+/// A key-value store whose every response is larger than a client takes.
+struct LargeAnswers {
+    asio::io_context io{1};
+    transport::HttpServer server{io,
+                                 transport::parseEndpoint("127.0.0.1:0"),
+                                 {},
+                                 [](transport::Request&&, const transport::Reply& reply) {
+                                     transport::Response response;
+                                     response.body.assign(HttpClient::kMaxResponseBytes + 1, 'x');
+                                     reply(response);
+                                 }};
+    HttpClient http{io, 4};
+    storage::KeyValueClient state{http, "127.0.0.1:" + std::to_string(server.localEndpoint().port()), 100, 1,
+                                  Clock::now()};
+
+    ReadStatus awaitRead(const std::function<void(storage::KeyValueClient::PageCallback)>& read) {
+        std::optional<ReadStatus> status;
+        read([&](ReadStatus came, const protocol::KeyPage&) { status = came; });
+        while (!status) io.run_one();
+        return *status;
+    }
+};
+
+}  // namespace
+
+// A node that was away while many large bitmaps were stored would ask for the same changes for ever.
+TEST(KeyValueClient, ChangesTooLargeForOneResponseAreReadAnew) {
+    LargeAnswers service;
+    EXPECT_EQ(
+        service.awaitRead([&](auto done) { service.state.watch("bp/", 7, 0ms, 5000ms, std::move(done)); }),
+        ReadStatus::tooOld);
+}
+
+TEST(KeyValueClient, APageTooLargeIsAFailedRead) {
+    LargeAnswers service;
+    EXPECT_EQ(service.awaitRead([&](auto done) { service.state.page("bp/", "", std::move(done)); }),
+              ReadStatus::failed);
+}
--- a/tests/leader_dependencies_test.cpp
+++ b/tests/leader_dependencies_test.cpp
@@ -3,8 +3,10 @@
 
 #include <set>
 
+#include "base/clock.h"
 #include "fleet_recount.h"
 #include "leader_harness.h"
+#include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
@@ -12,56 +14,58 @@
 // Two troubles at once; the histories in combined_failures_test.cpp play them at length. Here are the cases
 // that a history meets too seldom.
 
-// A new leader's first answer renews the lease of a machine that has not taken the token. If it brought no
-// stops, a cancelled task could go on for one lease more with each change of leader.
+// A new leader's first answer renews the lease of a machine that has not taken the fencing token. If it
+// brought no stops, a cancelled task could go on for one lease more with each change of leader.
 TEST(Leader, TheFirstAnswerOfANewLeaderStopsWhatIsCancelled) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     auto spec = make("wk-1", 2, 2), other = make("wk-2", 1, 2);
     harness.job(spec);
     harness.job(other);
-    const auto value = storage::encodeJob({spec, storage::Final::cancelled, 0, 0, storage::chunkTasks(8)});
+    const auto value =
+        storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, storage::chunkTasks(8)});
     const auto handle = protocol::unpackBody(value);
     std::vector<bookkeeping::Change> changes;
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
     harness.lead();
-    const std::vector<TaskReport> tasks{{{"wk-1", 0, 7}, TaskState::running, {}, false},
+    const std::vector<TaskStatus> tasks{{{"wk-1", 0, 7}, TaskState::running, {}, false},
                                         {{"wk-1", 1, 8}, TaskState::fetching, {}, false},
                                         {{"wk-2", 0, 9}, TaskState::running, {}, false},
                                         {{"wk-9", 0, 9}, TaskState::running, {}, false}};
     std::set<std::string> stopped;
-    for (const auto& action : harness.tell(ReportArrived{1, harness.message("m1", tasks, 4)}))
-        if (const auto* answer = std::get_if<AnswerReport>(&action)) {
+    for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", tasks, 4)}))
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
             EXPECT_TRUE(answer->accepted);
-            for (const auto& order : answer->orders) {
-                EXPECT_EQ(order.op, Op::stop);
-                stopped.insert(order.attempt.job + "/" + std::to_string(order.attempt.task));
+            for (const auto& command : answer->commands) {
+                EXPECT_EQ(command.kind, CommandKind::stop);
+                stopped.insert(command.attempt.job + "/" + std::to_string(command.attempt.task));
             }
         }
     EXPECT_EQ(stopped, (std::set<std::string>{"wk-1/0", "wk-1/1"}));  // of others its list may be old news
 }
 
-// The same holds for the answer to a report that a direct command's answer has overtaken.
-TEST(Leader, TheAnswerToAnOvertakenReportStopsWhatIsCancelled) {
+// The same holds for the answer to a heartbeat that a direct command's answer has overtaken.
+TEST(Leader, TheAnswerToAnOvertakenHeartbeatStopsWhatIsCancelled) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     auto spec = make("wk-1", 1, 2);
     harness.job(spec);
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
-    const std::vector<TaskReport> running{harness.task("wk-1/0", TaskState::running)};
-    const auto staleReports = harness.message("m1", running, 5);
-    harness.tell(WorkerAnswered{"m1", harness.message("m1", running, 5), {}});
-    const auto value = storage::encodeJob({spec, storage::Final::cancelled, 0, 0, storage::chunkTasks(8)});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
+    const std::vector<TaskStatus> running{harness.task("wk-1/0", TaskState::running)};
+    const auto staleHeartbeats = harness.message("m1", running, 5);
+    harness.tell(CommandsAnswered{"m1", harness.message("m1", running, 5), {}});
+    const auto value =
+        storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, storage::chunkTasks(8)});
     const auto handle = protocol::unpackBody(value);
     std::vector<bookkeeping::Change> changes;
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
     harness.tell(JobsChanged{{"wk-1"}});
     std::size_t stops = 0;
-    for (const auto& action : harness.tell(ReportArrived{1, staleReports}))
-        if (const auto* answer = std::get_if<AnswerReport>(&action)) {
+    for (const auto& action : harness.tell(HeartbeatReceived{1, staleHeartbeats}))
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
             EXPECT_TRUE(answer->accepted);
-            for (const auto& order : answer->orders) stops += order.op == Op::stop;
+            for (const auto& command : answer->commands) stops += command.kind == CommandKind::stop;
         }
     EXPECT_EQ(stops, 1u);
 }
@@ -69,41 +73,41 @@
 // A task seen done is not a job stored as done: until that is confirmed a cancellation may still win.
 TEST(Leader, NothingStartsBeforeWhatItNeedsIsStoredAsDone) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 1, 4));
     auto next = make("wk-2", 1, 4);
     next.dependencies = {"wk-1"};
     harness.job(next);
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
     auto done = harness.task("wk-1/0", TaskState::exited);
     done.why = protocol::ExitReason::done;
     bool writing = false;
     harness.now += 200ms;
-    for (const auto& action : harness.tell(ReportArrived{1, harness.message("m1", {done}, 5)}))
+    for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {done}, 5)}))
         writing |= std::holds_alternative<WriteState>(action);
     EXPECT_TRUE(writing);
-    EXPECT_EQ(harness.report("m1", {done}), Names{});
+    EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
     // No answer: whether it was carried out is not known.
     harness.tell(StateWritten{});
-    EXPECT_EQ(harness.report("m1", {done}), Names{});
+    EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
     writing = false;
     for (const auto& action : harness.tell(ReplicaRefreshed{true}))
         writing |= std::holds_alternative<WriteState>(action);
     ASSERT_TRUE(writing);
-    EXPECT_EQ(harness.report("m1", {done}), Names{});
-    storage::TxnResult stored;
-    stored.status = storage::TxnStatus::applied;
+    EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
+    storage::TransactionResult stored;
+    stored.status = storage::TransactionStatus::applied;
     stored.revision = ++harness.revision;
     harness.tell(StateWritten{stored});
-    EXPECT_EQ(harness.replica.find("wk-1")->final, storage::Final::done);
-    EXPECT_EQ(harness.report("m1", {done}), Names{"wk-2/0"});
+    EXPECT_EQ(harness.replica.find("wk-1")->terminalState, storage::TerminalState::done);
+    EXPECT_EQ(harness.heartbeat("m1", {done}), Names{"wk-2/0"});
 }
 
 // A take-over knows what is ready, and since when, from the store alone.
 TEST(Leader, ANewLeaderKnowsWhatIsReadyFromTheStore) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     auto first = make("wk-1", 2, 2);
     harness.job(first);
     for (int i = 2; i < 4; ++i) {
@@ -119,15 +123,15 @@
     harness.leader =
         std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, 5, harness.now, 100'000);
     // All its bits are stored, and its end is not.
-    EXPECT_EQ(harness.report("m1"), Names{});
+    EXPECT_EQ(harness.heartbeat("m1"), Names{});
     const auto value =
-        storage::encodeJob({first, storage::Final::done, 0, 2, storage::chunkTasks(8), 60'000});
+        storage::encodeJob({first, storage::TerminalState::done, 0, 2, storage::chunkTasks(8), 60'000});
     handle = protocol::unpackBody(value);
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
     harness.leader.reset();
     harness.leader =
         std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, 5, harness.now, 100'000);
-    EXPECT_EQ(harness.report("m1"), Names{"wk-2/0"});
+    EXPECT_EQ(harness.heartbeat("m1"), Names{"wk-2/0"});
     EXPECT_EQ(harness.replica.find("wk-2")->run->readyAt, harness.now - 200ms - 40s);
     EXPECT_EQ(harness.replica.find("wk-3")->run, nullptr);
 }
@@ -136,17 +140,17 @@
 TEST(Leader, AJobThatWaitsForOthersHoldsNothing) {
     LeaderHarness harness;
     harness.settings.teams.push_back({"guaranteed", 4, 4, 0, 0});
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     auto first = make("wk-1", 1, 1), waits = make("wk-2", 4, 1), other = make("wk-3", 3, 1);
     for (auto* job : {&first, &waits, &other}) job->team = "guaranteed";
     waits.dependencies = {"wk-1"};
     for (const auto& job : {first, waits, other}) harness.job(job);
-    EXPECT_EQ(harness.report("m1").size(), 4u);
+    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
     EXPECT_TRUE(harness.replica.find("wk-3")->run->guaranteed);
     bool rents = false;
     for (int i = 0; i < 20; ++i)
-        for (const auto& action : harness.tick()) rents |= std::holds_alternative<Rent>(action);
+        for (const auto& action : harness.tick()) rents |= std::holds_alternative<ScaleOut>(action);
     EXPECT_FALSE(rents);
 }
 
@@ -154,37 +158,37 @@
 // is cancelled; what is counted by priority follows.
 TEST(Leader, AJobHasTheUrgencyOfWhatNeedsIt) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     auto first = make("wk-2", 4, 4), rival = make("wk-1", 2, 4), last = make("wk-3", 1, 1);
     first.priority = protocol::Priority::low;
     rival.priority = protocol::Priority::normal;
     last.priority = protocol::Priority::high;
     last.dependencies = {"wk-2"};
-    last.deadline = protocol::Seconds(300);
+    last.deadline = Seconds(300);
     harness.job(rival);
     harness.job(first);
-    EXPECT_EQ(harness.report("m1"), (Names{"wk-1/0", "wk-1/1"}));
+    EXPECT_EQ(harness.heartbeat("m1"), (Names{"wk-1/0", "wk-1/1"}));
     harness.job(last);
-    harness.roster("m2");
+    harness.registerMachine("m2");
     harness.leader.reset();
     harness.lead();
     harness.tick();
     EXPECT_EQ(harness.replica.find("wk-2")->run->priority, protocol::Priority::high);
-    EXPECT_EQ(*harness.replica.find("wk-2")->dueMs, 270'000u);
-    harness.report("m1",
-                   {harness.task("wk-1/0", TaskState::running), harness.task("wk-1/1", TaskState::running)});
-    EXPECT_EQ(harness.report("m2"), (Names{"wk-2/0", "wk-2/1"}));
+    EXPECT_EQ(*harness.replica.find("wk-2")->dueAtMs, 270'000u);
+    harness.heartbeat(
+        "m1", {harness.task("wk-1/0", TaskState::running), harness.task("wk-1/1", TaskState::running)});
+    EXPECT_EQ(harness.heartbeat("m2"), (Names{"wk-2/0", "wk-2/1"}));
     // The rest of it has to yield nothing: the rival's tasks stop for it.
     bool stops = false;
     for (int i = 0; i < 100 && !stops; ++i) {
-        harness.report(
+        harness.heartbeat(
             "m2", {harness.task("wk-2/0", TaskState::running), harness.task("wk-2/1", TaskState::running)});
         for (const auto& action : harness.tick())
-            if (const auto* orders = std::get_if<SendOrders>(&action))
-                for (const auto& order : orders->orders)
-                    stops |= order.op == Op::stop && order.attempt.job == "wk-1";
-        harness.report(
+            if (const auto* commands = std::get_if<SendCommands>(&action))
+                for (const auto& command : commands->commands)
+                    stops |= command.kind == CommandKind::stop && command.attempt.job == "wk-1";
+        harness.heartbeat(
             "m1", {harness.task("wk-1/0", TaskState::running), harness.task("wk-1/1", TaskState::running)});
     }
     EXPECT_TRUE(stops);
@@ -194,32 +198,32 @@
     harness.tell(JobsChanged{{"wk-3"}});
     for (int i = 0; i < 3; ++i) harness.tick();
     EXPECT_EQ(harness.replica.find("wk-2")->run->priority, protocol::Priority::low);
-    EXPECT_EQ(harness.replica.find("wk-2")->dueMs, std::nullopt);
+    EXPECT_EQ(harness.replica.find("wk-2")->dueAtMs, std::nullopt);
     EXPECT_EQ(tests::recount(harness.leader->fleet(), harness.replica), "");
 }
 
-// Seen on days with a leader cut off from the state service and its peers: jobs cancelled through another
-// node were started in the seconds that its tenure lasted yet.
+// Seen on days with a leader cut off from the key-value store and its peers: jobs cancelled through another
+// node were started in the seconds that its leader lease lasted yet.
 TEST(Leader, ALeaderThatMayHaveMissedCancellationsStartsNothing) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 1, 2));
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
     harness.job(make("wk-2", 1, 2));
     std::vector<bookkeeping::Change> changes;
     harness.replica.noteCancelled("wk-1", ++harness.revision, changes);
     harness.tell(JobsChanged{{"wk-1"}});
     harness.tick();  // wk-2 has its place in the order
     harness.now += 200ms;
-    const auto report = harness.message("m1", {harness.task("wk-1/0", TaskState::running)}, 5);
-    std::vector<protocol::Order> orders;
-    for (const auto& action : harness.tell(ReportArrived{1, report, false}))
-        if (const auto* answer = std::get_if<AnswerReport>(&action)) {
+    const auto heartbeat = harness.message("m1", {harness.task("wk-1/0", TaskState::running)}, 5);
+    std::vector<protocol::WorkerCommand> commands;
+    for (const auto& action : harness.tell(HeartbeatReceived{1, heartbeat, false}))
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
             EXPECT_TRUE(answer->accepted);  // what runs goes on
-            orders = answer->orders;
+            commands = answer->commands;
         }
-    ASSERT_EQ(orders.size(), 1u);
-    EXPECT_EQ(orders[0].op, Op::stop);
-    EXPECT_EQ(harness.report("m1"), Names{"wk-2/0"});
+    ASSERT_EQ(commands.size(), 1u);
+    EXPECT_EQ(commands[0].kind, CommandKind::stop);
+    EXPECT_EQ(harness.heartbeat("m1"), Names{"wk-2/0"});
 }
--- a/tests/leader_harness.h
+++ b/tests/leader_harness.h
@@ -10,16 +10,18 @@
 #include <string>
 #include <vector>
 
-#include "coordination/leader.h"
+#include "base/clock.h"
+#include "coordination/controller/leader.h"
+#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
 using namespace coordination;
-using protocol::Kind;
-using protocol::Op;
-using protocol::TaskReport;
+using protocol::CommandKind;
+using protocol::JobKind;
 using protocol::TaskState;
+using protocol::TaskStatus;
 
 /// One leader with hand-made reports. Machines are rostered and heard unless a test says otherwise.
 struct LeaderHarness {
@@ -35,56 +37,60 @@
         settings.name = "one";
         settings.zones = {"z", "y"};
         settings.teams = {{"t", 0, 0, 0, 0}, {"limited", 0, 8, 0, 0}};
-        settings.report = protocol::Seconds(2);
-        settings.lease = protocol::Seconds(20);
-        replica.types = {{"plain", 8, 0, 32, 50, 1, 1, 0.3, protocol::Seconds(10), {"z", "y"}},
-                         {"gpu", 16, 2, 64, 50, 1, 8, 3, protocol::Seconds(30), {"z", "y"}}};
-        replica.token = 5;
+        settings.heartbeatInterval = Seconds(2);
+        settings.workerLease = Seconds(20);
+        replica.types = {{"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"z", "y"}},
+                         {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"z", "y"}}};
+        replica.fencingToken = 5;
         replica.tokenVersion = 5;
     }
-    void roster(const std::string& id, const std::string& type = "plain", const std::string& zone = "z") {
-        replica.roster[id] = {{id, type, zone, false}, ++revision};
+    void registerMachine(const std::string& id, const std::string& type = "plain",
+                         const std::string& zone = "z") {
+        replica.registeredMachines[id] = {{id, type, zone, false}, ++revision};
     }
     void lead() { leader = std::make_unique<Leader>(settings, policy, replica, 5, now, 0); }
 
     void job(protocol::JobSpec spec) {
-        const auto value = storage::encodeJob({spec, storage::Final::open, 0, 0, storage::chunkTasks(8)});
+        const auto value =
+            storage::encodeJob({spec, storage::TerminalState::none, 0, 0, storage::chunkTasks(8)});
         const auto handle = protocol::unpackBody(value);
         std::vector<bookkeeping::Change> changes;
         replica.apply({storage::keys::job(spec.id), &handle.get(), ++revision}, changes);
         if (leader) tell(JobsChanged{{spec.id}});
     }
-    std::vector<Action> tell(Command command) { return leader->handle(std::move(command), now); }
+    std::vector<Action> tell(LeaderEvent event) { return leader->handle(std::move(event), now); }
     std::vector<Action> tick(Clock::duration step = 200ms) {
         now += step;
         return tell(Tick{});
     }
-    protocol::Report message(const std::string& id, std::vector<TaskReport> tasks, std::uint64_t token) {
-        const auto& machine = replica.roster.at(id).record;
-        return {id, id, machine.type, machine.zone, false, 1, ++sequences[id], token, {}, std::move(tasks)};
+    protocol::Heartbeat message(const std::string& id, std::vector<TaskStatus> tasks,
+                                std::uint64_t fencingToken) {
+        const auto& machine = replica.registeredMachines.at(id).record;
+        return {id,           id, machine.type,    machine.zone, false, 1, ++sequences[id],
+                fencingToken, {}, std::move(tasks)};
     }
-    /// The starts in the response to a report, as "job/task".
-    std::vector<std::string> report(const std::string& id, std::vector<TaskReport> tasks = {},
-                                    std::uint64_t token = 5) {
+    /// The starts in the response to a heartbeat, as "job/task".
+    std::vector<std::string> heartbeat(const std::string& id, std::vector<TaskStatus> tasks = {},
+                                       std::uint64_t fencingToken = 5) {
         now += 200ms;
         std::vector<std::string> starts;
-        for (const auto& action : tell(ReportArrived{1, message(id, std::move(tasks), token)}))
-            if (const auto* answer = std::get_if<AnswerReport>(&action))
-                for (const auto& order : answer->orders)
-                    if (order.op == Op::start) {
-                        starts.push_back(order.attempt.job + "/" + std::to_string(order.attempt.task));
-                        last[starts.back()] = order.attempt;
+        for (const auto& action : tell(HeartbeatReceived{1, message(id, std::move(tasks), fencingToken)}))
+            if (const auto* answer = std::get_if<AnswerHeartbeat>(&action))
+                for (const auto& command : answer->commands)
+                    if (command.kind == CommandKind::start) {
+                        starts.push_back(command.attempt.job + "/" + std::to_string(command.attempt.task));
+                        last[starts.back()] = command.attempt;
                     }
         return starts;
     }
-    TaskReport task(const std::string& name, TaskState state) const {
+    TaskStatus task(const std::string& name, TaskState state) const {
         return {last.at(name), state, protocol::ExitReason::none, false};
     }
     std::map<std::string, protocol::Attempt> last;
 };
 
 inline protocol::JobSpec make(const std::string& id, std::uint32_t tasks, double cpus,
-                              Kind kind = Kind::array) {
+                              JobKind kind = JobKind::array) {
     protocol::JobSpec s;
     s.id = id;
     s.jobClass = s.image = "c";
@@ -92,8 +98,8 @@
     s.tasks = tasks;
     s.cpus = cpus;
     s.kind = kind;
-    s.estimate = protocol::Seconds(30);
-    if (kind == Kind::service) s.priority = protocol::Priority::production;
+    s.estimatedRunTime = Seconds(30);
+    if (kind == JobKind::service) s.priority = protocol::Priority::production;
     return s;
 }
 
--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -5,194 +5,196 @@
 #include <set>
 
 #include "leader_harness.h"
+#include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
 
-// A direct command's reply may overtake a start that is still on its way in a report's response.
-TEST(Leader, OnlyANewerReportSettlesAStart) {
+// A direct command's reply may overtake a start that is still on its way in a heartbeat's response.
+TEST(Leader, OnlyANewerHeartbeatSettlesAStart) {
     LeaderHarness harness;
-    harness.roster("m1");
-    harness.roster("m2");
+    harness.registerMachine("m1");
+    harness.registerMachine("m2");
     harness.lead();
     harness.job(make("wk-1", 1, 4));
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
-    harness.report("m2");
-    harness.tell(WorkerAnswered{"m1", harness.message("m1", {}, 5), {}});
-    EXPECT_EQ(harness.report("m2"), Names{});
-    EXPECT_EQ(harness.report("m1"),
-              Names{"wk-1/0"});  // without the task, in a report: the response never got there
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
+    harness.heartbeat("m2");
+    harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), {}});
+    EXPECT_EQ(harness.heartbeat("m2"), Names{});
+    EXPECT_EQ(harness.heartbeat("m1"),
+              Names{"wk-1/0"});  // without the task, in a heartbeat: the response never got there
 }
 
 TEST(Leader, AnUnheardMachineBlocksOnlyWhatItCouldHold) {
     LeaderHarness harness;
-    harness.roster("m1");
-    harness.roster("m2", "gpu");
+    harness.registerMachine("m1");
+    harness.registerMachine("m2", "gpu");
     auto old = make("wk-1", 1, 2), plain = make("wk-2", 1, 2);
     plain.types = Names{"plain"};
     harness.job(old);
     harness.job(plain);
     harness.lead();
-    EXPECT_EQ(harness.report("m1"), Names{"wk-2/0"});  // wk-1/0 may be on m2
+    EXPECT_EQ(harness.heartbeat("m1"), Names{"wk-2/0"});  // wk-1/0 may be on m2
     harness.job(make("wk-3", 1, 2));
-    EXPECT_EQ(harness.report("m1", {harness.task("wk-2/0", TaskState::running)}),
+    EXPECT_EQ(harness.heartbeat("m1", {harness.task("wk-2/0", TaskState::running)}),
               Names{"wk-3/0"});  // accepted since
     harness.now += 25s;          // m2's lease is over
     harness.tick();
-    const auto starts = harness.report(
+    const auto starts = harness.heartbeat(
         "m1", {harness.task("wk-2/0", TaskState::running), harness.task("wk-3/0", TaskState::running)});
     EXPECT_EQ(starts, Names{"wk-1/0"});
 }
 
-TEST(Leader, AReportWithAnOldTokenGetsNoStarts) {
+TEST(Leader, AHeartbeatWithAnOldTokenGetsNoStarts) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 1, 2));
-    EXPECT_EQ(harness.report("m1", {}, 4), Names{});
-    EXPECT_EQ(harness.report("m1", {}, 5), Names{"wk-1/0"});
+    EXPECT_EQ(harness.heartbeat("m1", {}, 4), Names{});
+    EXPECT_EQ(harness.heartbeat("m1", {}, 5), Names{"wk-1/0"});
 }
 
 TEST(Leader, AHigherTokenEndsTheLeadership) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     bool resigned = false, accepted = true;
-    for (const auto& action : harness.tell(ReportArrived{1, harness.message("m1", {}, 6)})) {
+    for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {}, 6)})) {
         resigned |= std::holds_alternative<Resign>(action);
-        if (const auto* answer = std::get_if<AnswerReport>(&action)) accepted = answer->accepted;
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) accepted = answer->accepted;
     }
     EXPECT_TRUE(resigned);
     EXPECT_FALSE(accepted);
 }
 
-TEST(Leader, AMachineWithoutARosterEntryGetsNoTasks) {
+TEST(Leader, AMachineWithoutARegistryEntryGetsNoTasks) {
     LeaderHarness harness;
     harness.lead();
     harness.job(make("wk-1", 1, 2));
-    protocol::Report report{"m9", "m9", "plain", "z", false, 1, 1, 5, {}, {}};
+    protocol::Heartbeat heartbeat{"m9", "m9", "plain", "z", false, 1, 1, 5, {}, {}};
     WriteState written;
-    for (const auto& action : harness.tell(ReportArrived{1, report})) {
-        if (const auto* answer = std::get_if<AnswerReport>(&action)) {
-            EXPECT_TRUE(answer->orders.empty());
+    for (const auto& action : harness.tell(HeartbeatReceived{1, heartbeat})) {
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
+            EXPECT_TRUE(answer->commands.empty());
         }
         if (const auto* write = std::get_if<WriteState>(&action)) written = *write;
     }
     ASSERT_EQ(written.writes.size(), 1u);
     EXPECT_EQ(written.writes[0].key, storage::keys::machine("m9"));
     EXPECT_EQ(written.conditions.at(0).key, storage::keys::kToken);
-    storage::TxnResult applied;
-    applied.status = storage::TxnStatus::applied;
+    storage::TransactionResult applied;
+    applied.status = storage::TransactionStatus::applied;
     applied.revision = 77;
     harness.tell(StateWritten{applied});
     harness.sequences["m9"] = 1;
-    EXPECT_EQ(harness.report("m9"), Names{"wk-1/0"});
+    EXPECT_EQ(harness.heartbeat("m9"), Names{"wk-1/0"});
 }
 
 // Seen on a recorded day: each take-over waited for the machines that were booting and then deleted them, as
 // if they had fallen silent, so that with a leader lost every 40 s some never came up.
 TEST(Leader, AMachineThatWasOnlyRentedIsNeitherWaitedForNorGivenUp) {
     LeaderHarness harness;
-    harness.roster("m1");
-    harness.replica.roster["m2"] = {{"", "plain", "z", false}, 9};
+    harness.registerMachine("m1");
+    harness.replica.registeredMachines["m2"] = {{"", "plain", "z", false}, 9};
     harness.job(make("wk-1", 1, 8));
     harness.lead();
-    EXPECT_EQ(harness.report("m1"), Names{"wk-1/0"});  // it can't be on m2
+    EXPECT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});  // it can't be on m2
     const auto running = harness.task("wk-1/0", TaskState::running);
     for (int second = 0; second < 30; ++second) {
-        harness.report("m1", {running});
-        for (const auto& action : harness.tick(800ms)) EXPECT_FALSE(std::holds_alternative<Release>(action));
+        harness.heartbeat("m1", {running});
+        for (const auto& action : harness.tick(800ms)) EXPECT_FALSE(std::holds_alternative<ScaleIn>(action));
     }
-    // It comes up: its entry is written on its first report, and until then it gets nothing.
+    // It comes up: its entry is written on its first heartbeat, and until then it gets nothing.
     harness.job(make("wk-2", 1, 8));
     const auto first = harness.message("m2", {}, 0);
     std::size_t writes = 0;
-    for (const auto& action : harness.tell(ReportArrived{1, first}))
+    for (const auto& action : harness.tell(HeartbeatReceived{1, first}))
         if (const auto* write = std::get_if<WriteState>(&action))
             for (const auto& each : write->writes) writes += each.key == storage::keys::machine("m2");
     EXPECT_EQ(writes, 1u);
-    EXPECT_EQ(harness.report("m2"), Names{});
-    storage::TxnResult applied;
-    applied.status = storage::TxnStatus::applied;
+    EXPECT_EQ(harness.heartbeat("m2"), Names{});
+    storage::TransactionResult applied;
+    applied.status = storage::TransactionStatus::applied;
     applied.revision = 77;
     harness.tell(StateWritten{applied});
-    EXPECT_EQ(harness.report("m2"), Names{"wk-2/0"});
+    EXPECT_EQ(harness.heartbeat("m2"), Names{"wk-2/0"});
 }
 
-// A copy of an old report says nothing about now: it renews no lease, makes no machine count and settles
+// A copy of an old heartbeat says nothing about now: it renews no lease, makes no machine count and settles
 // nothing.
 TEST(Leader, ALateCopyIsNoSignOfLife) {
     LeaderHarness harness;
-    harness.roster("m1");
-    harness.roster("m2");
+    harness.registerMachine("m1");
+    harness.registerMachine("m2");
     harness.lead();
-    harness.report("m2");
+    harness.heartbeat("m2");
     harness.job(make("wk-1", 1, 8));
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
     const auto empty = harness.message("m1", {}, 5);
-    harness.report("m1", {harness.task("wk-1/0", TaskState::running)});
+    harness.heartbeat("m1", {harness.task("wk-1/0", TaskState::running)});
     const auto& m1 = *harness.leader->fleet().machines().at("m1");
     Names starts;
     for (int second = 0; second < 30 && starts.empty(); ++second) {
         EXPECT_EQ(m1.placements.size(), 1u);  // a copy without the task does not settle it
         harness.now += 1s;
-        harness.tell(ReportArrived{7, empty});
+        harness.tell(HeartbeatReceived{7, empty});
         harness.tell(Tick{});
-        starts = harness.report("m2");
+        starts = harness.heartbeat("m2");
     }
     EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease ran out all the same
-    EXPECT_FALSE(m1.reports);
+    EXPECT_FALSE(m1.sendsHeartbeats);
     bool accepted = true;
-    for (const auto& action : harness.tell(ReportArrived{8, empty}))
-        if (const auto* answer = std::get_if<AnswerReport>(&action)) accepted = answer->accepted;
+    for (const auto& action : harness.tell(HeartbeatReceived{8, empty}))
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) accepted = answer->accepted;
     EXPECT_FALSE(accepted);
 }
 
 // Deleted machines stay deleted, however late what they sent arrives.
 TEST(Leader, NoCopyBringsADeletedMachineBack) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
-    harness.report("m1");
-    harness.tell(ReleaseAnswered{{"m1"}, true});
-    EXPECT_EQ(harness.report("m1"), Names{});
+    harness.heartbeat("m1");
+    harness.tell(ScaleInCompleted{{"m1"}, true});
+    EXPECT_EQ(harness.heartbeat("m1"), Names{});
     EXPECT_TRUE(harness.leader->fleet().machines().empty());
 }
 
 // Its reports arrive, and neither answers nor commands reach it: seen from starts that never show.
 TEST(Leader, AnUnreachableMachineGetsNoMoreWorkUntilItAnswers) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 4, 2));
-    EXPECT_EQ(harness.report("m1").size(), 4u);
-    EXPECT_EQ(harness.report("m1").size(), 4u);  // an answer may be lost once
-    EXPECT_EQ(harness.report("m1"), Names{});
+    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
+    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);  // an answer may be lost once
+    EXPECT_EQ(harness.heartbeat("m1"), Names{});
     bool probed = false;
     for (int i = 0; i < 5; ++i)
         for (const auto& action : harness.tick())
-            if (const auto* direct = std::get_if<SendOrders>(&action)) probed |= direct->machine == "m1";
+            if (const auto* direct = std::get_if<SendCommands>(&action)) probed |= direct->machine == "m1";
     EXPECT_TRUE(probed);
-    EXPECT_EQ(harness.report("m1"), Names{});
-    harness.tell(WorkerAnswered{"m1", harness.message("m1", {}, 5), {}});
-    EXPECT_EQ(harness.report("m1").size(), 4u);
+    EXPECT_EQ(harness.heartbeat("m1"), Names{});
+    harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), {}});
+    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
 }
 
-// The same after a take-over: every report shows the old token, so no answer has renewed the lease, and what
-// may be on the machine is free to run elsewhere once the lease that the earlier leader left is over.
+// The same after a take-over: every report shows the old fencing token, so no answer has renewed the lease,
+// and what may be on the machine is free to run elsewhere once the lease that the earlier leader left is
+// over.
 TEST(Leader, AMachineThatNeverTakesTheTokenDoesNotHoldItsTasksForEver) {
     LeaderHarness harness;
-    harness.roster("m1");
-    harness.roster("m2");
+    harness.registerMachine("m1");
+    harness.registerMachine("m2");
     harness.job(make("wk-1", 1, 8));
     harness.lead();
     Names starts;
     const auto began = harness.now;
     while (harness.now - began < 40s && starts.empty()) {
         harness.now += 2s;
-        harness.report("m1", {}, 4);
+        harness.heartbeat("m1", {}, 4);
         harness.tell(Tick{});
-        starts = harness.report("m2");
+        starts = harness.heartbeat("m2");
     }
     EXPECT_EQ(starts, Names{"wk-1/0"});
     EXPECT_GE(harness.now - began, 20s);
@@ -200,16 +202,16 @@
 
 // Seen on a simulated day: a new leader spent its first second on probing hundreds of machines that were
 // about to report, and answered some only after their leases were over.
-TEST(Leader, ATakeOverAnswersReportsBeforeItProbes) {
+TEST(Leader, ATakeOverAnswersHeartbeatsBeforeItProbes) {
     LeaderHarness harness;
-    for (int i = 0; i < 300; ++i) harness.roster(std::string("m").append(std::to_string(i)));
+    for (int i = 0; i < 300; ++i) harness.registerMachine(std::string("m").append(std::to_string(i)));
     harness.lead();
     const auto probesIn = [&](int ticks) {
         std::vector<std::size_t> probes;
         for (int i = 0; i < ticks; ++i) {
             probes.push_back(0);
             for (const auto& action : harness.tick(500ms))
-                probes.back() += std::holds_alternative<SendOrders>(action);
+                probes.back() += std::holds_alternative<SendCommands>(action);
         }
         return probes;
     };
@@ -222,57 +224,59 @@
 // After a restart of its worker counters begin anew: neither old news for good nor believed.
 TEST(Leader, AMachineThatCountsAnewIsReplaced) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 4, 2));
-    std::vector<TaskReport> running;
-    for (const auto& name : harness.report("m1")) running.push_back(harness.task(name, TaskState::running));
-    for (int i = 0; i < 5; ++i) harness.report("m1", running);
+    std::vector<TaskStatus> running;
+    for (const auto& name : harness.heartbeat("m1"))
+        running.push_back(harness.task(name, TaskState::running));
+    for (int i = 0; i < 5; ++i) harness.heartbeat("m1", running);
     harness.sequences["m1"] = 0;
-    std::optional<SendOrders> probe;
+    std::optional<SendCommands> probe;
     for (int i = 0; i < 3; ++i) {
         harness.now += 1s;
-        for (const auto& action : harness.tell(ReportArrived{1, harness.message("m1", {}, 0)})) {
-            if (const auto* answer = std::get_if<AnswerReport>(&action)) {
+        for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {}, 0)})) {
+            if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
                 EXPECT_FALSE(answer->accepted);
             }
-            if (const auto* direct = std::get_if<SendOrders>(&action)) probe = *direct;
+            if (const auto* direct = std::get_if<SendCommands>(&action)) probe = *direct;
         }
     }
     ASSERT_TRUE(probe);
     const auto& m1 = *harness.leader->fleet().machines().at("m1");
     const auto possible = m1.placements.size();
     ASSERT_GT(possible, 0u);
-    harness.tell(WorkerAnswered{"m1", harness.message("m1", {}, 5), probe->known});
+    harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), probe->known});
     harness.sequences["m1"] = 50;  // beyond what was known: a late copy could look like this, too
-    EXPECT_EQ(harness.report("m1"), Names{});
+    EXPECT_EQ(harness.heartbeat("m1"), Names{});
     EXPECT_EQ(m1.placements.size(), possible);  // and would settle what is running now
     bool released = false;
     for (int i = 0; i < 10; ++i)
         for (const auto& action : harness.tick())
-            if (const auto* release = std::get_if<Release>(&action))
+            if (const auto* release = std::get_if<ScaleIn>(&action))
                 released |= release->machines == Names{"m1"};
     EXPECT_TRUE(released);
 }
 
-// Every machine of the roster is gone. A leader that hears nobody makes way for one that may be better
-// placed, before the leases are over; when each of them did, they made way for ever and nothing was rented.
+// Every machine of the machine registry is gone. A leader that hears nobody makes way for one that may be
+// better placed, before the leases are over; when each of them did, they made way for ever and nothing was
+// rented.
 TEST(Leader, WhenNobodyHearsAnyMachineSomeLeaderStaysUntilTheLeasesAreOver) {
     LeaderHarness harness;
     harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
-    for (const char* id : {"m1", "m2", "m3", "m4"}) harness.roster(id);
+    for (const char* id : {"m1", "m2", "m3", "m4"}) harness.registerMachine(id);
     harness.job(make("wk-1", 1, 2));
     int resigned = 0, rented = 0;
-    for (std::uint64_t token = 6; token < 10 && rented == 0; ++token) {
-        harness.replica.token = token;
+    for (std::uint64_t fencingToken = 6; fencingToken < 10 && rented == 0; ++fencingToken) {
+        harness.replica.fencingToken = fencingToken;
         harness.leader.reset();
-        harness.leader = std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, token,
-                                                  harness.now, 0);
+        harness.leader = std::make_unique<Leader>(harness.settings, harness.policy, harness.replica,
+                                                  fencingToken, harness.now, 0);
         bool leads = true;
         for (int i = 0; i < 40 * 5 && leads; ++i)
             for (const auto& action : harness.tick()) {
                 leads &= !std::holds_alternative<Resign>(action);
-                rented += std::holds_alternative<Rent>(action);
+                rented += std::holds_alternative<ScaleOut>(action);
             }
         resigned += !leads;
     }
@@ -286,10 +290,10 @@
     for (const bool heard : {false, true}) {
         LeaderHarness harness;
         harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
-        for (const char* id : {"m1", "m2", "m3", "m4"}) harness.roster(id);
+        for (const char* id : {"m1", "m2", "m3", "m4"}) harness.registerMachine(id);
         harness.leader =
             std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, 8, harness.now, 0);
-        if (heard) harness.report("m1", {}, 8);
+        if (heard) harness.heartbeat("m1", {}, 8);
         int seconds = 0;
         for (bool leads = true; leads && seconds < 120; ++seconds)
             for (const auto& action : harness.tick(1s)) leads &= !std::holds_alternative<Resign>(action);
@@ -306,33 +310,34 @@
 // out all the same, and then the machine is given back.
 TEST(Leader, AMuteMachineIsStoppedByCommandAndGivenBackAfterItsLease) {
     LeaderHarness harness;
-    harness.roster("m1");
-    harness.roster("m2");
+    harness.registerMachine("m1");
+    harness.registerMachine("m2");
     harness.lead();
     auto spec = make("wk-1", 1, 8);
     harness.job(spec);
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
     harness.job(make("wk-2", 1, 8));
-    ASSERT_EQ(harness.report("m2"), Names{"wk-2/0"});  // it is in use, and stays
-    const std::vector<TaskReport> running{harness.task("wk-1/0", TaskState::running)};
-    const std::vector<TaskReport> other{harness.task("wk-2/0", TaskState::running)};
-    harness.report("m1", running);
-    const auto answerProbes = [&](const std::vector<Action>& actions, const std::vector<TaskReport>& tasks) {
+    ASSERT_EQ(harness.heartbeat("m2"), Names{"wk-2/0"});  // it is in use, and stays
+    const std::vector<TaskStatus> running{harness.task("wk-1/0", TaskState::running)};
+    const std::vector<TaskStatus> other{harness.task("wk-2/0", TaskState::running)};
+    harness.heartbeat("m1", running);
+    const auto answerProbes = [&](const std::vector<Action>& actions, const std::vector<TaskStatus>& tasks) {
         std::size_t stops = 0;
         for (const auto& action : actions)
-            if (const auto* direct = std::get_if<SendOrders>(&action); direct && direct->machine == "m1") {
-                stops += direct->orders.size();
-                harness.tell(WorkerAnswered{"m1", harness.message("m1", tasks, 5), direct->known});
+            if (const auto* direct = std::get_if<SendCommands>(&action); direct && direct->machine == "m1") {
+                stops += direct->commands.size();
+                harness.tell(CommandsAnswered{"m1", harness.message("m1", tasks, 5), direct->known});
             }
         return stops;
     };
     for (int i = 0; i < 20; ++i) {  // silent for longer than a machine that nothing reaches would be kept
-        harness.report("m2", other);
+        harness.heartbeat("m2", other);
         const auto actions = harness.tick(500ms);
-        for (const auto& action : actions) EXPECT_FALSE(std::holds_alternative<Release>(action));
+        for (const auto& action : actions) EXPECT_FALSE(std::holds_alternative<ScaleIn>(action));
         answerProbes(actions, running);
     }
-    const auto value = storage::encodeJob({spec, storage::Final::cancelled, 0, 0, storage::chunkTasks(8)});
+    const auto value =
+        storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, storage::chunkTasks(8)});
     const auto handle = protocol::unpackBody(value);
     std::vector<bookkeeping::Change> changes;
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
@@ -340,9 +345,9 @@
     EXPECT_TRUE(harness.leader->fleet().machines().at("m1")->placements.empty());
     std::set<std::string> released;
     for (int i = 0; i < 80 && !released.contains("m1"); ++i) {
-        harness.report("m2", other);
+        harness.heartbeat("m2", other);
         for (const auto& action : harness.tick(500ms))
-            if (const auto* release = std::get_if<Release>(&action))
+            if (const auto* release = std::get_if<ScaleIn>(&action))
                 released.insert(release->machines.begin(), release->machines.end());
     }
     EXPECT_TRUE(released.contains("m1"));
--- a/tests/leader_waiting_test.cpp
+++ b/tests/leader_waiting_test.cpp
@@ -3,6 +3,7 @@
 
 #include <set>
 
+#include "base/clock.h"
 #include "leader_harness.h"
 
 using namespace burlpoint;
@@ -18,19 +19,19 @@
         arrive(second);
         harness.tell(Tick{});
         for (const auto& id : machines) {
-            std::vector<TaskReport> tasks;
+            std::vector<TaskStatus> tasks;
             for (auto& [attempt, left] : running[id])
                 tasks.push_back({attempt, left-- > 0 ? TaskState::running : TaskState::exited,
                                  left >= 0 ? protocol::ExitReason::none : protocol::ExitReason::done, false});
             std::erase_if(running[id], [](const auto& entry) { return entry.second < 0; });
-            std::vector<Action> actions = harness.tell(ReportArrived{1, harness.message(id, tasks, 5)});
+            std::vector<Action> actions = harness.tell(HeartbeatReceived{1, harness.message(id, tasks, 5)});
             for (const auto& action : actions) {
-                const auto* answer = std::get_if<AnswerReport>(&action);
+                const auto* answer = std::get_if<AnswerHeartbeat>(&action);
                 if (!answer) continue;
-                for (const auto& order : answer->orders) {
-                    if (order.op != Op::start) continue;
-                    if (order.attempt.job == job) return second;
-                    running[id][order.attempt] = 20;
+                for (const auto& command : answer->commands) {
+                    if (command.kind != CommandKind::start) continue;
+                    if (command.attempt.job == job) return second;
+                    running[id][command.attempt] = 20;
                 }
             }
         }
@@ -46,19 +47,19 @@
 TEST(Leader, NoJobIsPassedOverForEver) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3"};
-    for (const auto& id : machines) harness.roster(id);
+    for (const auto& id : machines) harness.registerMachine(id);
     harness.lead();
     int number = 10;
     const auto small = [&](int) {
         for (int i = 0; i < 2; ++i) {
             auto spec = make("wk-" + std::to_string(number++), 2, 4);
-            spec.deadline = protocol::Seconds(200);
+            spec.deadline = Seconds(200);
             harness.job(spec);
         }
     };
     small(0);
     auto large = make("wk-1", 900, 4);
-    large.deadline = protocol::Seconds(60);
+    large.deadline = Seconds(60);
     harness.job(large);
     EXPECT_LT(beginsAfter(harness, machines, "wk-1", small), 180);
 }
@@ -71,8 +72,8 @@
     std::set<protocol::Attempt> stopped;       // and not reported yet
     int longest = 0, stops = 0;                // of wk-1
 
-    std::vector<TaskReport> report() {
-        std::vector<TaskReport> tasks;
+    std::vector<TaskStatus> heartbeat() {
+        std::vector<TaskStatus> tasks;
         for (const auto& attempt : stopped)
             tasks.push_back({attempt, TaskState::exited, protocol::ExitReason::stopped, false});
         stopped.clear();
@@ -86,11 +87,11 @@
         std::erase_if(running, [](const auto& entry) { return entry.second < 0; });
         return tasks;
     }
-    void execute(const protocol::Order& order) {
-        if (order.op == Op::start) running[order.attempt] = 0;
-        if (order.op != Op::stop || !running.erase(order.attempt)) return;
-        stopped.insert(order.attempt);
-        stops += order.attempt.job == "wk-1";
+    void execute(const protocol::WorkerCommand& command) {
+        if (command.kind == CommandKind::start) running[command.attempt] = 0;
+        if (command.kind != CommandKind::stop || !running.erase(command.attempt)) return;
+        stopped.insert(command.attempt);
+        stops += command.attempt.job == "wk-1";
     }
 };
 
@@ -100,7 +101,7 @@
 // was stopped at once spent its place among the overdue. It then waited for 440 s.
 TEST(Leader, AStartThatIsStoppedAtOnceIsNoBeginning) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 2, 4));
     BusyWorker worker;
@@ -112,9 +113,10 @@
             harness.job(high);
         }
         for (int i = 0; i < 5; ++i) harness.tick();
-        for (const auto& action : harness.tell(ReportArrived{1, harness.message("m1", worker.report(), 5)}))
-            if (const auto* answer = std::get_if<AnswerReport>(&action))
-                for (const auto& order : answer->orders) worker.execute(order);
+        for (const auto& action :
+             harness.tell(HeartbeatReceived{1, harness.message("m1", worker.heartbeat(), 5)}))
+            if (const auto* answer = std::get_if<AnswerHeartbeat>(&action))
+                for (const auto& command : answer->commands) worker.execute(command);
     }
     EXPECT_GE(worker.stops, 2);  // it made way while it was not overdue
     EXPECT_GE(worker.longest, 30);
@@ -124,13 +126,13 @@
 TEST(Leader, AGangOfManyBeginsAmongSmallerOnes) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3", "m4"};
-    for (const auto& id : machines) harness.roster(id, "gpu");
+    for (const auto& id : machines) harness.registerMachine(id, "gpu");
     harness.lead();
     int number = 10;
     const auto gang = [&](const std::string& id, std::uint32_t tasks) {
-        auto spec = make(id, tasks, 14, Kind::gang);
+        auto spec = make(id, tasks, 14, JobKind::gang);
         spec.gpus = 2;
-        spec.oneZone = true;
+        spec.singleZone = true;
         spec.priority = protocol::Priority::high;
         harness.job(spec);
     };
@@ -149,13 +151,13 @@
     std::vector<std::string> machines;
     for (int i = 0; i < 1500; ++i) {
         machines.push_back(std::string("m").append(std::to_string(i)));
-        harness.roster(machines.back());
+        harness.registerMachine(machines.back());
     }
     harness.lead();
     harness.job(make("wk-1", 20'000, 1));
     for (const auto& id : machines) {
         harness.now -= 199ms;  // all report within two seconds
-        ASSERT_EQ(harness.report(id).size(), 8u);
+        ASSERT_EQ(harness.heartbeat(id).size(), 8u);
     }
     for (int i = 2; i < 60; ++i) {
         auto high = make("wk-" + std::to_string(i), 4, 8);
@@ -163,7 +165,7 @@
         harness.job(high);
     }
     for (int i = 0; i < 18; ++i) harness.tick();
-    harness.job(make("wk-100", 2, 4, Kind::service));
+    harness.job(make("wk-100", 2, 4, JobKind::service));
     int rounds = 0;
     const auto kept = [&] {
         return std::any_of(machines.begin(), machines.end(), [&](const auto& id) {
@@ -181,7 +183,7 @@
 // Seen on a simulated day: all demand went again and again to spot types that the cloud had just refused.
 TEST(Leader, ARefusedTypeIsAskedForAFewOnly) {
     LeaderHarness harness;
-    harness.settings.cloudRps = 50;
+    harness.settings.cloudRequestsPerSecond = 50;
     harness.lead();
     auto spec = make("wk-1", 400, 8);
     spec.spot = true;
@@ -190,11 +192,11 @@
         std::map<bool, std::uint32_t> count;
         for (int i = 0; i < 8; ++i)
             for (const auto& action : harness.tick())
-                if (const auto* rent = std::get_if<Rent>(&action)) {
+                if (const auto* rent = std::get_if<ScaleOut>(&action)) {
                     count[rent->request.spot] += rent->request.count;
-                    RentalAnswered answer;
+                    ScaleOutCompleted answer;
                     answer.name = rent->request.name;
-                    answer.outcome = RentalOutcome::turnedDown;
+                    answer.outcome = InstanceRequestOutcome::rejected;
                     harness.tell(answer);
                 }
         return count;
@@ -213,12 +215,12 @@
 
 /// Seconds until the job's first task starts on one of the machines, with everything else as it is.
 double waits(LeaderHarness& harness, const std::string& job,
-             const std::map<std::string, std::vector<TaskReport>>& machines) {
+             const std::map<std::string, std::vector<TaskStatus>>& machines) {
     for (int second = 0; second < 150; ++second) {
         harness.now += 700ms;
         harness.tell(Tick{});
         for (const auto& [id, running] : machines)
-            for (const auto& name : harness.report(id, running))
+            for (const auto& name : harness.heartbeat(id, running))
                 if (name.starts_with(job + "/")) return second;
         harness.now += 300ms - 200ms * static_cast<int>(machines.size());
     }
@@ -231,15 +233,15 @@
 TEST(Leader, WorkBoundToMachinesWithAcceleratorsIsNotHeldBackForEver) {
     for (const bool needed : {false, true}) {
         LeaderHarness harness;
-        harness.roster("m1", "gpu");
+        harness.registerMachine("m1", "gpu");
         harness.lead();
-        std::vector<TaskReport> running;
+        std::vector<TaskStatus> running;
         if (needed) {
-            auto gang = make("wk-1", 1, 8, Kind::gang);
+            auto gang = make("wk-1", 1, 8, JobKind::gang);
             gang.gpus = 1;
             gang.priority = protocol::Priority::high;
             harness.job(gang);
-            ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
+            ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
             running.push_back(harness.task("wk-1/0", TaskState::running));
             gang.id = "wk-3";
             gang.cpus = 14;
@@ -265,7 +267,7 @@
         std::string type;
         for (int i = 0; i < 30; ++i)
             for (const auto& action : harness.tick())
-                if (const auto* rent = std::get_if<Rent>(&action)) type = rent->request.type;
+                if (const auto* rent = std::get_if<ScaleOut>(&action)) type = rent->request.type;
         EXPECT_EQ(type, "gpu");
     }
 }
@@ -274,47 +276,48 @@
 // back in the meantime, it would be rented and given back again and again.
 TEST(Leader, AnIdleMachineIsKeptForWorkThatMayRunNowhereElse) {
     LeaderHarness harness;
-    harness.roster("m1", "gpu");
+    harness.registerMachine("m1", "gpu");
     harness.lead();
-    auto gang = make("wk-1", 1, 14, Kind::gang);
+    auto gang = make("wk-1", 1, 14, JobKind::gang);
     gang.gpus = 1;
     gang.priority = protocol::Priority::normal;
     harness.job(gang);
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
-    harness.report("m1", {{harness.last.at("wk-1/0"), TaskState::exited, protocol::ExitReason::done, false}});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
+    harness.heartbeat("m1",
+                      {{harness.last.at("wk-1/0"), TaskState::exited, protocol::ExitReason::done, false}});
     auto plain = make("wk-2", 1, 4);
     plain.types = Names{"gpu"};
     plain.priority = protocol::Priority::high;
     harness.job(plain);
     bool started = false;
     for (int second = 0; second < 80 && !started; ++second) {
-        started = harness.report("m1") == Names{"wk-2/0"};
-        for (const auto& action : harness.tick(800ms)) EXPECT_FALSE(std::holds_alternative<Release>(action));
+        started = harness.heartbeat("m1") == Names{"wk-2/0"};
+        for (const auto& action : harness.tick(800ms)) EXPECT_FALSE(std::holds_alternative<ScaleIn>(action));
     }
     EXPECT_TRUE(started);
 }
 
 TEST(Leader, AJobThatFailedOnTheOnlyMachineWithRoomTriesItAgain) {
     LeaderHarness harness;
-    harness.roster("m1");
+    harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 1, 4));
-    ASSERT_EQ(harness.report("m1"), Names{"wk-1/0"});
-    harness.report("m1",
-                   {{harness.last.at("wk-1/0"), TaskState::exited, protocol::ExitReason::error, false}});
+    ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
+    harness.heartbeat("m1",
+                      {{harness.last.at("wk-1/0"), TaskState::exited, protocol::ExitReason::error, false}});
     EXPECT_LT(waits(harness, "wk-1", {{"m1", {}}}), 80);
 }
 
 TEST(Leader, AZoneReservedForAGangIsNotKeptFromOthersForEver) {
     LeaderHarness harness;
     harness.settings.zones = {"z"};
-    std::map<std::string, std::vector<TaskReport>> machines;
-    for (const char* id : {"m1", "m2", "m3"}) harness.roster(id, "gpu");
+    std::map<std::string, std::vector<TaskStatus>> machines;
+    for (const char* id : {"m1", "m2", "m3"}) harness.registerMachine(id, "gpu");
     harness.lead();
     const auto gang = [&](const std::string& id, std::uint32_t tasks) {
-        auto spec = make(id, tasks, 14, Kind::gang);
+        auto spec = make(id, tasks, 14, JobKind::gang);
         spec.gpus = 2;
-        spec.oneZone = true;
+        spec.singleZone = true;
         spec.priority = protocol::Priority::high;
         harness.job(spec);
     };
@@ -322,7 +325,7 @@
     gang("wk-2", 1);
     for (const char* id : {"m1", "m2", "m3"}) {
         machines[id];
-        for (const auto& name : harness.report(id))
+        for (const auto& name : harness.heartbeat(id))
             machines[id].push_back(harness.task(name, TaskState::running));
     }
     ASSERT_TRUE(machines["m3"].empty());
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,11 +1,13 @@
-// Who leads: tokens, leases, grants of the peers, and what ends a leadership.
+// Who leads: fencing tokens, leases, votes of the peers, and what ends a leadership.
 #include <gtest/gtest.h>
 
-#include "service_node.h"
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+#include "service_controller.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
-using protocol::Packer;
+using protocol::MessagePacker;
 
 namespace {
 
@@ -20,31 +22,32 @@
         b.election.tick(Clock::now());
         io.run_one_for(5ms);
     };
-    while (!a.token && !b.token) tick();
+    while (!a.fencingToken && !b.fencingToken) tick();
     std::uint64_t last = 0;
     for (int round = 0; round < 3; ++round) {
-        while (!a.token && !b.token) tick();
-        EXPECT_TRUE(!a.token || !b.token);
-        auto& leader = a.token ? a : b;
+        while (!a.fencingToken && !b.fencingToken) tick();
+        EXPECT_TRUE(!a.fencingToken || !b.fencingToken);
+        auto& leader = a.fencingToken ? a : b;
         EXPECT_TRUE(leader.election.valid(Clock::now()));
-        EXPECT_GT(leader.token, last);
-        last = leader.token;
+        EXPECT_GT(leader.fencingToken, last);
+        last = leader.fencingToken;
         leader.election.resign(Clock::now(), false);
         EXPECT_FALSE(leader.election.valid(Clock::now()));
     }
 }
 
-// The lease ended behind the leader's back: its next renewal tells it, and its writes fail by the token.
+// The lease ended behind the leader's back: its next renewal tells it, and its writes fail by the fencing
+// token.
 TEST_F(Leadership, ALeaderWhoseLeaseEndedStops) {
     ServiceNode a(io, stub);
-    while (!a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto old = a.replica.tokenVersion;
     stub.store.endLease(stub.store.leases.begin()->first);
-    while (a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
-    while (!a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    while (a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
-    EXPECT_EQ(stub.store.transact({{storage::keys::kToken, old}}, {{"bp/x", Packer().nilValue().take(), 0}},
-                                  failed),
+    EXPECT_EQ(stub.store.transact({{storage::keys::kToken, old}},
+                                  {{"bp/x", MessagePacker().nilValue().take(), 0}}, failed),
               0u);
 }
 
@@ -63,69 +66,70 @@
     a.until([&] { return a.replica.leader.has_value(); });
     stub.release();
     for (int i = 0; i < 200; ++i) a.election.tick(Clock::now()), io.run_one_for(5ms);
-    EXPECT_EQ(a.token, 0u);
+    EXPECT_EQ(a.fencingToken, 0u);
     EXPECT_EQ(
         storage::decodeToken(protocol::unpackBody(stub.store.values.at(storage::keys::kToken).data).get()),
         1u);
 }
 
-// Should the token rise in any way, a leader stops even though its own lease goes on.
+// Should the fencing token rise in any way, a leader stops even though its own lease goes on.
 TEST_F(Leadership, ALeaderStopsWhenTheTokenRises) {
     ServiceNode a(io, stub);
-    while (!a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
     stub.store.transact({},
                         {{storage::keys::kLeader, storage::encodeLeader({"two", 9}), 0},
                          {storage::keys::kToken, storage::encodeToken(9), 0}},
                         failed);
     stub.wake();
-    a.until([&] { return a.replica.token == 9; });
+    a.until([&] { return a.replica.fencingToken == 9; });
     a.election.tick(Clock::now());
-    EXPECT_EQ(a.token, 0u);
+    EXPECT_EQ(a.fencingToken, 0u);
 }
 
-// A leader that the state service refuses cannot end its lease. Its peers need not wait for that.
+// A leader that the key-value store refuses cannot end its lease. Its peers need not wait for that.
 TEST_F(Leadership, APeerTakesOverFromALeaderThatGaveUp) {
     ServiceNode a(io, stub), b(io, stub, "two");
-    while (!a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.until([&] { return b.replica.leader.has_value(); });
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
-    EXPECT_EQ(b.token, 0u);                   // no reason yet
-    b.election.noteResignation(a.token - 1);  // of an earlier leadership
+    EXPECT_EQ(b.fencingToken, 0u);                   // no reason yet
+    b.election.noteResignation(a.fencingToken - 1);  // of an earlier leadership
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
-    EXPECT_EQ(b.token, 0u);
-    const auto token = a.token;
+    EXPECT_EQ(b.fencingToken, 0u);
+    const auto fencingToken = a.fencingToken;
     a.election.resign(Clock::now(), true);
-    EXPECT_EQ(a.election.resignedToken(), token);
-    b.election.noteResignation(token);
-    while (!b.token) b.election.tick(Clock::now()), io.run_one_for(5ms);
-    EXPECT_GT(b.token, token);
+    EXPECT_EQ(a.election.resignedToken(), fencingToken);
+    b.election.noteResignation(fencingToken);
+    while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_GT(b.fencingToken, fencingToken);
 }
 
 // In an outage nobody can take the key. Grants of all peers stand in for the lease, so that workers keep
 // their tasks; each peer keeps its grant whatever becomes of the key.
-TEST_F(Leadership, GrantsOfAllPeersCarryALeaderThroughAnOutage) {
+TEST_F(Leadership, VotesOfAllPeersCarryALeaderThroughAnOutage) {
     ServiceNode a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
-    while (!a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
-    b.until([&] { return b.replica.leader && b.replica.leader->token == a.token; });
-    EXPECT_EQ(b.election.grantExtension("one", a.token, Clock::now()), 0ms);  // the state service answers
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    b.until([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
+    EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken, Clock::now()),
+              0ms);  // the key-value store answers
     const auto later = Clock::now() + 20s;
-    EXPECT_EQ(b.election.grantExtension("one", a.token + 1, later), 0ms);
-    EXPECT_EQ(b.election.grantExtension("two", a.token, later), 0ms);
-    const auto life = b.election.grantExtension("one", a.token, later);
+    EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken + 1, later), 0ms);
+    EXPECT_EQ(b.election.voteForExtension("two", a.fencingToken, later), 0ms);
+    const auto life = b.election.voteForExtension("one", a.fencingToken, later);
     ASSERT_GT(life, 0ms);
-    a.election.noteGrant("two", life, later);
+    a.election.noteVote("two", life, later);
     EXPECT_FALSE(a.election.valid(later));  // one of two
-    a.election.noteGrant("three", life, later);
+    a.election.noteVote("three", life, later);
     EXPECT_TRUE(a.election.valid(later + life / 2));
     EXPECT_FALSE(a.election.valid(later + life));
     stub.store.endLease(stub.store.leases.begin()->first);
     stub.wake();
     b.until([&] { return !b.replica.leader; });
     for (int i = 0; i < 100; ++i) b.election.tick(later + i * life / 120), io.run_one_for(2ms);
-    EXPECT_EQ(b.token, 0u);
-    while (!b.token) b.election.tick(later + 2 * life), io.run_one_for(5ms);
+    EXPECT_EQ(b.fencingToken, 0u);
+    while (!b.fencingToken) b.election.tick(later + 2 * life), io.run_one_for(5ms);
     // A process that is back at once has forgotten what it granted.
     ServiceNode c(io, stub, "three");
     c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
@@ -133,18 +137,19 @@
     stub.wake();
     c.until([&] { return !c.replica.leader; });
     for (int i = 0; i < 300; ++i) c.election.tick(Clock::now()), io.run_one_for(2ms);
-    EXPECT_EQ(c.token, 0u);
-    while (!c.token) c.election.tick(Clock::now() + 10s), io.run_one_for(5ms);
+    EXPECT_EQ(c.fencingToken, 0u);
+    while (!c.fencingToken) c.election.tick(Clock::now() + 10s), io.run_one_for(5ms);
 }
 
 // A leader whose lease goes on while its reads fail does not see what others confirm.
 TEST_F(Leadership, ALeaderThatReadsNothingStopsThoughItsLeaseGoesOn) {
     ServiceNode a(io, stub);
-    a.config.lease = protocol::Seconds(10);
-    a.config.cancel = protocol::Seconds(14);
+    a.config.workerLease = Seconds(10);
+    a.config.cancelTimeout = Seconds(14);
     coordination::Election election(
-        a.config, a.policy, a.state, a.replica, a.watcher, [&](std::uint64_t t) { a.token = t; }, [] {});
-    while (!a.token) election.tick(Clock::now()), io.run_one_for(5ms);
+        a.config, a.policy, a.state, a.replica, a.watcher, [&](std::uint64_t t) { a.fencingToken = t; },
+        [] {});
+    while (!a.fencingToken) election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_TRUE(election.valid(Clock::now()));
     EXPECT_TRUE(election.cancellationsCurrent(Clock::now()));
     // It is entitled for longer than it may start anything.
@@ -158,7 +163,7 @@
     EXPECT_TRUE(election.leading());
     EXPECT_FALSE(stub.store.leases.empty());
     stub.readsFail = false;
-    a.watcher.fresh([](bool) {});
+    a.watcher.readLatest([](bool) {});
     while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
 }
 
@@ -166,31 +171,31 @@
 TEST_F(Leadership, LeasesEndWithinTheTimeOfACancellation) {
     for (const auto& [lease, cancel] : {std::pair(26.5, 46.5), {13, 33}, {24, 44}, {10, 30}, {30, 40}}) {
         auto s = serviceSettings("one");
-        s.lease = protocol::Seconds(lease);
-        s.cancel = protocol::Seconds(cancel);
-        EXPECT_LT(coordination::Election::maxTimeWithoutRead(s) + s.lease * 1.002 + protocol::Seconds(4),
-                  s.cancel);
+        s.workerLease = Seconds(lease);
+        s.cancelTimeout = Seconds(cancel);
+        EXPECT_LT(coordination::Election::maxTimeWithoutRead(s) + s.workerLease * 1.002 + Seconds(4),
+                  s.cancelTimeout);
     }
 }
 
 // While no change is taken, a leader stays one; a candidate goes on trying and wins as soon as changes
 // are.
 TEST_F(Leadership, LeadershipsOutlastRefusedChanges) {
-    ServiceNode a(io, stub, "one", protocol::Seconds(1));
-    while (!a.token) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    ServiceNode a(io, stub, "one", Seconds(1));
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto unrenewed = Clock::now() + 1s;
     stub.store.limits = {32, 2048, 0};
-    const auto token = a.token;
+    const auto fencingToken = a.fencingToken;
     while (Clock::now() < unrenewed) a.election.tick(Clock::now()), io.run_one_for(5ms);
-    EXPECT_EQ(a.token, token);
+    EXPECT_EQ(a.fencingToken, fencingToken);
     EXPECT_TRUE(a.election.valid(Clock::now()));
-    ServiceNode b(io, stub, "two", protocol::Seconds(1));
+    ServiceNode b(io, stub, "two", Seconds(1));
     b.until([&] { return b.watcher.synced(); });
     a.election.resign(Clock::now(), true);
     const auto before = stub.store.tooMany;
     while (stub.store.tooMany < before + 3) b.election.tick(Clock::now()), io.run_one_for(5ms);
-    EXPECT_EQ(b.token, 0u);
+    EXPECT_EQ(b.fencingToken, 0u);
     stub.store.limits.changes = 2;
-    while (!b.token) b.election.tick(Clock::now()), io.run_one_for(5ms);
-    EXPECT_GT(b.token, token);
+    while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_GT(b.fencingToken, fencingToken);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,14 +1,17 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "coordination/leader.h"
-#include "state_stub.h"
+#include "base/clock.h"
+#include "coordination/controller/leader.h"
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
+#include "store_stub.h"
 
 using namespace burlpoint;
 using namespace burlpoint::coordination;
 using namespace std::chrono_literals;
 using protocol::JobSpec;
-using storage::Final;
+using storage::TerminalState;
 using tests::Store;
 
 namespace {
@@ -46,11 +49,12 @@
         if (error != std::errc() || stop != rest.data() + rest.size()) continue;
         if (chunk >= (spec.tasks + chunkTasks - 1) / chunkTasks) continue;
         const auto handle = protocol::unpackBody(value.data);
-        if (handle.get().type != msgpack::type::STR) throw protocol::Malformed("a bitmap is not text");
+        if (handle.get().type != msgpack::type::STR) throw protocol::MalformedMessage("a bitmap is not text");
         auto at = chunk * chunkTasks;
         for (const char c : handle.get().as<std::string>()) {
             const bool digit = c >= '0' && c <= '9';
-            if (!digit && !(c >= 'a' && c <= 'f')) throw protocol::Malformed("a bitmap has a wrong digit");
+            if (!digit && !(c >= 'a' && c <= 'f'))
+                throw protocol::MalformedMessage("a bitmap has a wrong digit");
             const auto four = static_cast<unsigned>(digit ? c - '0' : c - 'a' + 10);
             for (unsigned bit = 0; bit < 4; ++bit, ++at)
                 if (at < std::min<std::size_t>((chunk + 1) * chunkTasks, spec.tasks) && (four >> bit & 1u))
@@ -60,7 +64,7 @@
     return bits;
 }
 
-/// A leader over the stand-in of the state service, whose answers come at once.
+/// A leader over the stand-in of the key-value store, whose answers come at once.
 struct Cluster {
     protocol::Settings settings;
     protocol::Policy policy;
@@ -68,7 +72,7 @@
     bookkeeping::StateReplica replica;
     std::unique_ptr<Leader> leader;
     std::size_t read = 0;
-    std::uint64_t sequence = 0, token = 5;
+    std::uint64_t sequence = 0, fencingToken = 5;
     Time now{1000s};
     double changes = 1e9;  // a second
     bool resigned = false;
@@ -77,13 +81,13 @@
         settings.name = "one";
         settings.zones = {"z"};
         settings.teams = {{"t", 0, 0, 0, 0}};
-        settings.lease = protocol::Seconds(600);
-        settings.valueKb = 8;
-        settings.txnOps = 32;
-        settings.stateWriteRps = 40;
-        put(storage::keys::kToken, storage::encodeToken(token));
+        settings.workerLease = Seconds(600);
+        settings.maxValueKb = 8;
+        settings.maxTransactionWrites = 32;
+        settings.storeWritesPerSecond = 40;
+        put(storage::keys::kToken, storage::encodeToken(fencingToken));
         put(storage::keys::kTypes,
-            protocol::encodeMachineTypes({{"plain", 8, 0, 32, 50, 1, 1, 0.3, protocol::Seconds(10), {"z"}}}));
+            protocol::encodeMachineTypes({{"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"z"}}}));
         put(storage::keys::machine("m1"), storage::encodeMachine({"m1", "plain", "z", false}));
     }
     void put(const std::string& key, const std::string& value) {
@@ -91,11 +95,11 @@
         store.transact({}, {{key, value, 0}}, failed);
     }
     void accept(const JobSpec& spec, std::uint32_t chunkTasks) {
-        put(storage::keys::job(spec.id), storage::encodeJob({spec, Final::open, 1, 0, chunkTasks}));
+        put(storage::keys::job(spec.id), storage::encodeJob({spec, TerminalState::none, 1, 0, chunkTasks}));
         readLog();
     }
-    void lower(std::size_t ops, std::size_t valueBytes, double perSecond) {
-        store.limits = {ops, valueBytes, perSecond};
+    void lower(std::size_t ops, std::size_t maxValueBytes, double perSecond) {
+        store.limits = {ops, maxValueBytes, perSecond};
         changes = perSecond;
     }
     static void apply(const Store& store, std::size_t& from, bookkeeping::StateReplica& replica,
@@ -118,18 +122,18 @@
     }
     void lead() {
         readLog();
-        leader = std::make_unique<Leader>(settings, policy, replica, token, now, 0);
+        leader = std::make_unique<Leader>(settings, policy, replica, fencingToken, now, 0);
     }
-    void tell(Command command) {
-        for (auto& action : leader->handle(std::move(command), now)) {
+    void tell(LeaderEvent event) {
+        for (auto& action : leader->handle(std::move(event), now)) {
             if (const auto* write = std::get_if<WriteState>(&action)) {
-                storage::TxnResult result;
+                storage::TransactionResult result;
                 if (const auto refusal = store.refusal(write->conditions, write->writes)) {
                     result.status = *refusal;
                 } else {
                     result.revision = store.transact(write->conditions, write->writes, result.failed);
-                    result.status =
-                        result.revision ? storage::TxnStatus::applied : storage::TxnStatus::conflict;
+                    result.status = result.revision ? storage::TransactionStatus::applied
+                                                    : storage::TransactionStatus::conflict;
                 }
                 tell(StateWritten{result});
             } else if (std::holds_alternative<RefreshReplica>(action)) {
@@ -141,11 +145,11 @@
         }
     }
     /// m1 reports these tasks as done.
-    void report(const std::string& id, const std::vector<std::uint32_t>& tasks) {
-        protocol::Report r{"m1", "m1", "plain", "z", false, 1, ++sequence, token, {}, {}};
+    void heartbeat(const std::string& id, const std::vector<std::uint32_t>& tasks) {
+        protocol::Heartbeat r{"m1", "m1", "plain", "z", false, 1, ++sequence, fencingToken, {}, {}};
         for (const auto t : tasks)
             r.tasks.push_back({{id, t, 1}, protocol::TaskState::exited, protocol::ExitReason::done, false});
-        tell(ReportArrived{sequence, std::move(r)});
+        tell(HeartbeatReceived{sequence, std::move(r)});
     }
     void run(int seconds) {
         for (int step = 0; step < seconds * 10; ++step) {
@@ -168,9 +172,9 @@
         for (std::uint32_t t = 0; t < job->spec.tasks; ++t) bits[t] = job->isDone(t);
         return bits;
     }
-    Final finalOf(const std::string& id) const {
+    TerminalState terminalStateOf(const std::string& id) const {
         return storage::decodeJob(protocol::unpackBody(store.values.at(storage::keys::job(id)).data).get())
-            .final;
+            .terminalState;
     }
 };
 
@@ -190,7 +194,7 @@
     return true;
 }
 
-const protocol::StateLimits kNext{28, 2, 10};
+const protocol::StoreLimits kNext{28, 2, 10};
 
 }  // namespace
 
@@ -255,7 +259,7 @@
 // that version, leading once more, takes nothing back.
 TEST(Limits, BothVersionsReadAJobOfTheOldLimit) {
     Cluster c;
-    c.settings.nextState = kNext;
+    c.settings.nextStoreLimits = kNext;
     const auto spec = arrayOf("wk-1", 40'000);
     c.accept(spec, kOldChunk);
     const auto early = bitsOf(every(7, 0, 40'000), 40'000);
@@ -264,7 +268,7 @@
               storage::encodeBits(early, chunk * kOldChunk, kOldChunk));
     const auto before = c.store.values.at(storage::keys::doneChunk("wk-1", 0)).data;
     c.lead();
-    c.report("wk-1", every(7, 1, 40'000));
+    c.heartbeat("wk-1", every(7, 1, 40'000));
     c.run(5);
     auto both = bitsOf(every(7, 1, 40'000), 40'000);
     for (std::size_t t = 0; t < both.size(); t += 7) both[t] = true;
@@ -282,25 +286,25 @@
 }
 
 /// Half of everything is finished before the drop, the rest after; `told` says if the settings announced it.
-void acrossADrop(bool told, std::size_t ops, std::size_t valueBytes, double perSecond) {
+void acrossADrop(bool told, std::size_t ops, std::size_t maxValueBytes, double perSecond) {
     Cluster c;
-    if (told) c.settings.nextState = kNext;
+    if (told) c.settings.nextStoreLimits = kNext;
     c.accept(arrayOf("wk-1", 40'000), kOldChunk);
     for (int i = 0; i < 30; ++i) {
         const auto id = "wk-" + std::to_string(100 + i);
         c.accept(i % 3 ? arrayOf(id, 2) : withLongTexts(id), kOldChunk);
     }
     c.lead();
-    c.report("wk-1", every(4, 0, 40'000));
-    for (int i = 0; i < 10; ++i) c.report("wk-" + std::to_string(100 + i), {0, 1});
+    c.heartbeat("wk-1", every(4, 0, 40'000));
+    for (int i = 0; i < 10; ++i) c.heartbeat("wk-" + std::to_string(100 + i), {0, 1});
     c.run(4);
     EXPECT_EQ(c.store.tooLarge + c.store.tooMany, 0u);
     EXPECT_EQ(c.stored("wk-1"), bitsOf(every(4, 0, 40'000), 40'000));
-    c.lower(ops, valueBytes, perSecond);
+    c.lower(ops, maxValueBytes, perSecond);
     for (std::uint32_t from : {1u, 2u}) {
-        c.report("wk-1", every(4, from, 40'000));
+        c.heartbeat("wk-1", every(4, from, 40'000));
         for (int i = 0; i < 10; ++i)
-            c.report("wk-" + std::to_string(100 + 10 * static_cast<int>(from) + i), {0, 1});
+            c.heartbeat("wk-" + std::to_string(100 + 10 * static_cast<int>(from) + i), {0, 1});
         c.run(from == 1 ? 3 : 120);
     }
     EXPECT_EQ(c.store.tooLarge == 0, told);  // keeping to what was announced, it is never refused for size
@@ -308,10 +312,10 @@
     for (std::uint32_t t = 0; t < 40'000; ++t)
         if (bits[t] != (t % 4 != 3)) FAIL() << "bit " << t;
     for (int i = 0; i < 30; ++i)
-        EXPECT_EQ(c.finalOf("wk-" + std::to_string(100 + i)), Final::done) << 100 + i;
-    c.report("wk-1", every(4, 3, 40'000));
+        EXPECT_EQ(c.terminalStateOf("wk-" + std::to_string(100 + i)), TerminalState::done) << 100 + i;
+    c.heartbeat("wk-1", every(4, 3, 40'000));
     c.run(60);
-    EXPECT_EQ(c.finalOf("wk-1"), Final::done);
+    EXPECT_EQ(c.terminalStateOf("wk-1"), TerminalState::done);
     EXPECT_FALSE(c.resigned);
 }
 TEST(Limits, EverythingIsStoredAcrossADropThatWasAnnounced) { acrossADrop(true, 10, 2048, 28); }
@@ -325,34 +329,34 @@
     auto open = arrayOf("wk-2", 40);
     c.accept(open, 8);
     c.lead();
-    c.report("wk-1", {});
+    c.heartbeat("wk-1", {});
     c.lower(32, 60, 40);  // no record is as small as this, bitmaps are
-    c.report("wk-1", {0, 1});
-    c.report("wk-2", every(2, 0, 40));
+    c.heartbeat("wk-1", {0, 1});
+    c.heartbeat("wk-2", every(2, 0, 40));
     c.run(20);
-    EXPECT_EQ(c.finalOf("wk-1"), Final::open);
+    EXPECT_EQ(c.terminalStateOf("wk-1"), TerminalState::none);
     EXPECT_EQ(c.stored("wk-2"), bitsOf(every(2, 0, 40), 40));
     const auto refused = c.store.tooLarge;
     c.run(25);
     EXPECT_LE(c.store.tooLarge, refused + 3);  // not over and over
     c.lower(32, 8192, 40);
     c.run(40);
-    EXPECT_EQ(c.finalOf("wk-1"), Final::done);
+    EXPECT_EQ(c.terminalStateOf("wk-1"), TerminalState::done);
     EXPECT_FALSE(c.resigned);
 }
 
 // Long records that end at once go into as many transactions as 64 KiB for each demand.
 TEST(Limits, TransactionsKeepToTheirBytes) {
     Cluster c;
-    c.settings.stateWriteRps = 200;
+    c.settings.storeWritesPerSecond = 200;
     for (int i = 0; i < 40; ++i) c.accept(withLongTexts("wk-" + std::to_string(100 + i)), 8);
     c.lead();
     for (int i = 0; i < 40; ++i) {
         c.store.limits.changes = 0;  // they gather
-        c.report("wk-" + std::to_string(100 + i), {0, 1});
+        c.heartbeat("wk-" + std::to_string(100 + i), {0, 1});
     }
     c.run(20);
-    for (const auto& [id, job] : c.replica.jobs()) EXPECT_EQ(c.finalOf(id), Final::done);
+    for (const auto& [id, job] : c.replica.jobs()) EXPECT_EQ(c.terminalStateOf(id), TerminalState::done);
     EXPECT_EQ(c.store.tooLarge, 0u);
 }
 
@@ -361,11 +365,11 @@
     Cluster c;
     for (int i = 0; i < 120; ++i) c.accept(arrayOf("wk-" + std::to_string(1000 + i), 1), 8);
     c.lead();
-    c.report("wk-0", {});
+    c.heartbeat("wk-0", {});
     c.lower(32, 8192, 6);
-    for (int i = 0; i < 120; ++i) c.report("wk-" + std::to_string(1000 + i), {0});
+    for (int i = 0; i < 120; ++i) c.heartbeat("wk-" + std::to_string(1000 + i), {0});
     c.run(60);
-    for (const auto& [id, job] : c.replica.jobs()) EXPECT_EQ(c.finalOf(id), Final::done);
+    for (const auto& [id, job] : c.replica.jobs()) EXPECT_EQ(c.terminalStateOf(id), TerminalState::done);
     EXPECT_GT(c.store.tooMany, 0u);
     EXPECT_LT(c.store.tooMany, 30u);
     EXPECT_FALSE(c.resigned);
@@ -375,14 +379,14 @@
 TEST(Limits, SmallWritesGrowAgain) {
     Cluster c;
     c.lead();
-    c.report("wk-0", {});
+    c.heartbeat("wk-0", {});
     c.lower(2, 8192, 40);
     auto finish = [&, next = 0](int jobs) mutable {
         const int from = next;
         for (; next < from + jobs; ++next) {
             const auto id = "wk-" + std::to_string(1000 + next);
             c.accept(arrayOf(id, 1), 8);
-            c.report(id, {0});
+            c.heartbeat(id, {0});
         }
     };
     for (int i = 0; i < 60; ++i) finish(6), c.run(2);
@@ -394,13 +398,13 @@
     finish(16);
     c.run(4);
     EXPECT_LE(c.store.revision - from, 16u + 4u);  // 16 acceptances, and the ends together
-    for (const auto& [id, job] : c.replica.jobs()) EXPECT_EQ(c.finalOf(id), Final::done);
+    for (const auto& [id, job] : c.replica.jobs()) EXPECT_EQ(c.terminalStateOf(id), TerminalState::done);
 }
 
 // The rate settles near what the service takes, without being told, and comes back when it takes more.
-TEST(RateBudget, FollowsWhatIsAnswered) {
+TEST(TokenBucket, FollowsWhatIsAnswered) {
     Time now{1000s};
-    storage::RateBudget budget(24, now);
+    storage::TokenBucket budget(24, now);
     double saved = 25;  // by the service: a second's worth at most
     const auto minute = [&](double limit) {
         std::pair<int, int> taken{0, 0};  // changes carried out, refusals
@@ -417,9 +421,9 @@
     };
     EXPECT_EQ(minute(25).second, 0);
     minute(12);
-    const auto [carried, refusals] = minute(12);
+    const auto [carried, capacityErrors] = minute(12);
     EXPECT_GT(carried, 60 * 12 * 0.75);
-    EXPECT_LT(refusals, 20);
+    EXPECT_LT(capacityErrors, 20);
     minute(25);
     EXPECT_NEAR(budget.rate(now), 24, 0.01);
     for (int i = 0; i < 100; ++i) budget.refused(now += 2s);
@@ -428,9 +432,9 @@
     EXPECT_TRUE(budget.take(1, 0, now));
 }
 
-TEST(RateBudget, DoesNotGoBackBeyondTheNextLimit) {
+TEST(TokenBucket, DoesNotGoBackBeyondTheNextLimit) {
     Time now{1000s};
-    storage::RateBudget budget(24, now, 16);
+    storage::TokenBucket budget(24, now, 16);
     EXPECT_EQ(budget.rate(now += 10s), 24);  // it may still be had
     budget.refused(now);
     EXPECT_LT(budget.rate(now), 16);
@@ -438,25 +442,25 @@
 }
 
 // Refusals at one time count once, and a rate below one a second still lets single changes through.
-TEST(RateBudget, OneExcessIsOneSign) {
+TEST(TokenBucket, OneExcessIsOneSign) {
     Time now{1000s};
-    storage::RateBudget budget(24, now);
+    storage::TokenBucket budget(24, now);
     for (int i = 0; i < 8; ++i) budget.refused(now);
     EXPECT_GT(budget.rate(now), 16);
-    storage::RateBudget slow(0.6, now);
+    storage::TokenBucket slow(0.6, now);
     EXPECT_TRUE(slow.take(1, 0, now + 3s));
 }
 
 // Lengths as JSON writes them, with room to spare for the ways in which writers differ.
 TEST(JsonBytes, AreAtLeastWhatJsonTakes) {
-    using protocol::Packer;
-    const auto bytes = [](const Packer& p) { return protocol::jsonBytes(p.take()); };
-    EXPECT_EQ(bytes(Packer().value("abc")), 5u);
-    EXPECT_EQ(bytes(Packer().value("a\"b\\\n")), 14u);
-    EXPECT_EQ(bytes(Packer().value("\xc3\xa9")), 8u);           // "\u00e9"
-    EXPECT_EQ(bytes(Packer().value("\xf0\x9f\x9a\xa2")), 14u);  // two escapes
-    EXPECT_EQ(bytes(Packer().value(412)), 3u);
-    EXPECT_GE(bytes(Packer().value(240.5)), 5u);
-    EXPECT_GE(bytes(Packer().map(1).field("a", true)), std::string(R"({"a": true})").size());
-    EXPECT_GE(bytes(Packer().list(2).value(1).value(2)), std::string("[1, 2]").size());
+    using protocol::MessagePacker;
+    const auto bytes = [](const MessagePacker& p) { return protocol::jsonBytes(p.take()); };
+    EXPECT_EQ(bytes(MessagePacker().value("abc")), 5u);
+    EXPECT_EQ(bytes(MessagePacker().value("a\"b\\\n")), 14u);
+    EXPECT_EQ(bytes(MessagePacker().value("\xc3\xa9")), 8u);           // "\u00e9"
+    EXPECT_EQ(bytes(MessagePacker().value("\xf0\x9f\x9a\xa2")), 14u);  // two escapes
+    EXPECT_EQ(bytes(MessagePacker().value(412)), 3u);
+    EXPECT_GE(bytes(MessagePacker().value(240.5)), 5u);
+    EXPECT_GE(bytes(MessagePacker().map(1).field("a", true)), std::string(R"({"a": true})").size());
+    EXPECT_GE(bytes(MessagePacker().list(2).value(1).value(2)), std::string("[1, 2]").size());
 }
--- /dev/null
+++ b/tests/machine_registry_test.cpp
@@ -0,0 +1,120 @@
+#include "coordination/state/machine_registry.h"
+
+#include <gtest/gtest.h>
+
+#include "base/clock.h"
+
+using namespace burlpoint;
+using bookkeeping::RegistrationState;
+using coordination::MachineRegistry;
+
+namespace {
+
+struct RegistryTest : testing::Test {
+    bookkeeping::StateReplica replica;
+    bookkeeping::Fleet fleet;
+    MachineRegistry registry{replica, fleet};
+
+    bookkeeping::Machine& rented(const std::string& id) {
+        auto& machine = fleet.add(id, Time{});
+        machine.type = std::string("cpu");
+        machine.zone = std::string("a");
+        return machine;
+    }
+    bookkeeping::Machine& reporting(const std::string& id) {
+        auto& machine = rented(id);
+        machine.address = id;
+        machine.incarnation = 1;
+        machine.sendsHeartbeats = true;
+        return machine;
+    }
+    void store(const bookkeeping::Machine& machine, std::uint64_t revision) {
+        registry.additionSent(machine.id);
+        registry.additionStored(machine.id, MachineRegistry::recordOf(machine), revision);
+    }
+};
+
+}  // namespace
+
+TEST_F(RegistryTest, AnEntryCountsOnlyOnceItIsStored) {
+    auto& machine = reporting("m1");
+    registry.ensureEntry(machine);
+    EXPECT_TRUE(registry.additions().contains("m1"));
+    EXPECT_EQ(machine.registration, RegistrationState::absent);
+    registry.additionSent("m1");
+    EXPECT_EQ(machine.registration, RegistrationState::writing);
+    registry.additionNotStored("m1");
+    EXPECT_EQ(machine.registration, RegistrationState::absent);
+    EXPECT_TRUE(registry.additions().contains("m1"));
+    store(machine, 7);
+    EXPECT_EQ(machine.registration, RegistrationState::stored);
+    EXPECT_TRUE(registry.additions().empty());
+    EXPECT_EQ(registry.versionOf("m1"), 7u);
+    EXPECT_TRUE(registry.mayHoldTasks("m1"));
+}
+
+TEST_F(RegistryTest, ANoteOfARentedMachineAllowsNoTasks) {
+    auto& machine = rented("m1");
+    machine.address = std::string("m1");
+    registry.noteRequested("m1");
+    store(machine, 7);
+    EXPECT_EQ(machine.registration, RegistrationState::absent);
+    EXPECT_FALSE(registry.mayHoldTasks("m1"));
+    EXPECT_TRUE(registry.additions().empty());
+    machine.incarnation = 1;
+    registry.ensureEntry(machine);
+    EXPECT_TRUE(registry.additions().contains("m1"));
+    store(machine, 8);
+    EXPECT_EQ(machine.registration, RegistrationState::stored);
+}
+
+TEST_F(RegistryTest, AnEntryWhoseAddressChangedMeanwhileIsWrittenAgain) {
+    auto& machine = reporting("m1");
+    registry.ensureEntry(machine);
+    registry.additionSent("m1");
+    const auto sent = MachineRegistry::recordOf(machine);
+    machine.address = std::string("m2");
+    registry.additionStored("m1", sent, 7);
+    EXPECT_TRUE(registry.additions().contains("m1"));
+}
+
+// A deletion that was sent may be carried out after the machine is back.
+TEST_F(RegistryTest, AMachineThatReturnsNeedsANewEntry) {
+    registry.ensureEntry(reporting("m1"));
+    store(*fleet.find("m1"), 7);
+    registry.forget(*fleet.find("m1"));
+    fleet.erase("m1");
+    EXPECT_TRUE(registry.removals().contains("m1"));
+    registry.removalSent("m1");
+    auto& back = reporting("m1");
+    registry.ensureEntry(back);
+    EXPECT_EQ(back.registration, RegistrationState::absent);
+    EXPECT_TRUE(registry.removals().empty());
+    EXPECT_TRUE(registry.additions().contains("m1"));
+    store(back, 9);
+    EXPECT_EQ(back.registration, RegistrationState::stored);
+}
+
+TEST_F(RegistryTest, AnEntryThatIsStoredAfterItsMachineLeftIsDeleted) {
+    registry.ensureEntry(reporting("m1"));
+    registry.additionSent("m1");
+    const auto sent = MachineRegistry::recordOf(*fleet.find("m1"));
+    registry.forget(*fleet.find("m1"));
+    fleet.erase("m1");
+    EXPECT_TRUE(registry.additions().empty());
+    registry.additionStored("m1", sent, 7);
+    EXPECT_TRUE(registry.removals().contains("m1"));
+    registry.removalSent("m1");
+    registry.removalStored("m1");
+    EXPECT_TRUE(registry.removals().empty());
+    EXPECT_EQ(registry.versionOf("m1"), 0u);
+}
+
+TEST_F(RegistryTest, EntriesOfMachinesThatAreNoMoreAreDeleted) {
+    replica.registeredMachines["gone"] = {{"gone", "cpu", "a", false}, 3};
+    registry.dropOrphans();
+    EXPECT_TRUE(registry.removals().contains("gone"));
+    replica.registeredMachines.clear();
+    registry.dropSettledRemovals();
+    EXPECT_TRUE(registry.removals().empty());
+}
--- a/tests/overload_monitor_test.cpp
+++ b/tests/overload_monitor_test.cpp
@@ -1,12 +1,12 @@
-#include "coordination/overload_monitor.h"
+#include "coordination/leadership/overload_monitor.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::OverloadMonitor;
-using transport::Clock;
-using transport::Time;
 
 namespace {
 
--- a/tests/peer_exchange_test.cpp
+++ b/tests/peer_exchange_test.cpp
@@ -1,7 +1,10 @@
-#include "coordination/peer_exchange.h"
+#include "coordination/leadership/peer_exchange.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::PeerExchange;
@@ -28,10 +31,11 @@
         spec.team = "team";
         spec.cpus = 1;
         apply(replica, storage::keys::job(spec.id),
-              storage::encodeJob({spec, storage::Final::cancelled, 0, 0, 4}), version);
+              storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, 4}), version);
     }
-    void leads(const std::string& node, std::uint64_t token) {
-        apply(replica, storage::keys::kLeader, storage::encodeLeader({node, token}), ++replica.revision);
+    void leads(const std::string& node, std::uint64_t fencingToken) {
+        apply(replica, storage::keys::kLeader, storage::encodeLeader({node, fencingToken}),
+              ++replica.revision);
     }
     static PeerStatus status(const std::string& node, std::uint64_t leaderToken = 0,
                              std::uint64_t stateAgeMs = 0) {
@@ -46,7 +50,7 @@
     bookkeeping::StateReplica replica;
     std::vector<Cancellation> noted;
     PeerExchange exchange{settings, replica, [this](const Cancellation& c) { noted.push_back(c); }};
-    const transport::Time start{1000s};
+    const Time start{1000s};
 };
 
 }  // namespace
@@ -72,19 +76,19 @@
     EXPECT_EQ(exchange.peerInTouchWithLeader(start + 3s), "");
 }
 
-// Seen on a simulated day: a follower that the state service refused did not know the new leader, and was the
-// only way to it for the workers behind a cut.
+// Seen on a simulated day: a follower that the key-value store refused did not know the new leader, and was
+// the only way to it for the workers behind a cut.
 TEST_F(PeerExchangeTest, APeerThatLeadsIsKnownBeforeItsRecordIsRead) {
     EXPECT_FALSE(exchange.knownLeader(start));
     leads("one", 7);
     auto claim = status("two", 8);
-    claim.token = 8;
+    claim.fencingToken = 8;
     exchange.noteStatus(claim, start);
     ASSERT_TRUE(exchange.knownLeader(start));
     EXPECT_EQ(exchange.knownLeader(start)->node, "two");
-    EXPECT_EQ(exchange.knownLeader(start)->token, 8u);
+    EXPECT_EQ(exchange.knownLeader(start)->fencingToken, 8u);
     EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // not heard of for a while
-    claim.token = 6;
+    claim.fencingToken = 6;
     exchange.noteStatus(claim, start);
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored one is newer
     exchange.noteStatus(status("two"), start);
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -4,12 +4,15 @@
 #include <algorithm>
 #include <map>
 
+#include "base/clock.h"
 #include "bookkeeping/state_replica.h"
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
 using namespace burlpoint::bookkeeping;
-using protocol::Fields;
-using protocol::Packer;
+using protocol::MapReader;
+using protocol::MessagePacker;
 using storage::JobRecord;
 
 namespace {
@@ -37,34 +40,36 @@
     return s;
 }
 
-Stored record(const JobSpec& s, Final final, std::uint64_t version, std::uint64_t endedMs = 0) {
-    return {storage::keys::job(s.id), storage::encodeJob({s, final, 1000 * version, 0, 4, endedMs}), version};
+Stored record(const JobSpec& s, TerminalState terminalState, std::uint64_t version,
+              std::uint64_t endedMs = 0) {
+    return {storage::keys::job(s.id), storage::encodeJob({s, terminalState, 1000 * version, 0, 4, endedMs}),
+            version};
 }
 
 /// What a record of the version before holds, by hand: the fields that it wrote and no other.
-std::string recordOfBefore(const std::string& id, unsigned final) {
-    Packer p;
+std::string recordOfBefore(const std::string& id, unsigned terminalState) {
+    MessagePacker p;
     p.map(24).field("uid", id).field("berth", "c").field("crew", "t").field("rig", "sweep");
     p.field("tide", "low").field("hands", 3u).field("cores", 1.5).field("accelerators", 0.0);
     p.field("ramGb", 2.0).field("cargo", "i").field("pullGb", 1.0).nil("hulls").nil("quay");
     p.field("together", false).field("apart", false).field("driftwood", true).field("voyageS", 15.0);
-    p.field("logbookS", 0.0).field("stowS", 0.0).nil("sailingS").field("final", final);
+    p.field("logbookS", 0.0).field("stowS", 0.0).nil("sailingS").field("final", terminalState);
     return p.field("accepted_ms", 7000u).field("tasks_done", 0u).field("chunk_tasks", 16384u).take();
 }
 
 /// Jobs that need others before them, and the definition of what follows from that: each answer is worked out
 /// anew from all jobs.
 struct Graph {
-    std::vector<JobSpec> specs;        // each needs only some before it
-    std::vector<Final> finals;         // as recorded
-    std::vector<std::uint64_t> ended;  // ms, of those done
-    std::vector<Priority> urgency;     // of the open ones, by `rank`
+    std::vector<JobSpec> specs;                 // each needs only some before it
+    std::vector<TerminalState> terminalWrites;  // as recorded
+    std::vector<std::uint64_t> ended;           // ms, of those done
+    std::vector<Priority> urgency;              // of the open ones, by `rank`
     std::vector<std::optional<std::uint64_t>> due;
 
     explicit Graph(std::size_t count)
-        : finals(count, Final::open), ended(count, 0), urgency(count), due(count) {}
+        : terminalWrites(count, TerminalState::none), ended(count, 0), urgency(count), due(count) {}
 
-    std::size_t count() const { return finals.size(); }
+    std::size_t count() const { return terminalWrites.size(); }
     bool needs(std::size_t n, std::size_t other) const {
         const auto& ids = specs[n].dependencies;
         return std::find(ids.begin(), ids.end(), idOf(other)) != ids.end();
@@ -73,14 +78,14 @@
     bool cancelled(std::size_t n) const {
         std::vector<bool> out(count());
         for (std::size_t k = 0; k <= n; ++k) {
-            out[k] = finals[k] == Final::cancelled;
+            out[k] = terminalWrites[k] == TerminalState::cancelled;
             for (std::size_t m = 0; m < k; ++m) out[k] = out[k] || (out[m] && needs(k, m));
         }
         return out[n];
     }
     bool ready(std::size_t n) const {
         for (std::size_t m = 0; m < n; ++m)
-            if (needs(n, m) && finals[m] != Final::done) return false;
+            if (needs(n, m) && terminalWrites[m] != TerminalState::done) return false;
         return true;
     }
     std::uint64_t readyMs(std::size_t n, std::uint64_t acceptedMs) const {
@@ -94,16 +99,16 @@
         urgency[n] = specs[n].priority;
         if (specs[n].deadline) due[n] = acceptedMs + milliseconds(*specs[n].deadline);
         for (std::size_t k = n + 1; k < count(); ++k) {
-            if (!needs(k, n) || cancelled(k) || finals[k] == Final::done) continue;
+            if (!needs(k, n) || cancelled(k) || terminalWrites[k] == TerminalState::done) continue;
             urgency[n] = std::max(urgency[n], urgency[k]);
             if (!due[k]) continue;
-            const auto work = std::min(milliseconds(specs[k].estimate), *due[k]);
+            const auto work = std::min(milliseconds(specs[k].estimatedRunTime), *due[k]);
             due[n] = std::min(due[n].value_or(*due[k]), *due[k] - work);
         }
     }
 
   private:
-    static std::uint64_t milliseconds(protocol::Seconds time) {
+    static std::uint64_t milliseconds(Seconds time) {
         return static_cast<std::uint64_t>(time.count() * 1000);
     }
 };
@@ -116,8 +121,8 @@
             if (*rc::gen::inRange(0, 3) == 0) needs.push_back(idOf(m));
         auto s = spec(n, needs);
         s.priority = *rc::gen::element(Priority::low, Priority::normal, Priority::high);
-        s.estimate = protocol::Seconds(*rc::gen::inRange(0, 50));
-        if (*rc::gen::inRange(0, 3) == 0) s.deadline = protocol::Seconds(*rc::gen::inRange(1, 500));
+        s.estimatedRunTime = Seconds(*rc::gen::inRange(0, 50));
+        if (*rc::gen::inRange(0, 3) == 0) s.deadline = Seconds(*rc::gen::inRange(1, 500));
         graph.specs.push_back(s);
     }
     return graph;
@@ -125,17 +130,18 @@
 
 /// The replica has worked out what the definition says.
 void checkAgrees(Graph graph, StateReplica& replica) {
-    replica.updateUrgency();
+    replica.updateEffectivePriorities();
     for (std::size_t n = graph.count(); n-- > 0;) {
         auto* job = replica.find(idOf(n));
-        RC_ASSERT((job->final == Final::cancelled) == graph.cancelled(n));
-        RC_ASSERT((job->final == Final::done) == (graph.finals[n] == Final::done));
-        if (job->final != Final::open) continue;
+        RC_ASSERT((job->terminalState == TerminalState::cancelled) == graph.cancelled(n));
+        RC_ASSERT((job->terminalState == TerminalState::done) ==
+                  (graph.terminalWrites[n] == TerminalState::done));
+        if (job->terminalState != TerminalState::none) continue;
         RC_ASSERT(job->ready() == graph.ready(n));
         if (job->ready()) RC_ASSERT(job->readyMs == graph.readyMs(n, job->acceptedMs));
         graph.rank(n, job->acceptedMs);
-        RC_ASSERT(job->urgency == graph.urgency[n]);
-        RC_ASSERT(job->dueMs == graph.due[n]);
+        RC_ASSERT(job->effectivePriority == graph.urgency[n]);
+        RC_ASSERT(job->dueAtMs == graph.due[n]);
     }
 }
 
@@ -147,8 +153,8 @@
     for (std::size_t k = order.size(); k > 1; --k)
         std::swap(order[k - 1], order[*rc::gen::inRange<std::size_t>(0, k)]);
     for (const auto k : order) {
-        const auto version = graph.finals[k] == Final::open ? k + 1 : 101 + k;
-        record(graph.specs[k], graph.finals[k], version, graph.ended[k]).to(late);
+        const auto version = graph.terminalWrites[k] == TerminalState::none ? k + 1 : 101 + k;
+        record(graph.specs[k], graph.terminalWrites[k], version, graph.ended[k]).to(late);
     }
     checkAgrees(graph, late);
 }
@@ -163,16 +169,16 @@
     std::uint64_t version = 100;
     StateReplica live;  // reads each change as it comes
     for (std::size_t n = 0; n < graph.count(); ++n) {
-        record(graph.specs[n], Final::open, n + 1).to(live);
-        if (*rc::gen::inRange(0, 2) == 0) live.updateUrgency();
+        record(graph.specs[n], TerminalState::none, n + 1).to(live);
+        if (*rc::gen::inRange(0, 2) == 0) live.updateEffectivePriorities();
     }
     for (std::size_t step = 0; step < 2 * graph.count(); ++step) {
         const auto n = *rc::gen::inRange<std::size_t>(0, graph.count());
-        if (graph.finals[n] != Final::open || graph.cancelled(n)) continue;
+        if (graph.terminalWrites[n] != TerminalState::none || graph.cancelled(n)) continue;
         const bool ends = graph.ready(n) && *rc::gen::inRange(0, 4) != 0;
-        graph.finals[n] = ends ? Final::done : Final::cancelled;
+        graph.terminalWrites[n] = ends ? TerminalState::done : TerminalState::cancelled;
         graph.ended[n] = ends ? 500'000 + step : 0;
-        record(graph.specs[n], graph.finals[n], ++version, graph.ended[n]).to(live);
+        record(graph.specs[n], graph.terminalWrites[n], ++version, graph.ended[n]).to(live);
         checkAgrees(graph, live);
         checkLateReader(graph);
     }
@@ -184,36 +190,36 @@
     constexpr std::size_t kLong = 200'000;
     StateReplica replica;
     for (std::size_t n = 0; n < kLong; ++n)
-        record(spec(n, n ? std::vector{idOf(n - 1)} : std::vector<std::string>{}), Final::open, n + 1)
+        record(spec(n, n ? std::vector{idOf(n - 1)} : std::vector<std::string>{}), TerminalState::none, n + 1)
             .to(replica);
     auto last = spec(kLong, {idOf(kLong - 1)});
     last.priority = Priority::high;
-    record(last, Final::open, kLong + 1).to(replica);
-    replica.updateUrgency();
-    EXPECT_EQ(replica.find(idOf(0))->urgency, Priority::high);
-    record(spec(0), Final::cancelled, kLong + 2).to(replica);
-    EXPECT_EQ(replica.find(idOf(kLong))->final, Final::cancelled);
+    record(last, TerminalState::none, kLong + 1).to(replica);
+    replica.updateEffectivePriorities();
+    EXPECT_EQ(replica.find(idOf(0))->effectivePriority, Priority::high);
+    record(spec(0), TerminalState::cancelled, kLong + 2).to(replica);
+    EXPECT_EQ(replica.find(idOf(kLong))->terminalState, TerminalState::cancelled);
     EXPECT_EQ(replica.cancelled().size(), 1u);  // one record stands for them all
 
     StateReplica fan;
-    record(spec(0), Final::open, 1).to(fan);
-    for (std::size_t n = 1; n < 20'000; ++n) record(spec(n, {idOf(0)}), Final::open, n + 1).to(fan);
+    record(spec(0), TerminalState::none, 1).to(fan);
+    for (std::size_t n = 1; n < 20'000; ++n) record(spec(n, {idOf(0)}), TerminalState::none, n + 1).to(fan);
     auto urgent = spec(20'000, {idOf(0)});
     urgent.priority = Priority::high;
-    record(urgent, Final::open, 20'001).to(fan);
-    fan.updateUrgency();
-    EXPECT_EQ(fan.find(idOf(0))->urgency, Priority::high);
-    record(urgent, Final::cancelled, 20'002).to(fan);
-    fan.updateUrgency();
-    EXPECT_EQ(fan.find(idOf(0))->urgency, Priority::normal);
-    record(spec(0), Final::done, 20'003, 5).to(fan);
+    record(urgent, TerminalState::none, 20'001).to(fan);
+    fan.updateEffectivePriorities();
+    EXPECT_EQ(fan.find(idOf(0))->effectivePriority, Priority::high);
+    record(urgent, TerminalState::cancelled, 20'002).to(fan);
+    fan.updateEffectivePriorities();
+    EXPECT_EQ(fan.find(idOf(0))->effectivePriority, Priority::normal);
+    record(spec(0), TerminalState::done, 20'003, 5).to(fan);
     EXPECT_TRUE(fan.find(idOf(19'999))->ready());
 }
 
 // The field's forms: none in three ways, a list of ids, and anything else.
 TEST(Pipeline, TheFieldIsCheckedLikeTheRest) {
-    const auto decoded = [](const std::function<void(Packer&)>& field) {
-        Packer p;
+    const auto decoded = [](const std::function<void(MessagePacker&)>& field) {
+        MessagePacker p;
         const auto plain = recordOfBefore("wk-1", 0);
         const auto handle = protocol::unpackBody(plain);
         p.map(handle.get().via.map.size + 1);
@@ -224,26 +230,26 @@
         return protocol::decodeSpec(protocol::unpackBody(body).get()).dependencies;
     };
     using Ids = std::vector<std::string>;
-    EXPECT_EQ(decoded([](Packer& p) { p.nilValue(); }), Ids{});
-    EXPECT_EQ(decoded([](Packer& p) { p.list(0); }), Ids{});
-    EXPECT_EQ(decoded([](Packer& p) { p.value(Ids{"wk-2", "wk-3", "wk-2"}); }), (Ids{"wk-2", "wk-3"}));
-    EXPECT_THROW(decoded([](Packer& p) { p.value("wk-2"); }), protocol::Malformed);
-    EXPECT_THROW(decoded([](Packer& p) { p.value(Ids{"wk-2", "m-3"}); }), protocol::Malformed);
-    EXPECT_THROW(decoded([](Packer& p) { p.list(1).value(7); }), protocol::Malformed);
-    EXPECT_THROW(decoded([](Packer& p) { p.map(0); }), protocol::Malformed);
+    EXPECT_EQ(decoded([](MessagePacker& p) { p.nilValue(); }), Ids{});
+    EXPECT_EQ(decoded([](MessagePacker& p) { p.list(0); }), Ids{});
+    EXPECT_EQ(decoded([](MessagePacker& p) { p.value(Ids{"wk-2", "wk-3", "wk-2"}); }), (Ids{"wk-2", "wk-3"}));
+    EXPECT_THROW(decoded([](MessagePacker& p) { p.value("wk-2"); }), protocol::MalformedMessage);
+    EXPECT_THROW(decoded([](MessagePacker& p) { p.value(Ids{"wk-2", "m-3"}); }), protocol::MalformedMessage);
+    EXPECT_THROW(decoded([](MessagePacker& p) { p.list(1).value(7); }), protocol::MalformedMessage);
+    EXPECT_THROW(decoded([](MessagePacker& p) { p.map(0); }), protocol::MalformedMessage);
 }
 
 // Both versions read what the other wrote.
 TEST(Pipeline, RecordsStayReadableBothWays) {
     const auto old = recordOfBefore("wk-1", 1);
     const auto read = storage::decodeJob(protocol::unpackBody(old).get());
-    EXPECT_EQ(read.final, Final::done);
+    EXPECT_EQ(read.terminalState, TerminalState::done);
     EXPECT_TRUE(read.spec.dependencies.empty());
     EXPECT_EQ(read.endedMs, 0u);
     StateReplica replica;
     Stored{storage::keys::job("wk-1"), old, 5}.to(replica);
     auto next = spec(0, {"wk-1"});
-    record(next, Final::open, 6).to(replica);
+    record(next, TerminalState::none, 6).to(replica);
     EXPECT_TRUE(replica.find(next.id)->ready());  // since it was accepted, as far as can be known
     EXPECT_EQ(replica.find(next.id)->readyMs, 6000u);
 
@@ -251,10 +257,10 @@
     next.cpus = 1.5;
     next.memoryGb = 2;
     next.imageGb = 1;
-    next.estimate = protocol::Seconds(15);
-    const auto value = storage::encodeJob({next, Final::done, 9, 2, 4, 77});
+    next.estimatedRunTime = Seconds(15);
+    const auto value = storage::encodeJob({next, TerminalState::done, 9, 2, 4, 77});
     const auto handle = protocol::unpackBody(value);
-    const Fields f(handle.get());
+    const MapReader f(handle.get());
     const auto formerValue = recordOfBefore("wk-1", 0);
     const auto former = protocol::unpackBody(formerValue);
     for (const auto& pair : former.get().via.map) {
--- a/tests/placement_rules_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -1,11 +1,13 @@
-#include "coordination/placement_rules.h"
+#include "coordination/scheduling/placement_constraints.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 #include <memory>
 
-#include "coordination/job_order.h"
+#include "base/clock.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/scheduling/job_queue.h"
 
 using namespace burlpoint;
 using namespace burlpoint::coordination;
@@ -14,10 +16,8 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::PlacementState;
-using bookkeeping::RosterState;
+using bookkeeping::RegistrationState;
 using protocol::Priority;
-using protocol::Seconds;
-using transport::Time;
 
 namespace {
 
@@ -32,12 +32,12 @@
     Machine& machine(const std::string& id, const std::string& zone = "a") {
         auto& machine = fleet.add(id, now);
         machine.type = "plain";
-        machine.kind = &types.at("plain");
+        machine.typeInfo = &types.at("plain");
         machine.zone = zone;
         machine.acknowledged = true;
-        machine.reports = true;
+        machine.sendsHeartbeats = true;
         fleet.setReconciled(machine, true);
-        fleet.setRoster(machine, RosterState::stored);
+        fleet.setRegistration(machine, RegistrationState::stored);
         return machine;
     }
     Job& job(Priority priority = Priority::normal) {
@@ -63,9 +63,9 @@
 TEST_F(Rules, AMachineThatIsUpAndKnownIsUsable) { EXPECT_TRUE(usable(machine("m"), now)); }
 
 // Its tasks would be unknown to the next leader.
-TEST_F(Rules, AMachineOutsideTheStoredRosterIsNotUsable) {
+TEST_F(Rules, AMachineOutsideTheStoredRegistryIsNotUsable) {
     auto& unstored = machine("m");
-    fleet.setRoster(unstored, RosterState::writing);
+    fleet.setRegistration(unstored, RegistrationState::writing);
     EXPECT_FALSE(usable(unstored, now));
 }
 
@@ -76,41 +76,41 @@
         return usable(changed, now);
     };
     EXPECT_FALSE(without("acknowledged", [](Machine& m) { m.acknowledged = false; }));
-    EXPECT_FALSE(without("reports", [](Machine& m) { m.reports = false; }));
+    EXPECT_FALSE(without("reports", [](Machine& m) { m.sendsHeartbeats = false; }));
     EXPECT_FALSE(without("draining", [](Machine& m) { m.draining = true; }));
-    EXPECT_FALSE(without("releasing", [](Machine& m) { m.releasing = true; }));
+    EXPECT_FALSE(without("releasing", [](Machine& m) { m.deletionRequested = true; }));
     EXPECT_FALSE(without("failed", [](Machine& m) { m.failed = true; }));
-    EXPECT_FALSE(without("recall", [&](Machine& m) { m.recallAt = now + 1min; }));
+    EXPECT_FALSE(without("recall", [&](Machine& m) { m.interruptionAt = now + 1min; }));
     EXPECT_FALSE(without("unreachable", [&](Machine& m) { m.unreachableSince = now; }));
-    EXPECT_FALSE(without("unknown type", [](Machine& m) { m.kind = nullptr; }));
+    EXPECT_FALSE(without("unknown type", [](Machine& m) { m.typeInfo = nullptr; }));
     EXPECT_TRUE(without("one error", [](Machine& m) { m.errorJobs = {"a"}; }));
     EXPECT_FALSE(without("two errors", [](Machine& m) { m.errorJobs = {"a", "b"}; }));
 }
 
 TEST_F(Rules, AMachineThatRefusedIsUsableAgainAfterItsPause) {
     auto& quiet = machine("m");
-    quiet.quietUntil = now + 2s;
+    quiet.startBackoffUntil = now + 2s;
     EXPECT_FALSE(usable(quiet, now));
     EXPECT_TRUE(usable(quiet, now + 2s));
 }
 
 TEST_F(Rules, OwnersLimitTypeZoneAndKind) {
     auto& any = job();
-    EXPECT_TRUE(allows(any.spec, "plain", "a", false));
-    EXPECT_FALSE(allows(any.spec, "plain", "a", true));
+    EXPECT_TRUE(bookkeeping::ownerAllows(any.spec, "plain", "a", false));
+    EXPECT_FALSE(bookkeeping::ownerAllows(any.spec, "plain", "a", true));
     any.spec.spot = true;
-    EXPECT_TRUE(allows(any.spec, "plain", "a", true));
+    EXPECT_TRUE(bookkeeping::ownerAllows(any.spec, "plain", "a", true));
     auto& bound = job();
     bound.spec.zone = "a";
     bound.spec.types = std::vector<std::string>{"plain", "large"};
-    EXPECT_TRUE(allows(bound.spec, "large", "a", false));
-    EXPECT_FALSE(allows(bound.spec, "large", "b", false));
-    EXPECT_FALSE(allows(bound.spec, "gpu", "a", false));
+    EXPECT_TRUE(bookkeeping::ownerAllows(bound.spec, "large", "a", false));
+    EXPECT_FALSE(bookkeeping::ownerAllows(bound.spec, "large", "b", false));
+    EXPECT_FALSE(bookkeeping::ownerAllows(bound.spec, "gpu", "a", false));
 }
 
 TEST_F(Rules, AJobOfOneZoneStaysWhereItIs) {
     auto& together = job();
-    together.spec.oneZone = true;
+    together.spec.singleZone = true;
     EXPECT_TRUE(zoneAllows(together, "a"));
     place(machine("m"), together, 0);
     EXPECT_TRUE(zoneAllows(together, "a"));
@@ -121,7 +121,7 @@
 
 TEST_F(Rules, ASpreadJobHasHalfOfItsTasksInAZoneAtMost) {
     auto& apart = job();
-    apart.spec.spread = true;
+    apart.spec.spreadZones = true;
     apart.spec.tasks = 3;
     auto& here = machine("m");
     place(here, apart, 0);
@@ -144,7 +144,7 @@
 }
 
 TEST_F(Rules, ATeamStaysWithinItsLimits) {
-    team.cpusMax = 6;
+    team.maxCpus = 6;
     auto& limited = job();
     EXPECT_TRUE(withinTeamLimit(limited, 3, fleet, types));
     EXPECT_FALSE(withinTeamLimit(limited, 4, fleet, types));
@@ -152,17 +152,17 @@
     EXPECT_TRUE(withinTeamLimit(limited, 2, fleet, types));
     EXPECT_FALSE(withinTeamLimit(limited, 3, fleet, types));
     limited.spec.gpus = 1;
-    team.gpusMax = 1;
+    team.maxGpus = 1;
     EXPECT_FALSE(withinTeamLimit(limited, 2, fleet, types));
 }
 
 TEST_F(Rules, AMachineNotHeardCountsAsFullOfTheTeamsTasks) {
-    team.cpusMax = 9;
+    team.maxCpus = 9;
     auto& limited = job();
     EXPECT_TRUE(withinTeamLimit(limited, 1, fleet, types));
     fleet.setReconciled(machine("m"), false);  // eight processors
     EXPECT_FALSE(withinTeamLimit(limited, 1, fleet, types));
-    team.cpusMax = 0;  // no limit
+    team.maxCpus = 0;  // no limit
     EXPECT_TRUE(withinTeamLimit(limited, 1, fleet, types));
 }
 
@@ -178,7 +178,7 @@
     EXPECT_DOUBLE_EQ(room(here, asking), 8);
     place(here, asking, 0);
     EXPECT_DOUBLE_EQ(room(here, asking), 6);
-    here.kind = nullptr;
+    here.typeInfo = nullptr;
     EXPECT_DOUBLE_EQ(room(here, asking), 0);
 }
 
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -7,12 +7,16 @@
 #include <string>
 #include <vector>
 
-#include "coordination/degraded_first_scheduler.h"
-#include "coordination/gang_planner.h"
-#include "coordination/job_runs.h"
-#include "coordination/placement_ends.h"
-#include "coordination/preemption.h"
-#include "coordination/report_reconciler.h"
+#include "base/clock.h"
+#include "base/wall_clock.h"
+#include "bookkeeping/machine_types.h"
+#include "coordination/scheduling/degraded_first_scheduler.h"
+#include "coordination/scheduling/gang_planner.h"
+#include "coordination/scheduling/job_activator.h"
+#include "coordination/scheduling/preemption.h"
+#include "coordination/workers/attempt_completion.h"
+#include "coordination/workers/heartbeat_reconciler.h"
+#include "protocol/msgpack_codec.h"
 #include "storage/records.h"
 
 namespace burlpoint::tests {
@@ -24,17 +28,17 @@
     using Job = bookkeeping::Job;
     using Machine = bookkeeping::Machine;
     using Priority = protocol::Priority;
-    using Kind = protocol::Kind;
+    using JobKind = protocol::JobKind;
 
     static constexpr std::uint64_t kToken = 5;
 
     PlacementFixture() {
         settings.zones = {"a", "b"};
         settings.teams = {{"t", 0, 0, 0, 0}, {"guaranteed", 8, 0, 0, 0}};
-        settings.report = protocol::Seconds(2);
-        settings.gangWait = protocol::Seconds(40);
-        types["plain"] = {"plain", 8, 0, 32, 50, 1, 1, 0.3, protocol::Seconds(10), {"a", "b"}};
-        types["gpu"] = {"gpu", 16, 2, 64, 50, 1, 8, 3, protocol::Seconds(30), {"a", "b"}};
+        settings.heartbeatInterval = Seconds(2);
+        settings.gangWaitTimeout = Seconds(40);
+        types["plain"] = {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a", "b"}};
+        types["gpu"] = {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a", "b"}};
     }
 
     /// A machine that may be given tasks.
@@ -42,18 +46,18 @@
                      const std::string& type = "plain") {
         auto& added = fleet.add(id, now);
         added.type = type;
-        added.kind = &types.at(type);
+        added.typeInfo = &types.at(type);
         added.zone = zone;
         added.acknowledged = true;
-        added.reports = true;
-        added.session = 1;
+        added.sendsHeartbeats = true;
+        added.incarnation = 1;
         added.sequence = 1;
-        added.lastReport = now;
+        added.lastHeartbeat = now;
         fleet.setReconciled(added, true);
-        fleet.setRoster(added, bookkeeping::RosterState::stored);
+        fleet.setRegistration(added, bookkeeping::RegistrationState::stored);
         return added;
     }
-    protocol::JobSpec spec(const std::string& id, Kind kind = Kind::array) const {
+    protocol::JobSpec spec(const std::string& id, JobKind kind = JobKind::array) const {
         protocol::JobSpec made;
         made.id = id;
         made.jobClass = made.image = "class";
@@ -61,13 +65,13 @@
         made.kind = kind;
         made.tasks = 4;
         made.cpus = 2;
-        made.estimate = protocol::Seconds(10);
-        if (kind == Kind::service) made.priority = Priority::production;
+        made.estimatedRunTime = Seconds(10);
+        if (kind == JobKind::service) made.priority = Priority::production;
         return made;
     }
     /// Stores the job and begins its run.
     Job& accept(const protocol::JobSpec& accepted) {
-        const storage::JobRecord record{accepted, storage::Final::open, 0, 0, accepted.tasks};
+        const storage::JobRecord record{accepted, storage::TerminalState::none, 0, 0, accepted.tasks};
         const auto body = storage::encodeJob(record);
         const auto packed = protocol::unpackBody(body);
         std::vector<bookkeeping::Change> changes;
@@ -79,15 +83,15 @@
     /// Brings the order of jobs and the pacing up to date.
     void refresh() {
         now += std::chrono::milliseconds(100);
-        order.markStale();
-        ASSERT_TRUE(order.refresh(replica, fleet, dayClock, now));
+        jobQueue.markStale();
+        ASSERT_TRUE(jobQueue.refresh(replica, fleet, wallClock, now));
         std::vector<const Machine*> up;
         for (const auto& [id, each] : fleet.machines()) up.push_back(each.get());
-        pacing.refresh(order.waiting(), up, fleet, now);
-        for (auto* job : order.open()) pacing.admit(*job, fleet);
+        pacing.refresh(jobQueue.waiting(), up, fleet, now);
+        for (auto* job : jobQueue.open()) pacing.admit(*job, fleet);
     }
     void giveImage(Machine& holder, const Job& job) {
-        fleet.useImage(holder, job.spec.image, job.spec.imageGb, holder.kind->cacheGb);
+        fleet.useImage(holder, job.spec.image, job.spec.imageGb, holder.typeInfo->cacheGb);
     }
     bookkeeping::Placement& place(Machine& on, Job& job, std::uint32_t task,
                                   bookkeeping::PlacementState state = bookkeeping::PlacementState::running) {
@@ -96,11 +100,11 @@
     /// The tasks that the machine is told to start, as "job/task".
     std::vector<std::string> schedule(Machine& reporting) {
         refresh();
-        std::vector<protocol::Order> orders;
-        scheduler.schedule(reporting, orders, now);
+        std::vector<protocol::WorkerCommand> commands;
+        scheduler.schedule(reporting, commands, now);
         std::vector<std::string> starts;
-        starts.reserve(orders.size());
-        for (const auto& each : orders)
+        starts.reserve(commands.size());
+        for (const auto& each : commands)
             starts.push_back(each.attempt.job + "/" + std::to_string(each.attempt.task));
         return starts;
     }
@@ -117,33 +121,33 @@
 
     protocol::Settings settings;
     protocol::Policy policy;
-    transport::Time now{std::chrono::seconds(1000)};
-    coordination::DayClock dayClock{now, 0};
+    Time now{std::chrono::seconds(1000)};
+    WallClock wallClock{now, 0};
     std::uint64_t revision = 10;
     bookkeeping::StateReplica replica;
     bookkeeping::Fleet fleet;
-    coordination::MachineTypes types;
-    coordination::AttemptNumbers attempts{kToken};
-    coordination::LookupMeter meter;
-    coordination::Roster roster{replica, fleet};
-    coordination::StateWriter writer{settings, replica, fleet, roster, types, dayClock, now};
+    bookkeeping::MachineTypes types;
+    coordination::AttemptIdGenerator attempts{kToken};
+    coordination::ScanCounter scans;
+    coordination::MachineRegistry registry{replica, fleet};
+    coordination::StateWriter writer{settings, replica, fleet, registry, types, wallClock, now};
     coordination::FetchPacing pacing{settings, policy};
-    coordination::JobOrder order{policy};
-    coordination::JobRuns runs{settings, dayClock, order, writer};
+    coordination::JobQueue jobQueue{policy};
+    coordination::JobActivator runs{settings, wallClock, jobQueue, writer};
     coordination::ZoneReservations zones{policy};
-    coordination::RentalRefusals refusals;
-    coordination::AcceleratorPolicy accelerators{types, refusals};
-    coordination::StartRules rules{accelerators, zones};
-    coordination::CachedImageLookup images{settings, policy, fleet, pacing, rules, meter};
-    coordination::TaskStopper stopper{settings, fleet, order};
-    coordination::GangPlanner gangs{settings, fleet, types, rules, order, zones, attempts};
+    coordination::CapacityErrors capacityErrors;
+    coordination::AcceleratorPolicy accelerators{types, capacityErrors};
+    coordination::StartConstraints rules{accelerators, zones};
+    coordination::ImageLocality images{settings, policy, fleet, pacing, rules, scans};
+    coordination::TaskTerminator terminator{settings, fleet, jobQueue};
+    coordination::GangPlanner gangs{settings, fleet, types, rules, jobQueue, zones, attempts};
     coordination::DegradedFirstScheduler scheduler{
-        {settings, fleet, types, order, pacing, rules, images, attempts}};
+        {settings, fleet, types, jobQueue, pacing, rules, images, attempts}};
     coordination::Preemption preemption{
-        {settings, fleet, types, order, rules, images, zones, stopper, meter}};
-    coordination::PlacementEnds ends{fleet, gangs, order, stopper};
-    coordination::ReportReconciler reconciler{
-        {kToken, replica, fleet, order, runs, writer, pacing, stopper, ends}};
+        {settings, fleet, types, jobQueue, rules, images, zones, terminator, scans}};
+    coordination::AttemptCompletion ends{fleet, gangs, jobQueue, terminator};
+    coordination::HeartbeatReconciler reconciler{
+        {kToken, replica, fleet, jobQueue, runs, writer, pacing, terminator, ends}};
 };
 
 }  // namespace burlpoint::tests
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/preemption.h"
+#include "coordination/scheduling/preemption.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 using namespace burlpoint::tests;
 using namespace std::chrono_literals;
 using bookkeeping::Placement;
-using coordination::bestGangRoom;
+using coordination::bestGangCapacity;
 using coordination::mayPreempt;
 using coordination::planPreemption;
 
@@ -16,7 +16,8 @@
 
 class PreemptionTest : public PlacementFixture {
   protected:
-    Job& acceptWith(const std::string& id, Priority priority, Kind kind = Kind::array, double cpus = 2) {
+    Job& acceptWith(const std::string& id, Priority priority, JobKind kind = JobKind::array,
+                    double cpus = 2) {
         auto made = spec(id, kind);
         made.priority = priority;
         made.cpus = cpus;
@@ -34,10 +35,10 @@
     bool yields(const Placement& placement, const Job& job) const {
         return mayPreempt(placement, job, fleet, settings, now);
     }
-    void makeRoom() {
+    void preemptForWaitingJobs() {
         now += 10s;  // longer than any job's patience
         refresh();
-        preemption.makeRoom(now);
+        preemption.preemptForWaitingJobs(now);
     }
 };
 
@@ -55,8 +56,8 @@
 TEST_F(PreemptionTest, ReplicasAndLargerGangsNeverYield) {
     auto& on = machine("m1");
     auto& high = acceptWith("wk-1", Priority::high);
-    EXPECT_FALSE(yields(place(on, acceptWith("wk-2", Priority::low, Kind::service), 0), high));
-    EXPECT_FALSE(yields(place(on, acceptWith("wk-3", Priority::low, Kind::gang), 0), high));
+    EXPECT_FALSE(yields(place(on, acceptWith("wk-2", Priority::low, JobKind::service), 0), high));
+    EXPECT_FALSE(yields(place(on, acceptWith("wk-3", Priority::low, JobKind::gang), 0), high));
 }
 
 TEST_F(PreemptionTest, BorrowedWorkYieldsToAnotherTeamsGuarantee) {
@@ -74,7 +75,7 @@
 TEST_F(PreemptionTest, AProtectedStartYieldsToProductionAlone) {
     auto& low = acceptWith("wk-1", Priority::low);
     const auto& placement = place(machine("m1"), low, 0);
-    low.run->firstTask = 0;
+    low.run->firstOverdueTask = 0;
     EXPECT_FALSE(yields(placement, acceptWith("wk-2", Priority::high)));
     EXPECT_TRUE(yields(placement, acceptWith("wk-3", Priority::production)));
     now += 30s;
@@ -89,7 +90,7 @@
         now += 40s;
     }
     const auto plan =
-        planPreemption(on, acceptWith("wk-2", Priority::high, Kind::array, 4), 1, fleet, settings, now);
+        planPreemption(on, acceptWith("wk-2", Priority::high, JobKind::array, 4), 1, fleet, settings, now);
     ASSERT_TRUE(plan);
     ASSERT_EQ(plan->victims.size(), 2u);
     EXPECT_EQ(plan->victims[0]->task, 3u);
@@ -99,7 +100,7 @@
 TEST_F(PreemptionTest, RoomThatCannotBeMadeHasNoPlan) {
     auto& on = machine("m1");
     fill(on, "wk-1");
-    const auto& job = acceptWith("wk-2", Priority::high, Kind::array, 4);
+    const auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
     EXPECT_TRUE(planPreemption(on, job, 2, fleet, settings, now));
     EXPECT_FALSE(planPreemption(on, job, 3, fleet, settings, now));
 }
@@ -107,11 +108,11 @@
 TEST_F(PreemptionTest, RoomIsMadeAndKeptForAHighJob) {
     auto& on = machine("m1");
     fill(on, "wk-1");
-    auto& job = acceptWith("wk-2", Priority::high, Kind::array, 4);
-    makeRoom();
+    auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
+    preemptForWaitingJobs();
     EXPECT_EQ(countStopping(on), 2u);
     EXPECT_EQ(on.reservedFor, &job);
-    EXPECT_EQ(stopper.takeUrgent(), std::set<std::string>{"m1"});
+    EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
 TEST_F(PreemptionTest, NothingIsStoppedWhereRoomIsFree) {
@@ -119,8 +120,8 @@
     fill(on, "wk-1");
     machine("m2");
     machine("m3");
-    acceptWith("wk-2", Priority::high, Kind::array, 4);
-    makeRoom();
+    acceptWith("wk-2", Priority::high, JobKind::array, 4);
+    preemptForWaitingJobs();
     EXPECT_EQ(countStopping(on), 0u);
 }
 
@@ -130,19 +131,19 @@
     acceptWith("wk-2", Priority::high);
     now += 2s;  // of three
     refresh();
-    preemption.makeRoom(now);
+    preemption.preemptForWaitingJobs(now);
     EXPECT_EQ(countStopping(on), 0u);
 }
 
 TEST_F(PreemptionTest, RoomForAGangIsMadeWholeOrNotAtAll) {
     auto& one = machine("m1");
     fill(one, "wk-1");
-    auto& job = acceptWith("wk-2", Priority::high, Kind::gang, 4);
-    makeRoom();
+    auto& job = acceptWith("wk-2", Priority::high, JobKind::gang, 4);
+    preemptForWaitingJobs();
     EXPECT_EQ(countStopping(one), 0u);
     auto& two = machine("m2");
     fill(two, "wk-3");
-    makeRoom();
+    preemptForWaitingJobs();
     EXPECT_EQ(countStopping(one) + countStopping(two), 8u);
     EXPECT_EQ(one.reservedFor, &job);
     EXPECT_EQ(two.reservedFor, &job);
@@ -153,21 +154,21 @@
     auto& one = machine("m1");
     auto& two = machine("m2");
     fill(one, "wk-1");
-    acceptWith("wk-2", Priority::high, Kind::gang, 4);
+    acceptWith("wk-2", Priority::high, JobKind::gang, 4);
     auto& low = fill(two, "wk-3");
-    low.run->firstTask = 0;
-    makeRoom();
+    low.run->firstOverdueTask = 0;
+    preemptForWaitingJobs();
     EXPECT_EQ(countStopping(one) + countStopping(two), 0u);
 }
 
 TEST_F(PreemptionTest, AGangIsOfferedTheZoneWithMostRoom) {
-    auto bound = spec("wk-1", Kind::gang);
-    bound.oneZone = true;
+    auto bound = spec("wk-1", JobKind::gang);
+    bound.singleZone = true;
     const auto& job = accept(bound);
     machine("m1", "a");
     auto& full = machine("m2", "b");
     fill(full, "wk-2");
-    const auto offered = [&] { return bestGangRoom(job, fleet, settings.zones, rules, meter, now); };
+    const auto offered = [&] { return bestGangCapacity(job, fleet, settings.zones, rules, scans, now); };
     EXPECT_EQ(offered().zone, "a");
     EXPECT_EQ(offered().free, 4u);
     EXPECT_EQ(offered().yielding, 4u);
--- a/tests/readiness_test.cpp
+++ b/tests/readiness_test.cpp
@@ -1,10 +1,11 @@
-#include "coordination/readiness.h"
+#include "coordination/api/readiness.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
-using transport::Time;
 
 TEST(Readiness, ANodeThatWasNeverAbleIsNotReady) {
     coordination::Readiness readiness;
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,14 +1,14 @@
-// What a report is answered with: the rules for starts, the design's three steps, and what other machines
+// What a heartbeat is answered with: the rules for starts, the design's three steps, and what other machines
 // offer.
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
 #include "placement_fixture.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
 using namespace std::chrono_literals;
 using bookkeeping::PlacementState;
-using protocol::Seconds;
 
 namespace {
 
@@ -30,11 +30,11 @@
     auto& on = machine("m1");
     giveImage(on, job);
     EXPECT_EQ(schedule(on), (Names{"wk-1/0", "wk-1/1", "wk-1/2", "wk-1/3"}));
-    EXPECT_EQ(job.run->launched, 4u);
-    EXPECT_EQ(job.run->paced, 0u);
+    EXPECT_EQ(job.run->launchedTasks, 4u);
+    EXPECT_EQ(job.run->pacedFetches, 0u);
 }
 
-TEST_F(SchedulerTest, AStartIsMarkedWithTheReportThatItAnswers) {
+TEST_F(SchedulerTest, AStartIsMarkedWithTheHeartbeatThatItAnswers) {
     accept(spec("wk-1"));
     auto& on = machine("m1");
     on.sequence = 7;
@@ -58,14 +58,14 @@
         place(cached, accept(busy), 0);
     }
     EXPECT_EQ(schedule(machine("m1")), (Names{"wk-1/0", "wk-2/0"}));
-    for (const auto* job : jobs) EXPECT_EQ(job->run->paced, 1u);
+    for (const auto* job : jobs) EXPECT_EQ(job->run->pacedFetches, 1u);
 }
 
 TEST_F(SchedulerTest, LeftoverRoomTakesFetchingTasks) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     EXPECT_EQ(schedule(on).size(), 4u);
-    EXPECT_EQ(job.run->paced, 1u);  // they share one fetch
+    EXPECT_EQ(job.run->pacedFetches, 1u);  // they share one fetch
 }
 
 TEST_F(SchedulerTest, LeftoverRoomWaitsForMachinesWithTheImage) {
@@ -86,7 +86,7 @@
 }
 
 TEST_F(SchedulerTest, PlannedGangTasksStartThoughTheMachineIsFull) {
-    auto gang = spec("wk-103", Kind::gang);
+    auto gang = spec("wk-103", JobKind::gang);
     gang.tasks = 2;
     gang.cpus = 4;
     accept(gang);
@@ -98,7 +98,7 @@
 }
 
 TEST_F(SchedulerTest, AGangOfSeveralIsNotStartedTaskByTask) {
-    accept(spec("wk-103", Kind::gang));
+    accept(spec("wk-103", JobKind::gang));
     EXPECT_EQ(schedule(machine("m1")), Names{});
 }
 
@@ -133,12 +133,12 @@
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     ASSERT_TRUE(mayStart(job, on));
-    job.run->notBefore = now + 1s;
+    job.run->backoffUntil = now + 1s;
     EXPECT_FALSE(mayStart(job, on));
-    job.run->notBefore = now;
+    job.run->backoffUntil = now;
     for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(on, job, task);
     EXPECT_FALSE(mayStart(job, on));
-    job.final = storage::Final::cancelled;
+    job.terminalState = storage::TerminalState::cancelled;
     EXPECT_FALSE(mayStart(job, machine("m2")));
 }
 
@@ -162,7 +162,7 @@
 
 // --- what machines with the image offer -------------------------------------------------------------------
 
-TEST_F(CachedImageLookupTest, RoomCountsOnMachinesWithTheImageThatReportSoon) {
+TEST_F(CachedImageLookupTest, RoomCountsOnMachinesWithTheImageThatHeartbeatSoon) {
     auto wide = spec("wk-1");
     wide.tasks = 20;
     auto& job = accept(wide);
@@ -171,7 +171,7 @@
     machine("without");
     EXPECT_EQ(images.roomWithImage(job, now), 4u);
     now += 250ms;  // the answer is kept for so long
-    cached.lastReport = now - 4s;
+    cached.lastHeartbeat = now - 4s;
     EXPECT_EQ(images.roomWithImage(job, now), 0u);
 }
 
@@ -179,16 +179,16 @@
     auto& job = accept(spec("wk-1"));
     giveImage(machine("m1"), job);
     images.roomWithImage(job, now);
-    const auto looked = meter.total();
+    const auto looked = scans.total();
     images.roomWithImage(job, now + 249ms);
-    EXPECT_EQ(meter.total(), looked);
+    EXPECT_EQ(scans.total(), looked);
     images.roomWithImage(job, now + 250ms);
-    EXPECT_GT(meter.total(), looked);
+    EXPECT_GT(scans.total(), looked);
 }
 
 TEST_F(CachedImageLookupTest, AShortAimWaitsForAMachineThatHasTheImage) {
     settings.objectives = {{"wait", "class", Seconds(3)}};
-    auto& job = accept(spec("wk-1", Kind::service));
+    auto& job = accept(spec("wk-1", JobKind::service));
     EXPECT_FALSE(images.waitsForImage(job, now));  // no machine has it
     now += 250ms;
     auto& cached = machine("cached");
@@ -207,7 +207,7 @@
 TEST_F(CachedImageLookupTest, WithoutPreemptionNothingIsWaitedFor) {
     policy.preempt = false;
     settings.objectives = {{"wait", "class", Seconds(3)}};
-    auto& job = accept(spec("wk-1", Kind::service));
+    auto& job = accept(spec("wk-1", JobKind::service));
     giveImage(machine("cached"), job);
     EXPECT_FALSE(images.waitsForImage(job, now));
 }
--- a/tests/service_node.h
+++ b/tests/service_controller.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// A node's side towards users, with its election, against the stand-in of the state service.
+// A node's side towards users, with its election, against the stand-in of the key-value store.
 
 #include <gtest/gtest.h>
 
@@ -10,14 +10,18 @@
 #include <utility>
 #include <vector>
 
-#include "coordination/election.h"
-#include "coordination/user_api.h"
-#include "state_stub.h"
+#include "base/clock.h"
+#include "coordination/api/user_api.h"
+#include "coordination/leadership/election.h"
+#include "protocol/msgpack_codec.h"
+#include "store_stub.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_message.h"
 
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
-using transport::Clock;
 
 inline protocol::Settings serviceSettings(const std::string& name) {
     protocol::Settings s;
@@ -29,8 +33,8 @@
 
 /// A node's users' side and election, against the stand-in.
 struct ServiceNode {
-    ServiceNode(asio::io_context& context, const StateStub& stub, const std::string& name = "one",
-                protocol::Seconds leadership = protocol::Seconds(0))
+    ServiceNode(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
+                Seconds leadership = Seconds(0))
         : io(context),
           config(serviceSettings(name)),
           policy{leadership},
@@ -38,8 +42,8 @@
           watcher(io, state, replica, [](const auto&) {}),
           userApi(io, config, state, replica, watcher),
           election(
-              config, policy, state, replica, watcher, [this](std::uint64_t t) { token = t; },
-              [this] { token = 0; }) {
+              config, policy, state, replica, watcher, [this](std::uint64_t t) { fencingToken = t; },
+              [this] { fencingToken = 0; }) {
         watcher.start();
     }
     void until(const std::function<bool()>& holds) {
@@ -59,24 +63,24 @@
     std::string bearing(const std::string& id) {
         const auto r = ask("GET", "/submissions/" + id);
         if (r.status != 200) return std::to_string(r.status);
-        return protocol::Fields(protocol::unpackBody(r.body).get()).text("bearing");
+        return protocol::MapReader(protocol::unpackBody(r.body).get()).text("bearing");
     }
 
     asio::io_context& io;
     protocol::Settings config;
     protocol::Policy policy;
-    transport::Client http{io, 50};
-    storage::StateClient state;
+    transport::HttpClient http{io, 50};
+    storage::KeyValueClient state;
     bookkeeping::StateReplica replica;
     coordination::StateWatcher watcher;
     coordination::UserApi userApi;
     coordination::Election election;
-    std::uint64_t token = 0;
+    std::uint64_t fencingToken = 0;
 };
 
 /// A submission's body.
 inline std::string submission(const std::string& id, double cpus = 1, const std::string& team = "team",
-                              std::uint32_t tasks = 2, protocol::Kind kind = protocol::Kind::array,
+                              std::uint32_t tasks = 2, protocol::JobKind kind = protocol::JobKind::array,
                               std::vector<std::string> dependencies = {}) {
     protocol::JobSpec spec;
     spec.id = id;
@@ -86,20 +90,20 @@
     spec.tasks = tasks;
     spec.kind = kind;
     spec.dependencies = std::move(dependencies);
-    protocol::Packer p;
+    protocol::MessagePacker p;
     protocol::packSpec(p, spec);
     return p.take();
 }
 
 /// The same for a job that needs others.
 inline std::string submissionAfter(const std::string& id, std::vector<std::string> dependencies) {
-    return submission(id, 1, "team", 2, protocol::Kind::array, std::move(dependencies));
+    return submission(id, 1, "team", 2, protocol::JobKind::array, std::move(dependencies));
 }
 
-/// An event loop and a state service that stores one type of machine.
+/// An event loop and a key-value store that stores one type of machine.
 struct ServiceNodeTest : testing::Test {
     asio::io_context io{1};
-    StateStub stub{io};
+    StoreStub stub{io};
 
     void SetUp() override {
         std::vector<std::string> failed;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -2,6 +2,9 @@
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+
+using namespace burlpoint;
 using namespace burlpoint::protocol;
 
 namespace {
@@ -57,7 +60,7 @@
     text.replace(text.find(from), from.size(), to);
     try {
         parseSettings(text);
-    } catch (const BadSettings& error) {
+    } catch (const InvalidSettings& error) {
         return error.what();
     }
     return "";
@@ -66,7 +69,7 @@
 std::string policyComplaint(const std::string& xml) {
     try {
         parsePolicy(xml);
-    } catch (const BadSettings& error) {
+    } catch (const InvalidSettings& error) {
         return error.what();
     }
     return "";
@@ -81,10 +84,10 @@
 TEST(Settings, ReadsThePlatformsFile) {
     const auto s = parseSettings(kGood + "\n[later]\nunknown = 1\n");
     EXPECT_EQ(s.peers.at(0).address, "10.0.0.2:8081");
-    EXPECT_EQ(s.team("t")->cpusMax, 16);
+    EXPECT_EQ(s.team("t")->maxCpus, 16);
     EXPECT_EQ(s.team("u"), nullptr);
     EXPECT_EQ(s.clockError, std::chrono::milliseconds(25));
-    EXPECT_EQ(s.lease, Seconds(24));
+    EXPECT_EQ(s.workerLease, Seconds(24));
 }
 
 TEST(Settings, NamesTheFieldThatIsWrong) {
@@ -100,31 +103,31 @@
     EXPECT_TRUE(names(complaint("area = \"north\"", "area = "), "line "));
 }
 
-// The state service's next limits may be absent, and each of them too; what is there is checked.
+// The key-value store's next limits may be absent, and each of them too; what is there is checked.
 TEST(Settings, TheStateServicesNextLimits) {
     const auto without = parseSettings(kGood);
-    EXPECT_FALSE(without.nextState);
+    EXPECT_FALSE(without.nextStoreLimits);
     EXPECT_EQ(without.minValueKb(), 8);
-    EXPECT_EQ(without.minTxnOps(), 32u);
-    EXPECT_EQ(without.minWriteRps(), 40);
+    EXPECT_EQ(without.minTransactionWrites(), 32u);
+    EXPECT_EQ(without.minWritesPerSecond(), 40);
     const std::string at = "[cluster.cloud]", table = "[cluster.state.next]\n";
     const auto with = [&](const std::string& next) {
         auto text = kGood;
         return parseSettings(text.replace(text.find(at), at.size(), next + "\n" + at));
     };
     const auto lower = with(table + "write_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 10");
-    EXPECT_EQ(lower.stateWriteRps, 40);
+    EXPECT_EQ(lower.storeWritesPerSecond, 40);
     EXPECT_EQ(lower.minValueKb(), 2);
-    EXPECT_EQ(lower.valueBytes(), 2048u);
-    EXPECT_EQ(lower.minTxnOps(), 10u);
-    EXPECT_EQ(lower.minWriteRps(), 28);
+    EXPECT_EQ(lower.maxValueBytes(), 2048u);
+    EXPECT_EQ(lower.minTransactionWrites(), 10u);
+    EXPECT_EQ(lower.minWritesPerSecond(), 28);
     const auto higher = with(table + "write_rps = 50.0\nvalue_kb = 9.0\ntxn_ops = 40\nnew = 1");
     EXPECT_EQ(higher.minValueKb(), 8);
-    EXPECT_EQ(higher.minTxnOps(), 32u);
-    EXPECT_EQ(higher.minWriteRps(), 40);
+    EXPECT_EQ(higher.minTransactionWrites(), 32u);
+    EXPECT_EQ(higher.minWritesPerSecond(), 40);
     const auto some = with(table + "value_kb = 2.0");
     EXPECT_EQ(some.minValueKb(), 2);
-    EXPECT_EQ(some.minTxnOps(), 32u);
+    EXPECT_EQ(some.minTransactionWrites(), 32u);
     const auto wrong = [&](const std::string& next) { return complaint(at, next + "\n" + at); };
     EXPECT_TRUE(names(wrong("[cluster.state]\nnext = 1"), "line "));  // the table twice
     EXPECT_TRUE(names(complaint("txn_ops = 32", "txn_ops = 32\nnext = 1"), "cluster.state.next: a table"));
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -1,19 +1,21 @@
-#include "coordination/state_writer.h"
+#include "coordination/state/state_writer.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "base/wall_clock.h"
+#include "protocol/msgpack_codec.h"
 #include "storage/records.h"
 
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using bookkeeping::Job;
-using coordination::DayClock;
-using coordination::Roster;
+using coordination::MachineRegistry;
 using coordination::StateWriter;
 using coordination::StateWritten;
 using coordination::WriteState;
-using storage::Final;
-using storage::TxnStatus;
+using storage::TerminalState;
+using storage::TransactionStatus;
 using FollowUp = StateWriter::FollowUp;
 
 namespace {
@@ -23,24 +25,24 @@
 
 struct StateWriterTest : testing::Test {
     StateWriterTest() {
-        settings.txnOps = 4;
-        settings.stateWriteRps = 1000;
+        settings.maxTransactionWrites = 4;
+        settings.storeWritesPerSecond = 1000;
         replica.tokenVersion = kTokenVersion;
     }
 
     protocol::Settings settings;
     bookkeeping::StateReplica replica;
     bookkeeping::Fleet fleet;
-    Roster roster{replica, fleet};
+    MachineRegistry registry{replica, fleet};
     std::map<std::string, protocol::MachineType> types;
-    transport::Time now{1000s};
-    DayClock dayClock{now, kDayMs};
+    Time now{1000s};
+    WallClock wallClock{now, kDayMs};
     std::optional<StateWriter> made;
     std::uint64_t revision = 100;
 
     /// Made on first use, so that a test can change the settings before.
     StateWriter& writer() {
-        if (!made) made.emplace(settings, replica, fleet, roster, types, dayClock, now);
+        if (!made) made.emplace(settings, replica, fleet, registry, types, wallClock, now);
         return *made;
     }
     /// An open job with a run, whose chunks have `chunkTasks` tasks.
@@ -65,17 +67,17 @@
         ASSERT_TRUE(job.finish(task));
         writer().noteUnstored(job);
     }
-    void rent(const std::string& id, std::uint64_t session) {
+    void rent(const std::string& id, std::uint64_t incarnation) {
         auto& machine = fleet.add(id, now);
         machine.address = id;
-        machine.session = session;
-        roster.noteRented(id);
+        machine.incarnation = incarnation;
+        registry.noteRequested(id);
     }
-    StateWriter::Outcome answer(TxnStatus status, std::vector<std::string> failed = {}) {
+    StateWriter::WriteOutcome answer(TransactionStatus status, std::vector<std::string> failed = {}) {
         StateWritten written;
         written.result.status = status;
         written.result.failed = std::move(failed);
-        if (status == TxnStatus::applied) written.result.revision = ++revision;
+        if (status == TransactionStatus::applied) written.result.revision = ++revision;
         return writer().handle(written, now);
     }
     /// The keys of the next transaction once the pause after the last one is over; empty if there is none.
@@ -112,12 +114,12 @@
     finish(job, 1);
     now += 5s;
     ASSERT_TRUE(writer().nextWrite(now));
-    EXPECT_EQ(job.final, Final::open);
+    EXPECT_EQ(job.terminalState, TerminalState::none);
     EXPECT_FALSE(writer().nextWrite(now + 10s)) << "one transaction is under way at a time";
-    const auto outcome = answer(TxnStatus::applied);
+    const auto outcome = answer(TransactionStatus::applied);
     EXPECT_EQ(outcome.followUp, FollowUp::none);
     EXPECT_EQ(outcome.ended, std::vector<Job*>{&job});
-    EXPECT_EQ(job.final, Final::done);
+    EXPECT_EQ(job.terminalState, TerminalState::done);
     EXPECT_EQ(job.endedMs, kDayMs + 5000);
     EXPECT_EQ(nextKeys(), Keys{});
 }
@@ -127,7 +129,7 @@
     finish(job, 3);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
     EXPECT_FALSE(job.isDone(3));
-    EXPECT_TRUE(answer(TxnStatus::applied).ended.empty());
+    EXPECT_TRUE(answer(TransactionStatus::applied).ended.empty());
     EXPECT_TRUE(job.isDone(3));
     finish(job, 4);
     EXPECT_EQ(nextKeys(), Keys{});
@@ -138,14 +140,15 @@
 TEST_F(StateWriterTest, ARaisedTokenEndsTheLeadership) {
     finish(accept("wk-1", 1), 0);
     ASSERT_TRUE(writer().nextWrite(now));
-    EXPECT_EQ(answer(TxnStatus::conflict, {storage::keys::kToken}).followUp, FollowUp::resign);
+    EXPECT_EQ(answer(TransactionStatus::conflict, {storage::keys::kToken}).followUp, FollowUp::resign);
 }
 
 // After a conflict or an unknown outcome only a read tells what is stored.
 TEST_F(StateWriterTest, NothingIsWrittenBeforeTheReplicaIsReadAnew) {
     finish(accept("wk-1", 1), 0);
     const auto key = storage::keys::job("wk-1");
-    for (const auto status : {TxnStatus::conflict, TxnStatus::unknown, TxnStatus::noLease}) {
+    for (const auto status :
+         {TransactionStatus::conflict, TransactionStatus::unknown, TransactionStatus::noLease}) {
         ASSERT_EQ(nextKeys(), Keys{key});
         EXPECT_EQ(answer(status, {key}).followUp, FollowUp::refreshReplica);
         now += 10s;
@@ -157,7 +160,7 @@
 
 TEST_F(StateWriterTest, ARefusedTransactionIsSentAgainAfterAPause) {
     finish(accept("wk-1", 1), 0);
-    for (const auto status : {TxnStatus::refused, TxnStatus::tooMany}) {
+    for (const auto status : {TransactionStatus::refused, TransactionStatus::tooMany}) {
         ASSERT_EQ(nextKeys().size(), 1u);
         EXPECT_EQ(answer(status).followUp, FollowUp::none);
         EXPECT_EQ(nextKeys(), Keys{});  // 200 ms later
@@ -169,24 +172,24 @@
 TEST_F(StateWriterTest, WhatWasTooLargeGoesInSmallerPiecesAndGrowsAgain) {
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) rent(id, 1);
     ASSERT_EQ(nextKeys().size(), 4u);
-    answer(TxnStatus::tooLarge);
+    answer(TransactionStatus::tooLarge);
     EXPECT_EQ(nextKeys().size(), 2u);
-    answer(TxnStatus::tooLarge);
+    answer(TransactionStatus::tooLarge);
     EXPECT_EQ(nextKeys().size(), 1u);
-    answer(TxnStatus::applied);
+    answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys().size(), 1u) << "not at once";
     now += 30s;
-    answer(TxnStatus::applied);
+    answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys().size(), 2u);
 }
 
 TEST_F(StateWriterTest, WhatIsTooLargeAloneWaitsAsideWhileTheRestGoesOn) {
     rent("m1", 1);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
-    answer(TxnStatus::tooLarge);
+    answer(TransactionStatus::tooLarge);
     rent("m2", 1);
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m2")});
-    answer(TxnStatus::applied);
+    answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys(), Keys{});
     now += 30s;
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
@@ -196,11 +199,11 @@
     auto& job = accept("wk-1", 2000, 2000);
     finish(job, 0);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
-    answer(TxnStatus::tooLarge);
+    answer(TransactionStatus::tooLarge);
     const auto keys = nextKeys();
     ASSERT_EQ(keys.size(), 1u);
     EXPECT_NE(keys.front(), storage::keys::doneChunk("wk-1", 0));
-    answer(TxnStatus::applied);
+    answer(TransactionStatus::applied);
     EXPECT_TRUE(job.isDone(0));
 }
 
@@ -213,16 +216,16 @@
     writer().noteTypesChanged();
     EXPECT_EQ(nextKeys(), (Keys{storage::keys::machine("m1"), storage::keys::job("wk-1"),
                                 storage::keys::kTypes, storage::keys::doneChunk("wk-2", 0)}));
-    answer(TxnStatus::applied);
+    answer(TransactionStatus::applied);
     EXPECT_EQ(replica.types.size(), 1u);
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m0")});
 }
 
 TEST_F(StateWriterTest, TheRateBoundsWhatIsWritten) {
-    settings.stateWriteRps = 5;  // of which the leader takes three a second
+    settings.storeWritesPerSecond = 5;  // of which the leader takes three a second
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) rent(id, 1);
     ASSERT_EQ(nextKeys().size(), 3u);
-    answer(TxnStatus::applied);
+    answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys(), Keys{});
     now += 800ms;
     EXPECT_EQ(nextKeys().size(), 2u);
--- a/tests/state_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -1,27 +1,28 @@
-// Submissions where the state service takes less than the settings say, or less from some moment on.
+// Submissions where the key-value store takes less than the settings say, or less from some moment on.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
 
 #include <sstream>
 
-#include "service_node.h"
+#include "protocol/msgpack_codec.h"
+#include "service_controller.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
-using protocol::Packer;
+using protocol::MessagePacker;
 
 namespace {
 
-using StateLimits = ServiceNodeTest;
+using StoreLimits = ServiceNodeTest;
 
 }  // namespace
 
 // A record beyond the smaller of both limits is refused before anything is stored, unless the job was
 // accepted under the higher one; and chunks are chosen for the smaller.
-TEST_F(StateLimits, WhatTheNextLimitsWouldNotTakeIsRefusedAtOnce) {
+TEST_F(StoreLimits, WhatTheNextLimitsWouldNotTakeIsRefusedAtOnce) {
     ServiceNode node(io, stub);
-    node.config.nextState = protocol::StateLimits{28, 2, 10};
+    node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
     node.until([&] { return node.watcher.synced(); });
     const auto longTexts = [](const std::string& id) {
         protocol::JobSpec spec;
@@ -34,7 +35,7 @@
         return spec;
     };
     const auto packed = [](const protocol::JobSpec& spec) {
-        Packer p;
+        MessagePacker p;
         protocol::packSpec(p, spec);
         return p.take();
     };
@@ -43,21 +44,22 @@
     std::vector<std::string> failed;
     const auto spec = longTexts("wk-2");
     stub.store.transact(
-        {}, {{storage::keys::job("wk-2"), storage::encodeJob({spec, storage::Final::open, 0, 0, 4}), 0}},
+        {},
+        {{storage::keys::job("wk-2"), storage::encodeJob({spec, storage::TerminalState::none, 0, 0, 4}), 0}},
         failed);
     EXPECT_EQ(node.ask("POST", "/submissions", packed(spec)).status, 200);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-3")).status, 201);
     const auto handle = protocol::unpackBody(stub.store.values.at(storage::keys::job("wk-3")).data);
     EXPECT_EQ(storage::decodeJob(handle.get()).chunkTasks, storage::chunkTasks(2));
     // Accepted under the higher limit, it is cancelled under the lower one.
-    stub.store.limits.valueBytes = 2048;
+    stub.store.limits.maxValueBytes = 2048;
     EXPECT_EQ(node.ask("POST", "/submissions/wk-2/cancel").status, 200);
     EXPECT_EQ(node.bearing("wk-2"), "cancelled");
 }
 
 // Limits lower than the settings say: nothing that was accepted is lost, and nothing is called accepted
 // that was not stored.
-TEST_F(StateLimits, LimitsThatNobodyAnnounced) {
+TEST_F(StoreLimits, LimitsThatNobodyAnnounced) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     auto spec = protocol::JobSpec{};
@@ -65,14 +67,14 @@
     spec.jobClass = spec.image = "x";
     spec.team = "team";
     spec.types = std::vector<std::string>{std::string(150, 'h'), "m"};
-    Packer p;
+    MessagePacker p;
     protocol::packSpec(p, spec);
     EXPECT_EQ(node.ask("POST", "/submissions", p.take()).status, 201);
-    stub.store.limits.valueBytes = 500;
+    stub.store.limits.maxValueBytes = 500;
     const auto again = [&](const std::string& id) {
         auto other = spec;
         other.id = id;
-        Packer q;
+        MessagePacker q;
         protocol::packSpec(q, other);
         return node.ask("POST", "/submissions", q.take()).status;
     };
@@ -84,7 +86,7 @@
 }
 
 // Changes beyond the rate are told from other refusals; the user comes back, and then it is stored.
-TEST_F(StateLimits, ChangesBeyondTheRateAreTriedAgain) {
+TEST_F(StoreLimits, ChangesBeyondTheRateAreTriedAgain) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
@@ -99,7 +101,7 @@
 }
 
 // The service's refusals of a transaction, told apart.
-TEST_F(StateLimits, RefusalsOfATransactionAreToldApart) {
+TEST_F(StoreLimits, RefusalsOfATransactionAreToldApart) {
     ServiceNode node(io, stub);
     std::ostringstream log;
     const auto before = spdlog::default_logger();
@@ -113,21 +115,24 @@
         return count;
     };
     const auto status = [&](const protocol::KeyWrite& write) {
-        std::optional<storage::TxnStatus> out;
-        node.state.transact({}, {write}, 1s, [&](const storage::TxnResult& result) { out = result.status; });
+        std::optional<storage::TransactionStatus> out;
+        node.state.transact({}, {write}, 1s,
+                            [&](const storage::TransactionResult& result) { out = result.status; });
         node.until([&] { return out.has_value(); });
         return *out;
     };
-    const auto value = Packer().value("0123456789").take();
+    const auto value = MessagePacker().value("0123456789").take();
     stub.store.limits = {32, 12, 1};
-    EXPECT_EQ(status({"bp/x", value, 99}), storage::TxnStatus::noLease);
-    EXPECT_EQ(status({"bp/x", Packer().value("0123456789a").take(), 0}), storage::TxnStatus::tooLarge);
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TxnStatus::applied);
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TxnStatus::tooMany);
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TxnStatus::tooMany);
-    EXPECT_EQ(status({"bp/x", Packer().value("0123456789b").take(), 0}), storage::TxnStatus::tooLarge);
+    EXPECT_EQ(status({"bp/x", value, 99}), storage::TransactionStatus::noLease);
+    EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789a").take(), 0}),
+              storage::TransactionStatus::tooLarge);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::applied);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::tooMany);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::tooMany);
+    EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789b").take(), 0}),
+              storage::TransactionStatus::tooLarge);
     stub.outage = true;
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TxnStatus::refused);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::refused);
     // The first of each is logged, once.
     EXPECT_EQ(lines("[error] the state service does not take 1 changes"), 1u);
     EXPECT_EQ(lines("too large"), 1u);
--- a/tests/state_stub.h
+++ b/tests/store_stub.h
@@ -9,21 +9,26 @@
 #include <string>
 #include <vector>
 
-#include "protocol/state_messages.h"
-#include "storage/store.h"
-#include "transport/http.h"
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+#include "protocol/store_messages.h"
+#include "storage/key_value_client.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
 
 namespace burlpoint::tests {
 
 /// What the stand-in takes, until a test lowers it. Changes are counted per step of the test, which sets
 /// `changes` anew; there is no clock in it.
-struct StoreLimits {
-    std::size_t ops = 1'000'000, valueBytes = std::size_t{64} * 1024;
+struct StubLimits {
+    std::size_t ops = 1'000'000, maxValueBytes = std::size_t{64} * 1024;
     double changes = 1e9;
 };
 
-/// A small stand-in for the state service, from PROTOCOL: keys with versions, conditional transactions, a log
-/// of changes. Leases are ended by the test. The history test uses the store alone; others talk to it by
+/// A small stand-in for the key-value store, from PROTOCOL: keys with versions, conditional transactions, a
+/// log of changes. Leases are ended by the test. The history test uses the store alone; others talk to it by
 /// HTTP.
 class Store {
   public:
@@ -51,15 +56,15 @@
         return revision;
     }
     /// Why a transaction is not even looked at, if so: its size first, then the rate.
-    std::optional<storage::TxnStatus> refusal(const std::vector<protocol::KeyCondition>& conditions,
-                                              const std::vector<protocol::KeyWrite>& writes) {
+    std::optional<storage::TransactionStatus> refusal(const std::vector<protocol::KeyCondition>& conditions,
+                                                      const std::vector<protocol::KeyWrite>& writes) {
         bool large =
             writes.size() > limits.ops || conditions.size() > 4 * limits.ops ||
             protocol::jsonBytes(protocol::encodeTransaction(conditions, writes)) > std::size_t{64} * 1024;
-        for (const auto& w : writes) large |= w.value && protocol::jsonBytes(*w.value) > limits.valueBytes;
-        if (large) return ++tooLarge, storage::TxnStatus::tooLarge;
+        for (const auto& w : writes) large |= w.value && protocol::jsonBytes(*w.value) > limits.maxValueBytes;
+        if (large) return ++tooLarge, storage::TransactionStatus::tooLarge;
         const auto count = static_cast<double>(writes.size());
-        if (count > limits.changes) return ++tooMany, storage::TxnStatus::tooMany;
+        if (count > limits.changes) return ++tooMany, storage::TransactionStatus::tooMany;
         limits.changes -= count;
         return std::nullopt;
     }
@@ -77,7 +82,7 @@
     std::vector<Event> log;
     std::map<std::uint64_t, bool> leases;
     std::uint64_t revision = 0, nextLease = 0;
-    StoreLimits limits;
+    StubLimits limits;
     std::size_t tooLarge = 0, tooMany = 0;  // refusals so far
 
   private:
@@ -90,19 +95,19 @@
     }
 };
 
-class StateStub {
+class StoreStub {
   public:
     /// With `first`, one more way to what that one stores, which may fail for itself.
-    explicit StateStub(asio::io_context& io, StateStub* first = nullptr)
+    explicit StoreStub(asio::io_context& io, StoreStub* first = nullptr)
         : store(first ? first->store : own_),
           server_(io, transport::parseEndpoint("127.0.0.1:0"), {},
                   [this](transport::Request&& r, const transport::Reply& reply) { serve(r, reply); }),
           first_(first ? *first : *this) {
         first_.ways_.push_back(this);
     }
-    ~StateStub() { std::erase(first_.ways_, this); }
-    StateStub(const StateStub&) = delete;
-    StateStub& operator=(const StateStub&) = delete;
+    ~StoreStub() { std::erase(first_.ways_, this); }
+    StoreStub(const StoreStub&) = delete;
+    StoreStub& operator=(const StoreStub&) = delete;
 
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.localEndpoint().port()); }
 
@@ -129,7 +134,7 @@
     }
     /// For tests with a clock: ends the leases and the watches of all ways whose time is over. Without a call
     /// of this, leases are ended by the test and watches wait for a change.
-    void passTime(transport::Time now) {
+    void passTime(Time now) {
         auto& deadlines = first_.leaseDeadlines_;
         std::vector<std::uint64_t> over;
         for (const auto& [lease, deadline] : deadlines)
@@ -142,29 +147,29 @@
         for (auto* way : first_.ways_) way->endWatches(now);
     }
     /// An outage is over: all leases have their full time again.
-    void restartLeases(transport::Time now) {
+    void restartLeases(Time now) {
         for (auto& [lease, deadline] : first_.leaseDeadlines_) deadline.at = now + deadline.life;
     }
 
   private:
-    using Packer = protocol::Packer;
+    using MessagePacker = protocol::MessagePacker;
     using Answer = std::function<void(int, std::string)>;
 
     struct Watch {
         std::string query;
         Answer answer;
-        transport::Time until;
+        Time until;
     };
     struct Deadline {
-        transport::Time at;
-        transport::Duration life;
+        Time at;
+        Duration life;
     };
 
     void wakeOwn() {
         if (outage || holdWatches) return;
         for (auto& open : std::exchange(watches_, {})) watch(open);
     }
-    void endWatches(transport::Time now) {
+    void endWatches(Time now) {
         if (outage) return;
         for (auto& open : std::exchange(watches_, {})) {
             if (now < open.until)
@@ -196,16 +201,15 @@
         if (r.path == "/multi") return transaction(r, answer);
         if (r.path == "/kv") return page(r, answer);
         if (r.path == "/watch") {
-            const transport::Duration wait(number(parameter(r.query, "blockMs")));
-            return watch({r.query, answer, transport::Clock::now() + wait});
+            const Duration wait(number(parameter(r.query, "blockMs")));
+            return watch({r.query, answer, Clock::now() + wait});
         }
         if (r.path == "/holds") {
             store.leases[++store.nextLease] = true;
-            const transport::Duration life(
-                protocol::Fields(protocol::unpackBody(r.body).get()).integer("lifeMs"));
-            first_.leaseDeadlines_[store.nextLease] = {transport::Clock::now() + life, life};
+            const Duration life(protocol::MapReader(protocol::unpackBody(r.body).get()).integer("lifeMs"));
+            first_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
             const auto made = [answer, lease = store.nextLease] {
-                answer(200, Packer().map(1).field("mooring", lease).take());
+                answer(200, MessagePacker().map(1).field("mooring", lease).take());
             };
             if (!holdLeases) return made();
             held_.push_back(made);
@@ -213,54 +217,55 @@
         }
         if (r.path.starts_with("/holds/")) {
             const auto lease = number(r.path.substr(7, r.path.find('/', 7) - 7));
-            if (!store.leases.contains(lease)) return answer(404, Packer().map(0).take());
+            if (!store.leases.contains(lease)) return answer(404, MessagePacker().map(0).take());
             auto& deadlines = first_.leaseDeadlines_;
             if (r.method == "DELETE") {
                 deadlines.erase(lease);
                 store.endLease(lease);
                 wake();
             } else if (const auto found = deadlines.find(lease); found != deadlines.end()) {
-                found->second.at = transport::Clock::now() + found->second.life;
+                found->second.at = Clock::now() + found->second.life;
             }
-            return answer(200, Packer().map(0).take());
+            return answer(200, MessagePacker().map(0).take());
         }
         answer(400, "");
     }
 
     void transaction(const transport::Request& r, const Answer& answer) {
         const auto handle = protocol::unpackBody(r.body);
-        const protocol::Fields f(handle.get());
+        const protocol::MapReader f(handle.get());
         std::vector<protocol::KeyCondition> conditions;
         std::vector<protocol::KeyWrite> writes;
         f.each("when", [&](const msgpack::object& o) {
-            const protocol::Fields c(o);
+            const protocol::MapReader c(o);
             conditions.push_back({c.text("path"), c.integer("mark")});
         });
         f.each("apply", [&](const msgpack::object& o) {
-            const protocol::Fields w(o);
+            const protocol::MapReader w(o);
             if (const auto key = w.maybeText("remove")) {
                 writes.push_back({*key, std::nullopt, 0});
             } else {
-                Packer p;
+                MessagePacker p;
                 p.value(w.need("data"));
                 writes.push_back({w.text("write"), p.take(), w.integerOr("mooring", 0)});
             }
         });
         const auto noteRefusal = [&](int status, const char* why) {
-            answer(status, Packer().map(1).field("error", why).take());
+            answer(status, MessagePacker().map(1).field("error", why).take());
         };
         for (const auto& w : writes)
             if (w.lease && !store.leases.contains(w.lease)) return noteRefusal(400, "no such lease");
         if (const auto refusal = store.refusal(conditions, writes))
-            return *refusal == storage::TxnStatus::tooLarge ? noteRefusal(400, "too large")
-                                                            : noteRefusal(429, "too many changes");
+            return *refusal == storage::TransactionStatus::tooLarge ? noteRefusal(400, "too large")
+                                                                    : noteRefusal(429, "too many changes");
         std::vector<std::string> failed;
         const auto revision = store.transact(conditions, writes, failed);
         wake();
         if (swallowWrites) return;
         if (revision == 0)
-            return answer(409, Packer().map(2).field("failed", failed).field("chart", store.revision).take());
-        answer(200, Packer().map(1).field("chart", revision).take());
+            return answer(
+                409, MessagePacker().map(2).field("failed", failed).field("chart", store.revision).take());
+        answer(200, MessagePacker().map(1).field("chart", revision).take());
     }
 
     void page(const transport::Request& r, const Answer& answer) {
@@ -275,7 +280,7 @@
             }
             entries.push_back(&entry);
         }
-        Packer p;
+        MessagePacker p;
         p.map(3).key("entries").list(entries.size());
         for (const auto* e : entries)
             p.map(3).field("path", e->first).key("data").raw(e->second.data).field("mark", e->second.version);
@@ -298,7 +303,7 @@
     }
     void answerWatch(const Watch& asked) {
         const auto events = eventsAfter(number(parameter(asked.query, "since")));
-        Packer p;
+        MessagePacker p;
         p.map(2).field("chart", store.revision).key("log").list(events.size());
         for (const auto& e : events) {
             p.map(e.data ? 3 : 2).field(e.data ? "write" : "remove", e.key);
@@ -308,11 +313,11 @@
         asked.answer(200, p.take());
     }
 
-    transport::Server server_;
+    transport::HttpServer server_;
     std::vector<Watch> watches_;
     std::vector<std::function<void()>> held_;
-    StateStub& first_;              // the way that was made first; the others' lists are unused
-    std::vector<StateStub*> ways_;  // to the same store, this one included
+    StoreStub& first_;              // the way that was made first; the others' lists are unused
+    std::vector<StoreStub*> ways_;  // to the same store, this one included
     std::map<std::uint64_t, Deadline> leaseDeadlines_;
 };
 
--- a/tests/submission_queue_test.cpp
+++ b/tests/submission_queue_test.cpp
@@ -1,7 +1,9 @@
-#include "coordination/submission_queue.h"
+#include "coordination/api/submission_queue.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::Submission;
@@ -9,16 +11,16 @@
 
 namespace {
 
-const transport::Time kStart{1000s};
+const Time kStart{1000s};
 
 /// 30 changes a second for submissions, so 30 at once and 36 within the longest wait.
 protocol::Settings settings() {
     protocol::Settings s;
-    s.stateWriteRps = 100;
+    s.storeWritesPerSecond = 100;
     return s;
 }
 
-Submission submission(const std::string& id, const std::string& team = "a", transport::Time since = kStart) {
+Submission submission(const std::string& id, const std::string& team = "a", Time since = kStart) {
     Submission s;
     s.spec.id = id;
     s.spec.team = team;
@@ -26,7 +28,7 @@
     return s;
 }
 
-std::string nextId(SubmissionQueue& queue, transport::Time now = kStart) {
+std::string nextId(SubmissionQueue& queue, Time now = kStart) {
     const auto taken = queue.takeNext(now);
     return taken ? taken->spec.id : "none";
 }
@@ -100,7 +102,7 @@
     EXPECT_EQ(added, 37);  // 36 are stored within the 1.2 s, and one more may wait behind them
     EXPECT_EQ(queue.retryAfter(kStart), 2s);
     auto slow = settings();
-    slow.stateWriteRps = 0.1;
+    slow.storeWritesPerSecond = 0.1;
     SubmissionQueue slowQueue(slow, kStart);
     EXPECT_FALSE(slowQueue.retryAfter(kStart));
     slowQueue.add(submission("wk-1"));
