--- a/tests/upgrade/checks_test.cpp
+++ b/tests/upgrade/checks_test.cpp
@@ -2,19 +2,25 @@
 // has to name it, and one that keeps all rules, of which it has to say nothing.
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
 #include "upgrade/machines.h"
 #include "upgrade/store_check.h"
 #include "upgrade/users.h"
 
 using namespace burlpoint::tests;
+using burlpoint::Clock;
+using burlpoint::Seconds;
+using burlpoint::protocol::CommandKind;
+using burlpoint::protocol::JobKind;
 using burlpoint::protocol::JobSpec;
 using burlpoint::protocol::JobState;
-using burlpoint::protocol::Kind;
-using burlpoint::protocol::Op;
-using burlpoint::protocol::Order;
-using burlpoint::protocol::Seconds;
-using burlpoint::storage::Final;
-using burlpoint::transport::Clock;
+using burlpoint::protocol::WorkerCommand;
+using burlpoint::storage::TerminalState;
 using burlpoint::transport::Reply;
 using burlpoint::transport::Request;
 using burlpoint::transport::Response;
@@ -33,12 +39,12 @@
     spec.id = id;
     spec.jobClass = "class";
     spec.team = "team";
-    spec.kind = Kind::array;
+    spec.kind = JobKind::array;
     spec.tasks = 2;
     spec.cpus = spec.memoryGb = 1;
     spec.image = "image";
     spec.imageGb = 1;
-    spec.estimate = Seconds(1);
+    spec.estimatedRunTime = Seconds(1);
     spec.dependencies = std::move(needs);
     return spec;
 }
@@ -66,7 +72,7 @@
         reply(script(request));
     }
 
-    transport::Server server_;
+    transport::HttpServer server_;
 };
 
 // --- what users are told ----------------------------------------------------------------------------------
@@ -130,7 +136,7 @@
     submitCompleted(kDependent, {kJob});
     stepForQuestions(30);
     states[kJob] = JobState::done;
-    stepUntil([&] { return rules.job(kJob).final.has_value(); });
+    stepUntil([&] { return rules.job(kJob).terminalState.has_value(); });
     states[kDependent] = JobState::cancelled;
     users.cancel(kDependent, 0);
     stepUntil([&] { return rules.job(kDependent).cancelConfirmed.has_value(); });
@@ -141,7 +147,7 @@
 TEST_F(UsersCheck, AJobThatIsNoLongerDoneHasGoneBack) {
     submitCompleted(kJob);
     states[kJob] = JobState::done;
-    stepUntil([&] { return rules.job(kJob).final.has_value(); });
+    stepUntil([&] { return rules.job(kJob).terminalState.has_value(); });
     states[kJob] = JobState::running;
     stepUntilBroken("went_back");
 }
@@ -211,22 +217,23 @@
 
 namespace {
 
-/// Two machines in different zones that report to a controller, which gives each the orders of the test once.
+/// Two machines in different zones that heartbeat to a controller, which gives each the orders of the test
+/// once.
 class MachinesCheck : public testing::Test {
   protected:
     MachinesCheck() {
-        settings.report = Seconds(0.1);
-        settings.lease = Seconds(600);
-        settings.cancel = Seconds(0);
+        settings.heartbeatInterval = Seconds(0.1);
+        settings.workerLease = Seconds(600);
+        settings.cancelTimeout = Seconds(0);
         type.name = "plain";
         type.cpus = type.memoryGb = 8;
-        controller.script = [this](const Request& request) { return answerReport(request); };
+        controller.script = [this](const Request& request) { return answerHeartbeat(request); };
         for (const char* zone : {"a", "b"}) machines.create(type, zone);
     }
 
     void submitKnown(const JobSpec& spec) { rules.jobs[spec.id].spec = spec; }
     void startOn(const std::string& zone, std::uint32_t task, std::uint64_t attempt) {
-        orders[zone].push_back({Op::start, {kJob, task, attempt}, Seconds(0)});
+        commands[zone].push_back({CommandKind::start, {kJob, task, attempt}, Seconds(0)});
     }
     void stepUntil(const std::function<bool()>& holds) {
         while (!holds()) {
@@ -246,17 +253,17 @@
     Rules rules;
     protocol::Settings settings;
     protocol::MachineType type;
-    std::map<std::string, std::vector<Order>> orders;  // by zone, not sent yet
+    std::map<std::string, std::vector<WorkerCommand>> commands;  // by zone, not sent yet
     bool dependencyDone = false;
     ScriptedController controller{io};
     Machines machines{
         io, rules, settings, {controller.address()}, [this](const std::string&) { return dependencyDone; }};
 
   private:
-    Response answerReport(const Request& request) {
-        const auto report = protocol::decodeReport(request.body);
+    Response answerHeartbeat(const Request& request) {
+        const auto heartbeat = protocol::decodeHeartbeat(request.body);
         Response response;
-        response.body = protocol::encodeReportReply(1, std::exchange(orders[report.zone], {}));
+        response.body = protocol::encodeHeartbeatResponse(1, std::exchange(commands[heartbeat.zone], {}));
         return response;
     }
 };
@@ -329,10 +336,10 @@
         ASSERT_GT(store.transact({}, {{key, std::move(value)}}, failed), 0u);
         check.step();
     }
-    void writeRecord(Final final, const std::string& id = kJob) {
+    void writeRecord(TerminalState terminalState, const std::string& id = kJob) {
         storage::JobRecord record;
         record.spec = job(id);
-        record.final = final;
+        record.terminalState = terminalState;
         record.chunkTasks = 4;
         write(storage::keys::job(id), storage::encodeJob(record));
     }
@@ -351,11 +358,11 @@
 TEST_F(StoredCheck, AJobThatRunsToItsEndBreaksNoRule) {
     write(storage::keys::kToken, storage::encodeToken(1));
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
-    writeRecord(Final::open);
+    writeRecord(TerminalState::none);
     complete({0});
     writeBits({true, false});
     complete({0, 1});
-    writeRecord(Final::done);
+    writeRecord(TerminalState::done);
     write(storage::keys::doneChunk(kJob, 0), std::nullopt);
     write(storage::keys::kToken, storage::encodeToken(2));
     EXPECT_EQ(rules.broken, std::vector<std::string>());
@@ -376,36 +383,36 @@
 }
 
 TEST_F(StoredCheck, AnEndThatChangesIsNamed) {
-    writeRecord(Final::cancelled);
-    writeRecord(Final::open);
+    writeRecord(TerminalState::cancelled);
+    writeRecord(TerminalState::none);
     EXPECT_EQ(nameRule(rules), std::string("the stored end of ") + kJob + " has changed");
 }
 
 TEST_F(StoredCheck, ADeletedRecordIsNamed) {
-    writeRecord(Final::open);
+    writeRecord(TerminalState::none);
     write(storage::keys::job(kJob), std::nullopt);
     EXPECT_EQ(nameRule(rules), std::string("the record of ") + kJob + " was deleted");
 }
 
 TEST_F(StoredCheck, ARecordOfAJobThatNobodySubmittedIsNamed) {
-    writeRecord(Final::open, kDependent);
+    writeRecord(TerminalState::none, kDependent);
     EXPECT_EQ(nameRule(rules), std::string("a record of ") + kDependent + ", which nobody submitted");
 }
 
 TEST_F(StoredCheck, AnEndBeforeTheLastTaskIsNotDone) {
     complete({0});
-    writeRecord(Final::done);
+    writeRecord(TerminalState::done);
     EXPECT_EQ(nameRule(rules), std::string("not_done: ") + kJob + " is stored as done");
 }
 
 TEST_F(StoredCheck, ABitOfAnOpenTaskIsNotDone) {
-    writeRecord(Final::open);
+    writeRecord(TerminalState::none);
     writeBits({true, false});
     EXPECT_EQ(nameRule(rules), std::string("not_done: the bit of ") + kJob + "/0");
 }
 
 TEST_F(StoredCheck, ABitThatIsLostIsNamed) {
-    writeRecord(Final::open);
+    writeRecord(TerminalState::none);
     complete({0});
     writeBits({true, false});
     writeBits({false, false});
@@ -413,7 +420,7 @@
 }
 
 TEST_F(StoredCheck, BitsDeletedBeforeTheEndAreNamed) {
-    writeRecord(Final::open);
+    writeRecord(TerminalState::none);
     writeBits({false, false});
     write(storage::keys::doneChunk(kJob, 0), std::nullopt);
     EXPECT_EQ(nameRule(rules), std::string("bits of ") + kJob + " were deleted too early");
--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud.cpp
@@ -1,14 +1,16 @@
 #include "upgrade/cloud.h"
 
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
+#include "transport/endpoint.h"
+
 namespace burlpoint::tests {
 
-using protocol::Fields;
-using protocol::Packer;
-using protocol::Seconds;
-using transport::Clock;
+using protocol::MapReader;
+using protocol::MessagePacker;
 
 CloudStub::CloudStub(asio::io_context& io, Rules& rules, Machines& machines)
-    : rules_(rules),
+    : constraints_(rules),
       machines_(machines),
       type_{"plain", 16, 0, 64, 10, 1, 1, 1, Seconds(1), {"a", "b"}},
       server_(
@@ -26,15 +28,15 @@
             response.body = protocol::encodeMachineTypes({type_});
         } else if (request.path == protocol::paths::kRelease) {
             release(request.body);
-        } else if (request.path != protocol::paths::kRentals) {
+        } else if (request.path != protocol::paths::kInstanceRequest) {
             response.status = 404;
         } else if (request.method == "POST") {
             response = rent(request.body);
         } else {
             response.body = list();
         }
-    } catch (const protocol::Malformed& error) {
-        rules_.require(false, std::string("malformed request to the cloud: ") + error.what());
+    } catch (const protocol::MalformedMessage& error) {
+        constraints_.require(false, std::string("malformed request to the cloud: ") + error.what());
         response.status = 400;
     }
     reply(response);
@@ -42,7 +44,7 @@
 
 /// All machines at once: there are never more than fit one page.
 std::string CloudStub::list() const {
-    Packer packer;
+    MessagePacker packer;
     packer.map(2).key("bollards").list(machines_.workers().size());
     for (const auto& [id, worker] : machines_.workers()) {
         const Seconds held = Clock::now() - rentedAt_.at(id);
@@ -61,9 +63,9 @@
 
 transport::Response CloudStub::rent(const std::string& body) {
     const auto handle = protocol::unpackBody(body);
-    const Fields fields(handle.get());
+    const MapReader fields(handle.get());
     const auto name = fields.text("charter"), zone = fields.text("quay");
-    auto& rented = rentals_[name];
+    auto& rented = instanceRequests_[name];
     transport::Response response;
     if (rented.empty()) {
         for (auto left = fields.integer("howMany"); left > 0 && machinesIn(zone) < kMostInZone; --left) {
@@ -75,14 +77,14 @@
         response.status = 503;
         response.body = protocol::errorReply("no capacity");
     } else {
-        response.body = Packer().map(1).field("bollards", rented).take();
+        response.body = MessagePacker().map(1).field("bollards", rented).take();
     }
     return response;
 }
 
 void CloudStub::release(const std::string& body) {
     const auto handle = protocol::unpackBody(body);
-    for (const auto& id : Fields(handle.get()).texts("bollards")) machines_.remove(id);
+    for (const auto& id : MapReader(handle.get()).texts("bollards")) machines_.remove(id);
 }
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/cloud.h
+++ b/tests/upgrade/cloud.h
@@ -4,8 +4,11 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "protocol/cloud_messages.h"
-#include "transport/http.h"
+#include "transport/executor.h"
+#include "transport/http_message.h"
+#include "transport/http_server.h"
 #include "upgrade/machines.h"
 #include "upgrade/rules.h"
 
@@ -27,12 +30,12 @@
     void release(const std::string& body);
     std::size_t machinesIn(const std::string& zone) const;
 
-    Rules& rules_;
+    Rules& constraints_;
     Machines& machines_;
     const protocol::MachineType type_;
-    std::map<std::string, std::vector<std::string>> rentals_;  // by request name
-    std::map<std::string, transport::Time> rentedAt_;
-    transport::Server server_;
+    std::map<std::string, std::vector<std::string>> instanceRequests_;  // by request name
+    std::map<std::string, Time> rentedAt_;
+    transport::HttpServer server_;
 };
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/cluster.cpp
+++ b/tests/upgrade/cluster.cpp
@@ -4,11 +4,13 @@
 #include <iostream>
 #include <sstream>
 
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+#include "transport/executor.h"
+
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
-using protocol::Seconds;
-using transport::Clock;
 
 namespace {
 
@@ -16,11 +18,11 @@
 
 protocol::Settings commonSettings() {
     protocol::Settings settings;
-    settings.report = Seconds(0.5);
-    settings.lease = Seconds(6);
-    settings.gangWait = Seconds(10);
-    settings.gangPeer = Seconds(3);
-    settings.cancel = Seconds(24);
+    settings.heartbeatInterval = Seconds(0.5);
+    settings.workerLease = Seconds(6);
+    settings.gangWaitTimeout = Seconds(10);
+    settings.gangPeerTimeout = Seconds(3);
+    settings.cancelTimeout = Seconds(24);
     return settings;
 }
 
@@ -40,10 +42,10 @@
     return controllers;
 }
 
-std::vector<std::unique_ptr<StateStub>> makeWays(asio::io_context& io) {
-    std::vector<std::unique_ptr<StateStub>> ways;
+std::vector<std::unique_ptr<StoreStub>> makeWays(asio::io_context& io) {
+    std::vector<std::unique_ptr<StoreStub>> ways;
     for (std::size_t i = 0; i < Cluster::kControllers; ++i)
-        ways.push_back(std::make_unique<StateStub>(io, ways.empty() ? nullptr : ways.front().get()));
+        ways.push_back(std::make_unique<StoreStub>(io, ways.empty() ? nullptr : ways.front().get()));
     return ways;
 }
 
@@ -95,9 +97,11 @@
          << "state = \"" << ways_[controller]->address() << "\"\n"
          << "[cluster]\nnodes = " << kControllers << "\nzones = [\"a\", \"b\"]\nclock_error_ms = 10.0\n"
          << "[[cluster.teams]]\nname = \"team\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"
-         << "[cluster.workers]\nreport_s = " << settings.report.count()
-         << "\nlease_s = " << settings.lease.count() << "\ngang_wait_s = " << settings.gangWait.count()
-         << "\ngang_peer_s = " << settings.gangPeer.count() << "\ncancel_s = " << settings.cancel.count()
+         << "[cluster.workers]\nreport_s = " << settings.heartbeatInterval.count()
+         << "\nlease_s = " << settings.workerLease.count()
+         << "\ngang_wait_s = " << settings.gangWaitTimeout.count()
+         << "\ngang_peer_s = " << settings.gangPeerTimeout.count()
+         << "\ncancel_s = " << settings.cancelTimeout.count()
          << "\n[cluster.state]\nrps = 2000.0\nwrite_rps = 1000.0\nvalue_kb = " << limits_.nowKb
          << "\ntxn_ops = " << limits_.nowOperations << "\n[cluster.state.next]\nvalue_kb = " << limits_.nextKb
          << "\ntxn_ops = " << limits_.nextOperations << "\n[cluster.cloud]\nrps = 20.0\nlist_lag_s = 0.0\n"
@@ -121,7 +125,7 @@
     const auto found = values.find(storage::keys::kLeader);
     if (found == values.end()) return std::nullopt;
     const auto record = storage::decodeLeader(protocol::unpackBody(found->second.data).get());
-    if (record.token != machines.newestToken()) return std::nullopt;
+    if (record.fencingToken != machines.newestToken()) return std::nullopt;
     for (std::size_t i = 0; i < kControllers; ++i)
         if (nameOf(i) == record.node && runs(i)) return i;
     return std::nullopt;
@@ -157,7 +161,7 @@
 
 void Cluster::lowerLimits() {
     auto& limits = ways_.front()->store.limits;
-    limits.valueBytes = static_cast<std::size_t>(limits_.nextKb * 1024);
+    limits.maxValueBytes = static_cast<std::size_t>(limits_.nextKb * 1024);
     limits.ops = limits_.nextOperations;
 }
 
--- a/tests/upgrade/cluster.h
+++ b/tests/upgrade/cluster.h
@@ -5,7 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "state_stub.h"
+#include "store_stub.h"
+#include "transport/executor.h"
 #include "upgrade/cloud.h"
 #include "upgrade/launcher.h"
 #include "upgrade/machines.h"
@@ -21,7 +22,7 @@
     bool operator==(const Version&) const = default;
 };
 
-/// Limits of the state service's values as the settings name them, now and next.
+/// Limits of the key-value store's values as the settings name them, now and next.
 struct ValueLimits {
     double nowKb = 64, nextKb = 64;
     unsigned nowOperations = 64, nextOperations = 64;
@@ -32,7 +33,7 @@
     using std::runtime_error::runtime_error;
 };
 
-/// Three controllers as real processes, and around them, in this process, the state service, the cloud, the
+/// Three controllers as real processes, and around them, in this process, the key-value store, the cloud, the
 /// workers and the users. Nothing here depends on how fast the machine is: a test waits for what has to come,
 /// and the rules that it checks hold at any speed.
 class Cluster {
@@ -50,7 +51,7 @@
     const Version& version(std::size_t controller) const { return versions_[controller]; }
 
     bool hasLeaderKey() const { return ways_.front()->store.values.contains(storage::keys::kLeader); }
-    /// The controller whose key is stored and whose token a worker has taken.
+    /// The controller whose key is stored and whose fencing token a worker has taken.
     std::optional<std::size_t> leader() const;
     /// Kills the others, so that this one has to lead, and waits until it does.
     void makeLeader(std::size_t controller);
@@ -59,11 +60,11 @@
     /// Waits until some controller leads.
     std::size_t awaitLeader();
 
-    /// The state service refuses this controller alone, or serves it again.
+    /// The key-value store refuses this controller alone, or serves it again.
     void refuse(std::size_t controller, bool refused) { ways_[controller]->outage = refused; }
-    /// The state service refuses all controllers, or serves all of them again.
+    /// The key-value store refuses all controllers, or serves all of them again.
     void setOutage(bool outage);
-    /// From now on the state service takes no more than the next limits.
+    /// From now on the key-value store takes no more than the next limits.
     void lowerLimits();
 
     /// Goes on until the condition holds. Only the whole test's time is limited.
@@ -85,7 +86,7 @@
     asio::io_context io_{1};
     std::vector<std::unique_ptr<ReservedPort>> ports_, peerPorts_;
     std::vector<Controller> controllers_;
-    std::vector<std::unique_ptr<StateStub>> ways_;  // to the state service, one for each controller
+    std::vector<std::unique_ptr<StoreStub>> ways_;  // to the key-value store, one for each controller
     bool outage_ = false;
 
   public:
--- a/tests/upgrade/machines.cpp
+++ b/tests/upgrade/machines.cpp
@@ -1,25 +1,29 @@
 #include "upgrade/machines.h"
 
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
+#include "transport/endpoint.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
+#include "transport/http_message.h"
+
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
 using protocol::Attempt;
+using protocol::CommandKind;
 using protocol::ExitReason;
-using protocol::Fields;
-using protocol::Kind;
-using protocol::Op;
-using protocol::Order;
-using protocol::Seconds;
+using protocol::JobKind;
+using protocol::MapReader;
 using protocol::TaskState;
-using transport::Clock;
-using transport::Outcome;
-using transport::Time;
+using protocol::WorkerCommand;
+using transport::HttpResult;
 
 namespace {
 
 constexpr auto kAnswerTimeout = 4s;
 constexpr auto kNextController = 1s;  // after a failure
-constexpr auto kBetweenReports = 500ms;
+constexpr auto kBetweenHeartbeats = 500ms;
 constexpr auto kFetch = 200ms;
 constexpr auto kShortestRun = 100ms;
 constexpr std::size_t kConnections = 500;
@@ -47,10 +51,12 @@
 
 std::string Worker::address() const { return "127.0.0.1:" + std::to_string(server_.localEndpoint().port()); }
 
-void Worker::changed(Time now) { nextReport_ = std::min(nextReport_, std::max(now, earliestReport_)); }
+void Worker::changed(Time now) {
+    nextHeartbeat_ = std::min(nextHeartbeat_, std::max(now, earliestHeartbeat_));
+}
 
 void Worker::expire(Time now) {
-    const auto lease = ticks(machines_.settings_.lease);
+    const auto lease = ticks(machines_.settings_.workerLease);
     if (now - lastRenewal_ <= lease) return;
     tasks_.clear();
     ++session_;
@@ -84,94 +90,102 @@
     for (const auto& [attempt, task] : tasks_) attempts.push_back(attempt);
     for (const auto& attempt : attempts) {
         const auto& task = tasks_.at(attempt);
-        auto& job = machines_.rules_.job(attempt.job);
+        auto& job = machines_.constraints_.job(attempt.job);
         if (task.state == TaskState::fetching) {
-            if (!images_.contains(job.spec.image) && now - task.since < kFetch) continue;
-            images_.insert(job.spec.image);
+            if (!imageLocality_.contains(job.spec.image) && now - task.since < kFetch) continue;
+            imageLocality_.insert(job.spec.image);
             if (job.completed.contains(attempt.task))
                 exit(attempt, ExitReason::done, now);
             else
-                enter(attempt, job.spec.kind == Kind::gang ? TaskState::waiting : TaskState::running, now);
-        } else if (task.state == TaskState::running && job.spec.kind == Kind::array) {
+                enter(attempt, job.spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running, now);
+        } else if (task.state == TaskState::running && job.spec.kind == JobKind::array) {
             if (job.completed.size() >= job.mayComplete || now - task.since < kShortestRun) continue;
             job.completed.insert(attempt.task);
             exit(attempt, ExitReason::done, now);
         }
     }
-    if (!reporting_ && now >= nextReport_) report(now);
+    if (!reporting_ && now >= nextHeartbeat_) heartbeat(now);
 }
 
-std::string Worker::nextReport() {
-    std::vector<protocol::TaskReport> reports;
-    for (const auto& [attempt, task] : tasks_) reports.push_back({attempt, task.state, task.why, false});
-    return protocol::encodeReport(
-        {id_, address(), type_.name, zone_, false, session_, ++sequence_, token_, {}, std::move(reports)});
+std::string Worker::nextHeartbeat() {
+    std::vector<protocol::TaskStatus> heartbeats;
+    for (const auto& [attempt, task] : tasks_) heartbeats.push_back({attempt, task.state, task.why, false});
+    return protocol::encodeHeartbeat({id_,
+                                      address(),
+                                      type_.name,
+                                      zone_,
+                                      false,
+                                      session_,
+                                      ++sequence_,
+                                      fencingToken_,
+                                      {},
+                                      std::move(heartbeats)});
 }
 
-void Worker::report(Time now) {
+void Worker::heartbeat(Time now) {
     reporting_ = true;
-    earliestReport_ = now + kBetweenReports;
-    nextReport_ = now + ticks(machines_.settings_.report);
+    earliestHeartbeat_ = now + kBetweenHeartbeats;
+    nextHeartbeat_ = now + ticks(machines_.settings_.heartbeatInterval);
     const auto& controller = machines_.controllers_[target_];
     machines_.http_.request(
-        controller.address, "POST", protocol::paths::kReport, nextReport(), kAnswerTimeout,
-        [weak = weak_from_this(), sent = now, session = session_](const Outcome& outcome) {
-            if (const auto worker = weak.lock()) worker->answered(outcome, sent, session);
+        controller.address, "POST", protocol::paths::kHeartbeat, nextHeartbeat(), kAnswerTimeout,
+        [weak = weak_from_this(), sent = now, incarnation = session_](const HttpResult& outcome) {
+            if (const auto worker = weak.lock()) worker->answered(outcome, sent, incarnation);
         });
 }
 
 void Worker::tryNext(Time now) {
     target_ = (target_ + 1) % machines_.controllers_.size();
-    nextReport_ = earliestReport_ = now + kNextController;
+    nextHeartbeat_ = earliestHeartbeat_ = now + kNextController;
 }
 
-void Worker::answered(const Outcome& outcome, Time sent, std::uint64_t session) {
+void Worker::answered(const HttpResult& outcome, Time sent, std::uint64_t incarnation) {
     const auto now = Clock::now();
     reporting_ = false;
     expire(now);
     try {
         if (now - sent > kAnswerTimeout) return tryNext(now);
         if (outcome.status == 200) {
-            if (session == session_) accept(outcome.body, sent, now);
+            if (incarnation == session_) accept(outcome.body, sent, now);
             return;
         }
         if (outcome.status != 421) return tryNext(now);
         const auto handle = protocol::unpackBody(outcome.body);
-        const auto name = Fields(handle.get()).maybeText("harbormaster").value_or("");
+        const auto name = MapReader(handle.get()).maybeText("harbormaster").value_or("");
         const auto& all = machines_.controllers_;
         const auto named = std::find_if(all.begin(), all.end(),
                                         [&](const auto& controller) { return controller.name == name; });
         const auto index = static_cast<std::size_t>(named - all.begin());
         if (named == all.end() || index == target_) return tryNext(now);
         target_ = index;
-        nextReport_ = now;
-    } catch (const protocol::Malformed& error) {
-        machines_.rules_.require(false, std::string("malformed answer to a report: ") + error.what());
+        nextHeartbeat_ = now;
+    } catch (const protocol::MalformedMessage& error) {
+        machines_.constraints_.require(false, std::string("malformed answer to a report: ") + error.what());
     }
 }
 
-/// An answer to a report of this session that came in time.
+/// An answer to a heartbeat of this incarnation that came in time.
 void Worker::accept(const std::string& body, Time sent, Time now) {
     const auto handle = protocol::unpackBody(body);
-    const auto token = Fields(handle.get()).integer("helm");
-    if (token < token_) return;
-    if (token > token_) changed(now);
-    token_ = token;
-    machines_.noteToken(token);
+    const auto fencingToken = MapReader(handle.get()).integer("helm");
+    if (fencingToken < fencingToken_) return;
+    if (fencingToken > fencingToken_) changed(now);
+    fencingToken_ = fencingToken;
+    machines_.noteToken(fencingToken);
     lastRenewal_ = std::max(lastRenewal_, sent);
     ++renewals_;
-    execute(protocol::decodeOrders(body), now);
+    execute(protocol::decodeCommands(body), now);
 }
 
-void Worker::execute(const std::vector<Order>& orders, Time now) {
-    for (const auto& order : orders) {
-        const auto known = tasks_.find(order.attempt);
+void Worker::execute(const std::vector<WorkerCommand>& commands, Time now) {
+    for (const auto& command : commands) {
+        const auto known = tasks_.find(command.attempt);
         const bool exited = known != tasks_.end() && known->second.state == TaskState::exited;
-        if (order.op == Op::start) {
-            if (known == tasks_.end()) start(order.attempt, now);
-        } else if (order.op == Op::stop) {
+        if (command.kind == CommandKind::start) {
+            if (known == tasks_.end()) start(command.attempt, now);
+        } else if (command.kind == CommandKind::stop) {
             // No job of these tests saves checkpoints, so every task exits at once.
-            if (known != tasks_.end() && !exited) exit(order.attempt, ExitReason::stopped, now);
+            if (known != tasks_.end() && !exited) exit(command.attempt, ExitReason::stopped, now);
         } else if (exited) {
             tasks_.erase(known);
             changed(now);
@@ -180,7 +194,7 @@
 }
 
 ExitReason Worker::whyRefused(const Attempt& attempt) const {
-    const auto& jobs = machines_.rules_.jobs;
+    const auto& jobs = machines_.constraints_.jobs;
     const auto job = jobs.find(attempt.job);
     if (job == jobs.end() || attempt.task >= job->second.spec.tasks) return ExitReason::unknown;
     if (holds(attempt.job, attempt.task)) return ExitReason::busy;
@@ -197,8 +211,8 @@
 
 void Worker::start(const Attempt& attempt, Time now) {
     const auto refused = whyRefused(attempt);
-    machines_.rules_.require(refused != ExitReason::unknown,
-                             "a start of an unknown task: " + nameOf(attempt));
+    machines_.constraints_.require(refused != ExitReason::unknown,
+                                   "a start of an unknown task: " + nameOf(attempt));
     if (refused == ExitReason::unknown) return;
     if (refused == ExitReason::none) machines_.checkStart(*this, attempt, now);
     tasks_[attempt] = {TaskState::fetching, ExitReason::none, now};
@@ -210,26 +224,26 @@
     const auto now = Clock::now();
     expire(now);
     transport::Response response;
-    if (request.path == protocol::paths::kOrders) {
+    if (request.path == protocol::paths::kCommands) {
         try {
             const auto handle = protocol::unpackBody(request.body);
-            const Fields fields(handle.get());
-            const auto token = fields.integer("helm");
-            if (token < token_ || fields.integer("watch") != session_) {
+            const MapReader fields(handle.get());
+            const auto fencingToken = fields.integer("helm");
+            if (fencingToken < fencingToken_ || fields.integer("watch") != session_) {
                 response.status = 409;
             } else {
-                token_ = token;
-                machines_.noteToken(token);
-                execute(protocol::decodeOrders(request.body), now);
+                fencingToken_ = fencingToken;
+                machines_.noteToken(fencingToken);
+                execute(protocol::decodeCommands(request.body), now);
             }
-        } catch (const protocol::Malformed& error) {
-            machines_.rules_.require(false, std::string("malformed orders: ") + error.what());
+        } catch (const protocol::MalformedMessage& error) {
+            machines_.constraints_.require(false, std::string("malformed orders: ") + error.what());
             response.status = 400;
         }
     } else if (request.path != protocol::paths::kStatus) {
         response.status = 404;
     }
-    if (response.status == 200 || response.status == 409) response.body = nextReport();
+    if (response.status == 200 || response.status == 409) response.body = nextHeartbeat();
     reply(response);
 }
 
@@ -243,7 +257,7 @@
 Machines::Machines(asio::io_context& io, Rules& rules, const protocol::Settings& settings,
                    std::vector<Controller> controllers, StoredAsDone storedAsDone)
     : io_(io),
-      rules_(rules),
+      constraints_(rules),
       settings_(settings),
       controllers_(std::move(controllers)),
       storedAsDone_(std::move(storedAsDone)),
@@ -266,23 +280,25 @@
 
 void Machines::checkStart(const Worker& worker, const Attempt& attempt, Time now) {
     for (const auto& [id, other] : workers_) other->expire(now);
-    const auto& job = rules_.job(attempt.job);
+    const auto& job = constraints_.job(attempt.job);
     const auto name = nameOf(attempt) + " on " + worker.id();
     for (const auto& [id, other] : workers_)
-        rules_.require(!other->holds(attempt.job, attempt.task), "ran_twice: " + name + " while on " + id);
+        constraints_.require(!other->holds(attempt.job, attempt.task),
+                             "ran_twice: " + name + " while on " + id);
     for (const auto& needed : job.spec.dependencies)
-        rules_.require(storedAsDone_(needed), "too_early: " + name + " before " + needed);
-    const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancel);
-    rules_.require(!late, "ran_cancelled: a start of " + name);
+        constraints_.require(storedAsDone_(needed), "too_early: " + name + " before " + needed);
+    const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
+    constraints_.require(!late, "ran_cancelled: a start of " + name);
     const bool zoneAllowed = !job.spec.zone || *job.spec.zone == worker.zone();
-    rules_.require(zoneAllowed, "wrong_place: " + name + " in zone " + worker.zone());
+    constraints_.require(zoneAllowed, "wrong_place: " + name + " in zone " + worker.zone());
     ++starts_[attempt.job];
 }
 
 void Machines::checkCancelled(Time now) {
-    for (const auto& [id, job] : rules_.jobs) {
-        const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancel);
-        if (late) rules_.require(isGone(id), "ran_cancelled: a task of " + id + " is still on a machine");
+    for (const auto& [id, job] : constraints_.jobs) {
+        const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
+        if (late)
+            constraints_.require(isGone(id), "ran_cancelled: a task of " + id + " is still on a machine");
     }
 }
 
@@ -290,7 +306,8 @@
     std::map<Attempt, Gang> gangs;
     for (const auto& [id, worker] : workers_) {
         for (const auto& [attempt, task] : worker->tasks()) {
-            if (task.state == TaskState::exited || rules_.job(attempt.job).spec.kind != Kind::gang) continue;
+            if (task.state == TaskState::exited || constraints_.job(attempt.job).spec.kind != JobKind::gang)
+                continue;
             auto& gang = gangs[{attempt.job, 0, attempt.number}];
             gang.members.emplace_back(worker.get(), attempt);
             gang.waiting += task.state == TaskState::waiting;
@@ -300,7 +317,7 @@
 }
 
 void Machines::stepGang(const Attempt& attempt, Gang& gang, Time now) {
-    auto& job = rules_.job(attempt.job);
+    auto& job = constraints_.job(attempt.job);
     const auto exitAll = [&](ExitReason why) {
         for (const auto& [worker, member] : gang.members) worker->exit(member, why, now);
     };
@@ -317,7 +334,8 @@
     }
     for (const auto& [worker, member] : gang.members) {
         const auto& task = worker->tasks().at(member);
-        const bool tooLong = task.state == TaskState::waiting && now - task.since > ticks(settings_.gangWait);
+        const bool tooLong =
+            task.state == TaskState::waiting && now - task.since > ticks(settings_.gangWaitTimeout);
         if (tooLong) worker->exit(member, ExitReason::alone, now);
     }
 }
@@ -342,7 +360,7 @@
     for (const auto& [id, worker] : workers_)
         for (const auto& [attempt, task] : worker->tasks())
             if (attempt.job == job && task.state == TaskState::running)
-                found[id + " session " + std::to_string(worker->session())] = worker->renewals();
+                found[id + " session " + std::to_string(worker->incarnation())] = worker->renewals();
     return found;
 }
 
--- a/tests/upgrade/rules.h
+++ b/tests/upgrade/rules.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "protocol/job_messages.h"
-#include "transport/http.h"
 
 namespace burlpoint::tests {
 
@@ -20,11 +20,11 @@
     struct JobFacts {
         protocol::JobSpec spec;
         bool accepted = false;
-        bool cancelRequested = false;                      // of it, or of one that it needs
-        std::optional<transport::Time> cancelConfirmed{};  // its user, or that of one that it needs, was told
-        std::optional<protocol::JobState> final{};         // as some controller told its user
-        std::set<std::uint32_t> completed{};               // tasks
-        std::uint32_t mayComplete = 0;                     // so many tasks end when they have run for a while
+        bool cancelRequested = false;           // of it, or of one that it needs
+        std::optional<Time> cancelConfirmed{};  // its user, or that of one that it needs, was told
+        std::optional<protocol::JobState> terminalState{};  // as some controller told its user
+        std::set<std::uint32_t> completed{};                // tasks
+        std::uint32_t mayComplete = 0;  // so many tasks end when they have run for a while
         bool allCompleted() const { return completed.size() == spec.tasks; }
     };
 
@@ -37,7 +37,7 @@
     void noteCancelRequested(const std::string& id) {
         for (auto* affected : withDependents(id)) affected->cancelRequested = true;
     }
-    void noteCancelled(const std::string& id, transport::Time now) {
+    void noteCancelled(const std::string& id, Time now) {
         for (auto* affected : withDependents(id))
             if (!affected->cancelConfirmed) affected->cancelConfirmed = now;
     }
--- a/tests/upgrade/store_check.h
+++ b/tests/upgrade/store_check.h
@@ -4,17 +4,18 @@
 #include <string>
 #include <vector>
 
-#include "state_stub.h"
 #include "storage/records.h"
+#include "store_stub.h"
 #include "upgrade/rules.h"
 
 namespace burlpoint::tests {
 
-/// Follows what is stored: tokens only rise and none is used twice, records of jobs stay, those that are over
-/// never change their end, and stored bits are those of completed tasks and stay until the job is over.
+/// Follows what is stored: fencing tokens only rise and none is used twice, records of jobs stay, those that
+/// are over never change their end, and stored bits are those of completed tasks and stay until the job is
+/// over.
 class StoreCheck {
   public:
-    StoreCheck(Rules& rules, const Store& store) : rules_(rules), store_(store) {}
+    StoreCheck(Rules& rules, const Store& store) : constraints_(rules), store_(store) {}
 
     /// Looks at what has changed since the last call.
     void step();
@@ -36,11 +37,11 @@
     std::optional<storage::JobRecord> record(const std::string& id) const;
     static Bits parseRange(const std::string& range, std::size_t chunkTasks);
 
-    Rules& rules_;
+    Rules& constraints_;
     const Store& store_;
     std::size_t seen_ = 0, leaderships_ = 0, partsWritten_ = 0;
-    std::uint64_t token_ = 0, leaderToken_ = 0;
-    std::map<std::string, storage::Final> ends_;
+    std::uint64_t fencingToken_ = 0, leaderToken_ = 0;
+    std::map<std::string, storage::TerminalState> completion_;
     std::map<std::string, std::vector<bool>> bits_;  // by key
 };
 
--- a/tests/upgrade/upgrade_test.cpp
+++ b/tests/upgrade/upgrade_test.cpp
@@ -3,13 +3,14 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
+#include "base/clock.h"
 #include "upgrade/cluster.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
+using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::JobState;
-using protocol::Kind;
 using protocol::TaskState;
 
 namespace {
@@ -18,7 +19,7 @@
 struct OldVersion {
     std::string label;
     Version version;
-    bool knowsPipelines = false;  // and the state service's next limits
+    bool knowsPipelines = false;  // and the key-value store's next limits
 };
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest calls
@@ -32,19 +33,19 @@
 constexpr auto kAll = protocol::kMaxTasks;
 constexpr char kService[] = "wk-1";  // runs during the whole test and keeps machines in use
 
-JobSpec job(const std::string& id, Kind kind, std::uint32_t tasks, std::vector<std::string> needs = {}) {
+JobSpec job(const std::string& id, JobKind kind, std::uint32_t tasks, std::vector<std::string> needs = {}) {
     JobSpec spec;
     spec.id = id;
     spec.jobClass = "class";
     spec.team = "team";
     spec.kind = kind;
-    if (kind == Kind::service) spec.priority = protocol::Priority::production;
+    if (kind == JobKind::service) spec.priority = protocol::Priority::production;
     spec.tasks = tasks;
     spec.cpus = 1;
     spec.memoryGb = 1;
     spec.image = "image-" + id;
     spec.imageGb = 1;
-    spec.estimate = protocol::Seconds(kind == Kind::service ? 0 : 1);
+    spec.estimatedRunTime = Seconds(kind == JobKind::service ? 0 : 1);
     spec.dependencies = std::move(needs);
     return spec;
 }
@@ -55,7 +56,7 @@
         cluster = std::make_unique<Cluster>(limits);
         cluster->startAll(old());
         cluster->until("a controller has taken the lead", [&] { return cluster->stored.leaderships() > 0; });
-        cluster->users.submit(job(kService, Kind::service, 3), 0);
+        cluster->users.submit(job(kService, JobKind::service, 3), 0);
         untilRunning(kService, 3);
     }
 
@@ -82,7 +83,7 @@
     }
     void untilDone(const std::string& id) {
         cluster->until(id + " is told to be done",
-                       [&] { return cluster->rules.job(id).final == JobState::done; });
+                       [&] { return cluster->rules.job(id).terminalState == JobState::done; });
     }
     void untilCancelled(const std::string& id) {
         cluster->until("the cancellation of " + id + " is confirmed",
@@ -97,7 +98,7 @@
         for (std::size_t i = 0; i < Cluster::kControllers; ++i) {
             if (!cluster->runs(i)) continue;
             ids.push_back(freshId());
-            submit(job(ids.back(), Kind::array, 2), i, kAll);
+            submit(job(ids.back(), JobKind::array, 2), i, kAll);
         }
         for (const auto& id : ids) untilDone(id);
     }
@@ -110,9 +111,9 @@
     };
     Pipeline submitPipeline(std::size_t controller) {
         Pipeline pipeline{freshId(), freshId(), freshId()};
-        submit(job(pipeline.array, Kind::array, Pipeline::kTasks), controller);
-        submit(job(pipeline.gang, Kind::gang, Pipeline::kTasks, {pipeline.array}), controller);
-        submit(job(pipeline.last, Kind::array, Pipeline::kTasks, {pipeline.gang, pipeline.array}),
+        submit(job(pipeline.array, JobKind::array, Pipeline::kTasks), controller);
+        submit(job(pipeline.gang, JobKind::gang, Pipeline::kTasks, {pipeline.array}), controller);
+        submit(job(pipeline.last, JobKind::array, Pipeline::kTasks, {pipeline.gang, pipeline.array}),
                controller);
         return pipeline;
     }
@@ -180,13 +181,13 @@
     std::string submitHeld(std::size_t controller) {
         constexpr std::uint32_t kTasks = 4;
         auto id = freshId();
-        submit(job(id, Kind::array, kTasks), controller);
+        submit(job(id, JobKind::array, kTasks), controller);
         untilRunning(id, kTasks);
         return id;
     }
-    /// The state service refuses the leader, another node confirms a cancellation, and then nobody is served.
-    /// The leader goes on by the grants of the others, which tell it the cancellation. False if its term
-    /// had ended before: then nobody can lead until the outage is over.
+    /// The key-value store refuses the leader, another node confirms a cancellation, and then nobody is
+    /// served. The leader goes on by the votes of the others, which tell it the cancellation. False if its
+    /// term had ended before: then nobody can lead until the outage is over.
     bool obeyedInAnOutage(std::size_t leading, std::size_t confirming) {
         untilRunning(kService, 3);
         const auto id = submitHeld(confirming);
@@ -195,15 +196,15 @@
         untilCancelled(id);
         cluster->setOutage(true);
         const auto atFirst = cluster->machines.renewals(kService);
-        // Reports are half a second apart at least, so this takes longer than the leader's own lease.
+        // Heartbeats are half a second apart at least, so this takes longer than the leader's own lease.
         constexpr std::uint64_t kRenewals = 16;
         bool carried = true;
         cluster->until("the leader has gone on for long in an outage, or its term has ended", [&] {
             const auto now = cluster->machines.renewals(kService);
             carried = now.size() == atFirst.size();
             bool enough = true;
-            for (const auto& [session, renewals] : atFirst) {
-                const auto found = now.find(session);
+            for (const auto& [incarnation, renewals] : atFirst) {
+                const auto found = now.find(incarnation);
                 carried &= found != now.end();
                 enough &= found != now.end() && found->second >= renewals + kRenewals;
             }
@@ -215,7 +216,7 @@
 
     /// Tasks that take so little that a machine runs some hundreds of them.
     JobSpec tiny(const std::string& id, std::uint32_t tasks) {
-        auto spec = job(id, Kind::array, tasks);
+        auto spec = job(id, JobKind::array, tasks);
         spec.cpus = spec.memoryGb = 0.05;
         return spec;
     }
@@ -227,7 +228,7 @@
     std::vector<std::string> submitJobsWithLongTexts(std::size_t controller) {
         std::vector<std::string> ids{freshId(), freshId()};
         for (const auto& id : ids) {
-            auto spec = urgent(job(id, Kind::array, 2));
+            auto spec = urgent(job(id, JobKind::array, 2));
             spec.types = std::vector<std::string>{"plain"};
             for (int i = 0; i < 15; ++i) spec.types->push_back(std::string(90, 'a') + std::to_string(i));
             submit(spec, controller);
@@ -267,15 +268,15 @@
   private:
     bool allEnded() const {
         for (const auto& [id, facts] : cluster->rules.jobs) {
-            const bool goesOn = facts.spec.kind == Kind::service && !facts.cancelRequested;
-            if (!goesOn && !facts.final) return false;
+            const bool goesOn = facts.spec.kind == JobKind::service && !facts.cancelRequested;
+            if (!goesOn && !facts.terminalState) return false;
         }
         return true;
     }
     bool allTellTheEnds() const {
         for (const auto& [id, facts] : cluster->rules.jobs)
             for (std::size_t i = 0; i < Cluster::kControllers; ++i)
-                if (!facts.final || !cluster->users.toldBy(i, id, *facts.final)) return false;
+                if (!facts.terminalState || !cluster->users.toldBy(i, id, *facts.terminalState)) return false;
         return true;
     }
 
@@ -289,8 +290,8 @@
     const auto first = *cluster->leader();
     const auto newOne = after(first), oldOne = after(first, 2);
     const std::string array = "wk-2", gang = "wk-3";
-    submit(job(array, Kind::array, 24), newOne);
-    submit(job(gang, Kind::gang, 3), oldOne);
+    submit(job(array, JobKind::array, 24), newOne);
+    submit(job(gang, JobKind::gang, 3), oldOne);
     untilRunning(gang, 3);
     completeUpTo(array, 6);
 
@@ -370,7 +371,7 @@
     cluster->awaitLeader();
     complete(before.last);
     const auto late = freshId();
-    submit(job(late, Kind::array, 1, {before.last, cancelled.array}), first);
+    submit(job(late, JobKind::array, 1, {before.last, cancelled.array}), first);
     untilToldByAll(late, JobState::cancelled);
     cluster->start(first, kNew);
     cluster->awaitLeader();
@@ -379,7 +380,7 @@
 }
 
 // Cancellations that a node of one version confirms are obeyed by a leader of the other: when all is well,
-// when the state service refuses the leader alone, and when an outage follows at once.
+// when the key-value store refuses the leader alone, and when an outage follows at once.
 TEST_P(Upgrade, CancellationsOfOneVersionAreObeyedByTheOther) {
     begin();
     const auto first = *cluster->leader();
--- a/tests/upgrade/users.cpp
+++ b/tests/upgrade/users.cpp
@@ -1,12 +1,13 @@
 #include "upgrade/users.h"
 
+#include "protocol/errors.h"
+#include "protocol/msgpack_codec.h"
+
 namespace burlpoint::tests {
 
 using namespace std::chrono_literals;
 using protocol::JobState;
-using transport::Clock;
-using transport::Outcome;
-using transport::Time;
+using transport::HttpResult;
 
 namespace {
 
@@ -19,7 +20,7 @@
 constexpr std::size_t kConnections = 200;
 
 std::string submissionOf(const protocol::JobSpec& spec) {
-    protocol::Packer packer;
+    protocol::MessagePacker packer;
     protocol::packSpec(packer, spec);
     return packer.take();
 }
@@ -32,7 +33,7 @@
                                                          {"done", JobState::done},
                                                          {"cancelled", JobState::cancelled}};
     const auto found = kStates.find(word);
-    if (found == kStates.end()) throw protocol::Malformed("unknown state " + word);
+    if (found == kStates.end()) throw protocol::MalformedMessage("unknown state " + word);
     return found->second;
 }
 
@@ -41,17 +42,18 @@
 }  // namespace
 
 Users::Users(asio::io_context& io, Rules& rules, std::vector<Controller> controllers)
-    : rules_(rules), controllers_(std::move(controllers)), http_(io, kConnections) {}
+    : constraints_(rules), controllers_(std::move(controllers)), http_(io, kConnections) {}
 
 void Users::submit(const protocol::JobSpec& spec, std::size_t controller) {
-    auto& facts = rules_.jobs[spec.id];
+    auto& facts = constraints_.jobs[spec.id];
     facts.spec = spec;
-    for (const auto& needed : spec.dependencies) facts.cancelRequested |= rules_.job(needed).cancelRequested;
+    for (const auto& needed : spec.dependencies)
+        facts.cancelRequested |= constraints_.job(needed).cancelRequested;
     actions_.push_back(std::make_shared<Action>(Action{false, spec.id, controller}));
 }
 
 void Users::cancel(const std::string& id, std::size_t controller) {
-    rules_.noteCancelRequested(id);
+    constraints_.noteCancelRequested(id);
     actions_.push_back(std::make_shared<Action>(Action{true, id, controller}));
 }
 
@@ -65,8 +67,8 @@
 }
 
 Users::Known Users::known(const std::string& id) const {
-    const auto& facts = rules_.jobs.at(id);
-    return {facts.accepted, facts.cancelConfirmed.has_value(), facts.final};
+    const auto& facts = constraints_.jobs.at(id);
+    return {facts.accepted, facts.cancelConfirmed.has_value(), facts.terminalState};
 }
 
 void Users::send(const std::shared_ptr<Action>& action, Time now) {
@@ -74,35 +76,35 @@
     action->next = now + kRetry;
     const auto& id = action->id;
     const auto path = action->cancels ? pathOf(id) + protocol::paths::kCancel : protocol::paths::kSubmissions;
-    const auto body = action->cancels ? std::string() : submissionOf(rules_.job(id).spec);
+    const auto body = action->cancels ? std::string() : submissionOf(constraints_.job(id).spec);
     http_.request(controllers_[action->controller].address, "POST", path, body, kSubmissionTimeout,
-                  [this, action, before = known(id)](const Outcome& outcome) {
+                  [this, action, before = known(id)](const HttpResult& outcome) {
                       action->underWay = false;
                       finished(*action, before, outcome);
                   });
 }
 
-void Users::finished(Action& action, const Known& before, const Outcome& outcome) {
-    auto& facts = rules_.job(action.id);
+void Users::finished(Action& action, const Known& before, const HttpResult& outcome) {
+    auto& facts = constraints_.job(action.id);
     check(action.id, action.controller, before, outcome);
     const bool refused = outcome.status == 400 || outcome.status == 404 || outcome.status == 422;
-    rules_.require(!refused, action.id + " was refused with " + std::to_string(outcome.status));
+    constraints_.require(!refused, action.id + " was refused with " + std::to_string(outcome.status));
     action.over = outcome.status == 200 || outcome.status == 201;
     if (!action.over) return;
     const auto now = Clock::now();
     if (!action.cancels) {
         facts.accepted = true;
         for (const auto& needed : facts.spec.dependencies)
-            if (rules_.job(needed).cancelConfirmed) rules_.noteCancelled(action.id, now);
-    } else if (facts.final == JobState::cancelled) {
-        rules_.noteCancelled(action.id, now);
+            if (constraints_.job(needed).cancelConfirmed) constraints_.noteCancelled(action.id, now);
+    } else if (facts.terminalState == JobState::cancelled) {
+        constraints_.noteCancelled(action.id, now);
     }
 }
 
 /// One question at a time, about each job to each controller in turn.
 void Users::askNext() {
     std::vector<std::string> accepted;
-    for (const auto& [id, facts] : rules_.jobs)
+    for (const auto& [id, facts] : constraints_.jobs)
         if (facts.accepted) accepted.push_back(id);
     if (accepted.empty()) return;
     const auto number = questions_++;
@@ -120,16 +122,16 @@
     constexpr char kStranger[] = "wk-999999";
     ++open_;
     http_.request(controllers_[controller].address, "GET", pathOf(kStranger), "", kPollTimeout,
-                  [this](const Outcome& outcome) {
+                  [this](const HttpResult& outcome) {
                       --open_;
-                      rules_.require(outcome.status != 200, "invented: a job that nobody submitted");
+                      constraints_.require(outcome.status != 200, "invented: a job that nobody submitted");
                   });
 }
 
 void Users::poll(const std::string& id, std::size_t controller) {
     ++open_;
     http_.request(controllers_[controller].address, "GET", pathOf(id), "", kPollTimeout,
-                  [this, id, controller, before = known(id)](const Outcome& outcome) {
+                  [this, id, controller, before = known(id)](const HttpResult& outcome) {
                       --open_;
                       check(id, controller, before, outcome);
                   });
@@ -138,48 +140,50 @@
 void Users::repeat(const std::string& id, std::size_t controller) {
     ++open_;
     http_.request(controllers_[controller].address, "POST", protocol::paths::kSubmissions,
-                  submissionOf(rules_.job(id).spec), kSubmissionTimeout,
-                  [this, id, controller, before = known(id)](const Outcome& outcome) {
+                  submissionOf(constraints_.job(id).spec), kSubmissionTimeout,
+                  [this, id, controller, before = known(id)](const HttpResult& outcome) {
                       --open_;
                       check(id, controller, before, outcome);
                   });
 }
 
 void Users::check(const std::string& id, std::size_t controller, const Known& before,
-                  const Outcome& outcome) {
+                  const HttpResult& outcome) {
     const auto status = outcome.status;
     const auto who = id + " at " + controllers_[controller].name;
     if (before.accepted) {
         const bool refused = status == 400 || status == 404 || status == 422;
-        rules_.require(!refused, "forgotten: " + who + " answered " + std::to_string(status));
-        rules_.require(status != 201, "forgotten: " + who + " was accepted as new");
+        constraints_.require(!refused, "forgotten: " + who + " answered " + std::to_string(status));
+        constraints_.require(status != 201, "forgotten: " + who + " was accepted as new");
     }
     if (status != 200 && status != 201) return;
     try {
         const auto handle = protocol::unpackBody(outcome.body);
-        const protocol::Fields fields(handle.get());
+        const protocol::MapReader fields(handle.get());
         const auto state = parseState(fields.text("bearing"));
-        rules_.require(fields.text("uid") == id, who + " answered for another job");
+        constraints_.require(fields.text("uid") == id, who + " answered for another job");
         checkState(id, before, state);
         auto& told = toldDone_[id];
         told = std::max(told, static_cast<std::uint32_t>(fields.integerOr("done", 0)));
         told_.emplace(controller, id, state);
-    } catch (const protocol::Malformed& error) {
-        rules_.require(false, who + " gave a malformed answer: " + error.what());
+    } catch (const protocol::MalformedMessage& error) {
+        constraints_.require(false, who + " gave a malformed answer: " + error.what());
     }
 }
 
 void Users::checkState(const std::string& id, const Known& before, JobState state) {
-    auto& facts = rules_.job(id);
-    rules_.require(!before.final || state == *before.final, "went_back: " + id);
+    auto& facts = constraints_.job(id);
+    constraints_.require(!before.terminalState || state == *before.terminalState, "went_back: " + id);
     // The page allows `cancel_s` for this; the sources guarantee it at once, as all follows from one record.
-    rules_.require(!before.cancelled || state == JobState::cancelled, "orphaned: " + id);
+    constraints_.require(!before.cancelled || state == JobState::cancelled, "orphaned: " + id);
     if (!isFinal(state)) return;
-    rules_.require(state != JobState::done || facts.allCompleted(), "not_done: " + id + " is called done");
-    rules_.require(state != JobState::cancelled || facts.cancelRequested,
-                   "went_back: " + id + " is called cancelled without a request");
-    rules_.require(!facts.final || facts.final == state, "went_back: " + id + " has two ends");
-    facts.final = state;
+    constraints_.require(state != JobState::done || facts.allCompleted(),
+                         "not_done: " + id + " is called done");
+    constraints_.require(state != JobState::cancelled || facts.cancelRequested,
+                         "went_back: " + id + " is called cancelled without a request");
+    constraints_.require(!facts.terminalState || facts.terminalState == state,
+                         "went_back: " + id + " has two ends");
+    facts.terminalState = state;
 }
 
 std::uint32_t Users::toldDone(const std::string& id) const {
--- a/tests/upgrade/users.h
+++ b/tests/upgrade/users.h
@@ -5,8 +5,10 @@
 #include <string>
 #include <vector>
 
+#include "base/clock.h"
 #include "protocol/job_messages.h"
-#include "transport/http.h"
+#include "transport/executor.h"
+#include "transport/http_client.h"
 #include "upgrade/machines.h"
 #include "upgrade/rules.h"
 
@@ -23,7 +25,7 @@
     void submit(const protocol::JobSpec& spec, std::size_t controller);
     /// Repeats the cancellation at this controller until it is confirmed.
     void cancel(const std::string& id, std::size_t controller);
-    void step(transport::Time now);
+    void step(Time now);
 
     /// The most tasks of the job that a controller has told to be done.
     std::uint32_t toldDone(const std::string& id) const;
@@ -35,35 +37,35 @@
     struct Known {  // to users, at the time of a question
         bool accepted = false;
         bool cancelled = false;  // confirmed, of this job or of one that it needs
-        std::optional<protocol::JobState> final;
+        std::optional<protocol::JobState> terminalState;
     };
     struct Action {  // a submission or cancellation that is repeated until it is answered
         bool cancels = false;
         std::string id;
         std::size_t controller = 0;
-        transport::Time next{};
+        Time next{};
         bool underWay = false, over = false;
     };
 
     Known known(const std::string& id) const;
-    void send(const std::shared_ptr<Action>& action, transport::Time now);
-    void finished(Action& action, const Known& before, const transport::Outcome& outcome);
+    void send(const std::shared_ptr<Action>& action, Time now);
+    void finished(Action& action, const Known& before, const transport::HttpResult& outcome);
     void askNext();
     void askForStranger(std::size_t controller);
     void poll(const std::string& id, std::size_t controller);
     void repeat(const std::string& id, std::size_t controller);
     void check(const std::string& id, std::size_t controller, const Known& before,
-               const transport::Outcome& outcome);
+               const transport::HttpResult& outcome);
     void checkState(const std::string& id, const Known& before, protocol::JobState state);
 
-    Rules& rules_;
+    Rules& constraints_;
     const std::vector<Controller> controllers_;
-    transport::Client http_;
+    transport::HttpClient http_;
     std::vector<std::shared_ptr<Action>> actions_;
     std::map<std::string, std::uint32_t> toldDone_;
     std::set<std::tuple<std::size_t, std::string, protocol::JobState>> told_;
     std::size_t questions_ = 0, open_ = 0;
-    transport::Time nextQuestion_{};
+    Time nextQuestion_{};
 };
 
 }  // namespace burlpoint::tests
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,11 +1,13 @@
 // What users are answered.
 #include <gtest/gtest.h>
 
-#include "service_node.h"
+#include "protocol/msgpack_codec.h"
+#include "service_controller.h"
+#include "transport/executor.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
-using protocol::Packer;
+using protocol::MessagePacker;
 
 namespace {
 
@@ -17,11 +19,12 @@
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", "nonsense").status, 400);
-    EXPECT_EQ(node.ask("POST", "/submissions", Packer().map(0).take()).status, 400);
+    EXPECT_EQ(node.ask("POST", "/submissions", MessagePacker().map(0).take()).status, 400);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1", 1, "nobody")).status, 422);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1", 9)).status, 422);
-    EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1", 8, "team", 3, protocol::Kind::gang)).status,
-              422);
+    EXPECT_EQ(
+        node.ask("POST", "/submissions", submission("wk-1", 8, "team", 3, protocol::JobKind::gang)).status,
+        422);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1", 8, "team", 3)).status, 201);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1", 8, "team", 3)).status, 200);
     EXPECT_EQ(node.bearing("wk-1"), "pending");
@@ -81,7 +84,7 @@
 
 TEST_F(UserApiTest, ANodeThatCannotDecideSaysSo) {
     asio::io_context other{1};
-    StateStub empty(other);
+    StoreStub empty(other);
     ServiceNode node(other, empty);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 503);  // no machine types yet
@@ -157,7 +160,7 @@
     // Once it is done there is nothing to cancel, and what needs it goes on.
     auto record =
         storage::decodeJob(protocol::unpackBody(stub.store.values.at(storage::keys::job("wk-9")).data).get());
-    record.final = storage::Final::done;
+    record.terminalState = storage::TerminalState::done;
     std::vector<std::string> failed;
     stub.store.transact({}, {{storage::keys::job("wk-9"), storage::encodeJob(record), 0}}, failed);
     stub.wake();
--- a/tests/worker_orders_test.cpp
+++ b/tests/worker_commands_test.cpp
@@ -1,24 +1,26 @@
-#include "coordination/worker_orders.h"
+#include "coordination/workers/worker_commands.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+
 using namespace burlpoint;
 using bookkeeping::Job;
 using bookkeeping::PlacementState;
+using protocol::CommandKind;
 using protocol::ExitReason;
-using protocol::Op;
-using protocol::Seconds;
 using protocol::TaskState;
-using storage::Final;
+using storage::TerminalState;
 
 namespace {
 
-struct WorkerOrdersTest : testing::Test {
+struct WorkerCommandsTest : testing::Test {
     bookkeeping::StateReplica replica;
     bookkeeping::Fleet fleet;
-    protocol::Report report;
+    protocol::Heartbeat heartbeat;
 
-    Job& accept(const std::string& id, Final final, std::uint32_t tasks = 400) {
+    Job& accept(const std::string& id, TerminalState terminalState, std::uint32_t tasks = 400) {
         storage::JobRecord record;
         record.spec.id = id;
         record.spec.jobClass = std::string("c");
@@ -27,82 +29,82 @@
         record.spec.cpus = 1;
         record.spec.tasks = tasks;
         record.chunkTasks = tasks;
-        record.final = final;
+        record.terminalState = terminalState;
         const auto body = storage::encodeJob(record);
         const auto packed = protocol::unpackBody(body);
         std::vector<bookkeeping::Change> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(id), &packed.get(), 1}, changes));
         auto& job = *replica.find(id);
-        job.beginRun(false, transport::Time{});
+        job.beginRun(false, Time{});
         return job;
     }
     void list(const std::string& job, std::uint32_t task, TaskState state, ExitReason why) {
-        protocol::TaskReport listed;
+        protocol::TaskStatus listed;
         listed.attempt = {job, task, 1};
         listed.state = state;
         listed.why = why;
-        report.tasks.push_back(listed);
+        heartbeat.tasks.push_back(listed);
     }
-    std::vector<protocol::Order> settling() {
-        std::vector<protocol::Order> orders;
-        EXPECT_TRUE(coordination::addSettlingOrders(report, replica, orders));
-        return orders;
+    std::vector<protocol::WorkerCommand> settling() {
+        std::vector<protocol::WorkerCommand> commands;
+        EXPECT_TRUE(coordination::addSettlingCommands(heartbeat, replica, commands));
+        return commands;
     }
 };
 
 }  // namespace
 
-TEST_F(WorkerOrdersTest, AResultIsForgottenOnlyOnceItIsStored) {
-    auto& job = accept("wk-1", Final::open);
+TEST_F(WorkerCommandsTest, AResultIsForgottenOnlyOnceItIsStored) {
+    auto& job = accept("wk-1", TerminalState::none);
     list("wk-1", 3, TaskState::exited, ExitReason::done);
     job.finish(3);
     EXPECT_TRUE(settling().empty());
     job.setDone(3);
     ASSERT_EQ(settling().size(), 1u);
-    EXPECT_EQ(settling().front().op, Op::forget);
+    EXPECT_EQ(settling().front().kind, CommandKind::acknowledge);
 }
 
-TEST_F(WorkerOrdersTest, FailuresAndStraysAreSettledAtOnce) {
-    accept("wk-1", Final::open, 10);
+TEST_F(WorkerCommandsTest, FailuresAndStraysAreSettledAtOnce) {
+    accept("wk-1", TerminalState::none, 10);
     list("wk-1", 0, TaskState::exited, ExitReason::error);
     list("wk-1", 10, TaskState::running, ExitReason::none);  // the job has no such task
     list("wk-2", 0, TaskState::running, ExitReason::none);
     list("wk-2", 1, TaskState::exited, ExitReason::done);
     list("wk-1", 1, TaskState::running, ExitReason::none);  // as it should be
-    const auto orders = settling();
-    ASSERT_EQ(orders.size(), 4u);
-    EXPECT_EQ(orders[0].op, Op::forget);
-    EXPECT_EQ(orders[1].op, Op::stop);
-    EXPECT_EQ(orders[2].op, Op::stop);
-    EXPECT_EQ(orders[3].op, Op::forget);
+    const auto commands = settling();
+    ASSERT_EQ(commands.size(), 4u);
+    EXPECT_EQ(commands[0].kind, CommandKind::acknowledge);
+    EXPECT_EQ(commands[1].kind, CommandKind::stop);
+    EXPECT_EQ(commands[2].kind, CommandKind::stop);
+    EXPECT_EQ(commands[3].kind, CommandKind::acknowledge);
 }
 
-TEST_F(WorkerOrdersTest, AnOldListOnlyStopsWhatIsOver) {
-    accept("wk-1", Final::open);
-    accept("wk-2", Final::cancelled);
+TEST_F(WorkerCommandsTest, AnOldListOnlyStopsWhatIsOver) {
+    accept("wk-1", TerminalState::none);
+    accept("wk-2", TerminalState::cancelled);
     list("wk-1", 0, TaskState::running, ExitReason::none);
     list("wk-3", 0, TaskState::running, ExitReason::none);
     list("wk-2", 0, TaskState::exited, ExitReason::stopped);
     list("wk-2", 1, TaskState::running, ExitReason::none);
-    const auto orders = coordination::stopsOfEndedJobs(report, replica);
-    ASSERT_EQ(orders.size(), 1u);
-    EXPECT_EQ(orders.front().op, Op::stop);
-    EXPECT_EQ(orders.front().attempt.task, 1u);
+    const auto commands = coordination::stopsOfTerminatedJobs(heartbeat, replica);
+    ASSERT_EQ(commands.size(), 1u);
+    EXPECT_EQ(commands.front().kind, CommandKind::stop);
+    EXPECT_EQ(commands.front().attempt.task, 1u);
 }
 
-TEST_F(WorkerOrdersTest, AResponseTakesABoundedNumberOfOrders) {
+TEST_F(WorkerCommandsTest, AResponseTakesABoundedNumberOfCommands) {
     for (std::uint32_t task = 0; task < 400; ++task)
         list("unknown", task, TaskState::running, ExitReason::none);
-    std::vector<protocol::Order> orders;
-    EXPECT_FALSE(coordination::addSettlingOrders(report, replica, orders));
-    EXPECT_EQ(orders.size(), coordination::kMaxOrders);
+    std::vector<protocol::WorkerCommand> commands;
+    EXPECT_FALSE(coordination::addSettlingCommands(heartbeat, replica, commands));
+    EXPECT_EQ(commands.size(), coordination::kMaxCommands);
 }
 
-TEST_F(WorkerOrdersTest, StopsAreSentForWhatIsMarkedAndMayBeThere) {
-    auto& job = accept("wk-1", Final::open);
-    auto& machine = fleet.add("m1", transport::Time{});
+TEST_F(WorkerCommandsTest, StopsAreSentForWhatIsMarkedAndMayBeThere) {
+    auto& job = accept("wk-1", TerminalState::none);
+    auto& machine = fleet.add("m1", Time{});
     const auto place = [&](std::uint32_t task, PlacementState state) -> bookkeeping::Placement& {
-        return fleet.place(machine, job, task, 1, state, transport::Time{});
+        return fleet.place(machine, job, task, 1, state, Time{});
     };
     place(0, PlacementState::running);
     place(1, PlacementState::planned).stopping = true;
@@ -110,9 +112,9 @@
     auto& saving = place(3, PlacementState::saving);
     saving.stopping = true;
     saving.grace = Seconds(10);
-    auto orders = coordination::stopOrders(machine);
-    ASSERT_EQ(orders.size(), 1u);
-    EXPECT_EQ(orders.front().attempt.task, 2u);
+    auto commands = coordination::stopCommands(machine);
+    ASSERT_EQ(commands.size(), 1u);
+    EXPECT_EQ(commands.front().attempt.task, 2u);
     saving.grace = Seconds(0);  // it need not be saved any more
-    EXPECT_EQ(coordination::stopOrders(machine).size(), 2u);
+    EXPECT_EQ(coordination::stopCommands(machine).size(), 2u);
 }
--- a/tests/world.cpp
+++ b/tests/world.cpp
@@ -1,6 +1,8 @@
 // What a history is made of, the troubles that a test brings about, and the steps of time.
 #include "world.h"
 
+#include "protocol/msgpack_codec.h"
+
 namespace burlpoint::tests {
 
 void World::submit(const JobSpec& spec) {
@@ -11,7 +13,7 @@
     }
     met.derived += cancelled_.contains(spec.id);
     std::vector<std::string> failed;
-    const storage::JobRecord record{spec, storage::Final::open, 0, 0, 4};
+    const storage::JobRecord record{spec, storage::TerminalState::none, 0, 0, 4};
     store.transact({{storage::keys::job(spec.id), 0}},
                    {{storage::keys::job(spec.id), storage::encodeJob(record), 0}}, failed);
     specs_.try_emplace(spec.id, spec);
@@ -27,13 +29,13 @@
     const auto key = storage::keys::job(id);
     const auto& value = store.values.at(key);
     auto record = storage::decodeJob(protocol::unpackBody(value.data).get());
-    if (finalOf(id) != storage::Final::open) return;
-    record.final = storage::Final::cancelled;
+    if (terminalStateOf(id) != storage::TerminalState::none) return;
+    record.terminalState = storage::TerminalState::cancelled;
     std::vector<std::string> failed;
     store.transact({{key, value.version}}, {{key, storage::encodeJob(record), 0}}, failed);
     cancelled_[id] = now_;
     for (const auto& [other, spec] : specs_)
-        if (!cancelled_.contains(other) && finalOf(other) == storage::Final::cancelled) {
+        if (!cancelled_.contains(other) && terminalStateOf(other) == storage::TerminalState::cancelled) {
             cancelled_[other] = now_;
             ++met.derived;
         }
@@ -44,16 +46,17 @@
 void World::ask(const std::string& id) {
     if (outage() || !specs_.contains(id)) return;
     if (!store.values.contains(storage::keys::job(id))) return broken.push_back("forgotten: " + id);
-    const auto final = finalOf(id);
+    const auto terminalState = terminalStateOf(id);
     // What any node answers that has read the store: all of them must derive the same from it.
     read(asked_, askedRead_);
-    if (asked_.find(id)->final != final) broken.push_back("orphaned or went_back: " + id);
+    if (asked_.find(id)->terminalState != terminalState) broken.push_back("orphaned or went_back: " + id);
     auto& before = answered_[id];
-    if (before != storage::Final::open && before != final) broken.push_back("went_back: " + id);
-    before = final;
+    if (before != storage::TerminalState::none && before != terminalState)
+        broken.push_back("went_back: " + id);
+    before = terminalState;
 }
 
-void World::lowerLimits(Seconds after, StoreLimits limits) {
+void World::lowerLimits(Seconds after, StubLimits limits) {
     lowered_ = limits;
     nextSecond_ = now_ + ticks(after);
 }
@@ -65,7 +68,7 @@
 }
 
 void World::refuseLeader(Seconds most) {
-    if (tenant_ && !tenant_->severed()) tenant_->tenureEnds = now_ + span(0.5, most.count());
+    if (tenant_ && !tenant_->severed()) tenant_->leaderLeaseEnds = now_ + span(0.5, most.count());
 }
 
 void World::endLeader(Seconds pause) {
@@ -100,14 +103,14 @@
     workers_.at(id).tasks.clear();
 }
 
-storage::Final World::finalOf(const std::string& id) const {
-    const auto stored = recordOf(id).final;
-    if (stored != storage::Final::open) return stored;
+storage::TerminalState World::terminalStateOf(const std::string& id) const {
+    const auto stored = recordOf(id).terminalState;
+    if (stored != storage::TerminalState::none) return stored;
     const auto& needs = specs_.at(id).dependencies;
     const bool cancelled = std::any_of(needs.begin(), needs.end(), [&](const auto& needed) {
-        return finalOf(needed) == storage::Final::cancelled;
+        return terminalStateOf(needed) == storage::TerminalState::cancelled;
     });
-    return cancelled ? storage::Final::cancelled : stored;
+    return cancelled ? storage::TerminalState::cancelled : stored;
 }
 
 storage::JobRecord World::recordOf(const std::string& id) const {
@@ -122,8 +125,9 @@
 
 bool World::free(const std::string& id) const {
     const auto& needs = specs_.at(id).dependencies;
-    return std::all_of(needs.begin(), needs.end(),
-                       [&](const auto& needed) { return recordOf(needed).final == storage::Final::done; });
+    return std::all_of(needs.begin(), needs.end(), [&](const auto& needed) {
+        return recordOf(needed).terminalState == storage::TerminalState::done;
+    });
 }
 
 void World::calm() {
@@ -160,22 +164,23 @@
     std::string out = id + " team " + s.team + " kind " + std::to_string(static_cast<int>(s.kind)) +
                       " tasks " + std::to_string(s.tasks) + " cpus " + std::to_string(s.cpus) + " gpus " +
                       std::to_string(s.gpus) + " zone " + s.zone.value_or("-") + " together " +
-                      std::to_string(s.oneZone) + " apart " + std::to_string(s.spread);
+                      std::to_string(s.singleZone) + " apart " + std::to_string(s.spreadZones);
     if (!tenant_) return out + ": no leader";
     const auto* job = tenant_->replica.find(id);
     out += ": done " + std::to_string(job->doneCount);
     if (job->run)
         out += " waiting " + std::to_string(job->run->waiting) + " possible " +
-               std::to_string(job->run->liveTotal) + " unstored " +
-               std::to_string(job->run->unstored.size()) + " errors on " +
+               std::to_string(job->run->placedTotal) + " unstored " +
+               std::to_string(job->run->unpersistedTasks.size()) + " errors on " +
                std::to_string(job->run->errorMachines.size());
     out += "; last conflict " + lastFailed_ + "; " + tenant_->leader->stateWriter().summary();
     for (const auto& [name, m] : tenant_->leader->fleet().machines())
         out += "\n  " + name + " " + m->type + "/" + m->zone + (m->spot ? "/spot" : "") + " heard " +
                std::to_string(m->acknowledged) + " settled " + std::to_string(m->reconciled) + " roster " +
-               std::to_string(static_cast<int>(m->roster)) + " draining " + std::to_string(m->draining) +
-               " releasing " + std::to_string(m->releasing) + " errors " +
-               std::to_string(m->errorJobs.size()) + " tasks " + std::to_string(m->placements.size());
+               std::to_string(static_cast<int>(m->registration)) + " draining " +
+               std::to_string(m->draining) + " releasing " + std::to_string(m->deletionRequested) +
+               " errors " + std::to_string(m->errorJobs.size()) + " tasks " +
+               std::to_string(m->placements.size());
     return out;
 }
 
@@ -189,7 +194,8 @@
 }
 
 bool World::present(const Worker& w) const {
-    return w.up && !w.dead && Seconds(now_ - w.answeredSent).count() * w.drift <= settings.lease.count();
+    return w.up && !w.dead &&
+           Seconds(now_ - w.answeredSent).count() * w.drift <= settings.workerLease.count();
 }
 
 void World::step() {
@@ -206,8 +212,8 @@
     if (!tenant_ && now_ >= electionAt_ && !outage()) takeOver();
     if (tenant_ && chance(faults_.crash * perStep)) crash();
     if (tenant_ && !tenant_->severed() && chance(faults_.sever * perStep))
-        tenant_->tenureEnds = now_ + span(1, 8);
-    if (tenant_ && now_ >= tenant_->tenureEnds) crash();
+        tenant_->leaderLeaseEnds = now_ + span(1, 8);
+    if (tenant_ && now_ >= tenant_->leaderLeaseEnds) crash();
     if (tenant_) {
         const bool read = chance(0.5) || now_ - tenant_->lastRead >= 400ms + ticks(latency_);
         if (read && !tenant_->severed() && !outage()) readStore(*tenant_);
@@ -226,28 +232,29 @@
     ++takeOvers;
     noteFullTeams();
     auto tenant = std::make_shared<Tenant>();
-    tenant->token =
+    tenant->fencingToken =
         storage::decodeToken(protocol::unpackBody(store.values.at(storage::keys::kToken).data).get()) + 1;
     std::vector<std::string> failed;
-    store.transact({}, {{storage::keys::kToken, storage::encodeToken(tenant->token), 0}}, failed);
+    store.transact({}, {{storage::keys::kToken, storage::encodeToken(tenant->fencingToken), 0}}, failed);
     readStore(*tenant);
-    tenant->leader = std::make_unique<Leader>(settings, policy, tenant->replica, tenant->token, now_, 0);
+    tenant->leader =
+        std::make_unique<Leader>(settings, policy, tenant->replica, tenant->fencingToken, now_, 0);
     tenant_ = std::move(tenant);
-    for (auto& report : std::exchange(held_, {})) at(span(0.1, 6), std::move(report));
+    for (auto& heartbeat : std::exchange(held_, {})) at(span(0.1, 6), std::move(heartbeat));
 }
 
 void World::noteFullTeams() {
     std::map<std::string, double> use;
-    bool silent = false;
+    bool suspected = false;
     for (const auto& [id, w] : workers_) {
         if (!present(w)) continue;
-        silent |= !w.tasks.empty() && !reachable(id);
+        suspected |= !w.tasks.empty() && !reachable(id);
         for (const auto& [a, t] : w.tasks)
             if (t.state != TaskState::exited) use[specs_.at(a.job).team] += specs_.at(a.job).cpus;
     }
     for (const auto& [name, cpus] : use) {
         const auto* team = settings.team(name);
-        met.fullTeams += silent && team->cpusMax > 0 && cpus + 3 > team->cpusMax;
+        met.fullTeams += suspected && team->maxCpus > 0 && cpus + 3 > team->maxCpus;
     }
 }
 
@@ -271,10 +278,10 @@
     if (tenant.leader && !jobs.ids.empty()) tell(std::move(jobs));
 }
 
-void World::tell(coordination::Command command) {
+void World::tell(coordination::LeaderEvent event) {
     if (!tenant_) return;
     const auto tenant = tenant_;
-    auto actions = tenant->leader->handle(std::move(command), now_);
+    auto actions = tenant->leader->handle(std::move(event), now_);
     if (++told_ % 16 == 0)
         if (const auto wrong = recount(tenant->leader->fleet(), tenant->replica); !wrong.empty())
             broken.push_back("recount: " + wrong);
@@ -285,9 +292,9 @@
     }
 }
 
-void World::deliverLater(Clock::duration delay, std::uint64_t token, coordination::Command command) {
-    at(delay, [this, token, command = std::move(command)]() mutable {
-        if (tenant_ && tenant_->token == token) tell(std::move(command));
+void World::deliverLater(Clock::duration delay, std::uint64_t fencingToken, coordination::LeaderEvent event) {
+    at(delay, [this, fencingToken, event = std::move(event)]() mutable {
+        if (tenant_ && tenant_->fencingToken == fencingToken) tell(std::move(event));
     });
 }
 
--- a/tests/world_rules.cpp
+++ b/tests/world_rules.cpp
@@ -1,4 +1,5 @@
 // The rules that are checked as a history goes on.
+#include "protocol/msgpack_codec.h"
 #include "world.h"
 
 namespace burlpoint::tests {
@@ -22,29 +23,29 @@
     if (!free(attempt.job)) broken.push_back("too_early: " + name);
     met.freedStarts += !spec.dependencies.empty();
     const auto* team = settings.team(spec.team);
-    if ((team->cpusMax > 0 && cpus[spec.team] + spec.cpus > team->cpusMax + 1e-6) ||
-        (team->gpusMax > 0 && gpus[spec.team] + spec.gpus > team->gpusMax + 1e-6))
+    if ((team->maxCpus > 0 && cpus[spec.team] + spec.cpus > team->maxCpus + 1e-6) ||
+        (team->maxGpus > 0 && gpus[spec.team] + spec.gpus > team->maxGpus + 1e-6))
         broken.push_back("quota: " + name);
     ++zones[w.zone];
     const bool place =
         (spec.types && std::find(spec.types->begin(), spec.types->end(), w.type) == spec.types->end()) ||
-        (spec.zone && *spec.zone != w.zone) || (w.spot && !spec.spot) || (spec.oneZone && zones.size() > 1) ||
-        (spec.spread && zones[w.zone] > (spec.tasks + 1) / 2);
+        (spec.zone && *spec.zone != w.zone) || (w.spot && !spec.spot) ||
+        (spec.singleZone && zones.size() > 1) || (spec.spreadZones && zones[w.zone] > (spec.tasks + 1) / 2);
     if (place) broken.push_back("wrong_place: " + name + " on " + w.id);
     const auto gone = cancelled_.find(attempt.job);
-    if (gone != cancelled_.end() && now_ - gone->second > settings.cancel)
+    if (gone != cancelled_.end() && now_ - gone->second > settings.cancelTimeout)
         broken.push_back("ran_cancelled: " + name);
 }
 
-void World::checkStart(const Order& order) {
-    if (order.op != protocol::Op::start) return;
-    const auto gone = cancelled_.find(order.attempt.job);
+void World::checkStart(const WorkerCommand& command) {
+    if (command.kind != protocol::CommandKind::start) return;
+    const auto gone = cancelled_.find(command.attempt.job);
     if (gone == cancelled_.end()) return;
-    const auto* job = tenant_->replica.find(order.attempt.job);
+    const auto* job = tenant_->replica.find(command.attempt.job);
     const bool inTouch = !tenant_->severed() && !outage();
-    if ((job && job->final != storage::Final::open) ||
+    if ((job && job->terminalState != storage::TerminalState::none) ||
         (inTouch && now_ - gone->second > 1s + ticks(latency_)))
-        broken.push_back("started after its cancellation: " + order.attempt.job);
+        broken.push_back("started after its cancellation: " + command.attempt.job);
 }
 
 void World::checkCancelled() {
@@ -53,7 +54,7 @@
         for (const auto& [a, t] : w.tasks) {
             const auto found = cancelled_.find(a.job);
             if (t.state == TaskState::exited || found == cancelled_.end()) continue;
-            if (now_ - found->second > settings.cancel && reported_.insert(a).second)
+            if (now_ - found->second > settings.cancelTimeout && reported_.insert(a).second)
                 broken.push_back("ran_cancelled: " + a.job + "/" + std::to_string(a.task) + " on " + id);
         }
     }
@@ -70,15 +71,18 @@
             broken.push_back("forgotten: " + id);
             continue;
         }
-        const auto final = storage::decodeJob(protocol::unpackBody(*event.data).get()).final;
+        const auto terminalState = storage::decodeJob(protocol::unpackBody(*event.data).get()).terminalState;
         auto& known = finals_[id];
-        if (known != storage::Final::open && final != known) broken.push_back("went_back: " + id);
-        if (final == storage::Final::cancelled && !cancelled_.contains(id))
+        if (known != storage::TerminalState::none && terminalState != known)
+            broken.push_back("went_back: " + id);
+        if (terminalState == storage::TerminalState::cancelled && !cancelled_.contains(id))
             broken.push_back("went_back: nobody cancelled " + id);
-        if (final == storage::Final::done && !free(id)) broken.push_back("done before what it needs: " + id);
-        if (final == storage::Final::done && known != storage::Final::done && !allDone(id))
+        if (terminalState == storage::TerminalState::done && !free(id))
+            broken.push_back("done before what it needs: " + id);
+        if (terminalState == storage::TerminalState::done && known != storage::TerminalState::done &&
+            !allDone(id))
             broken.push_back("not_done: " + id);
-        known = final;
+        known = terminalState;
     }
 }
 
@@ -115,21 +119,21 @@
     std::uint32_t all = 0, best = 0;
     for (const auto& [zone, room] : rooms) {
         best = std::max(best, room);
-        all += spec.spread ? std::min(room, (spec.tasks + 1) / 2) : room;
+        all += spec.spreadZones ? std::min(room, (spec.tasks + 1) / 2) : room;
     }
-    return spec.oneZone ? best : all;
+    return spec.singleZone ? best : all;
 }
 
 bool World::couldBegin(const JobSpec& spec, Usage& usage) {
-    if (usage.jobs.contains(spec.id) || finalOf(spec.id) != storage::Final::open || allDone(spec.id) ||
-        !free(spec.id))
+    if (usage.jobs.contains(spec.id) || terminalStateOf(spec.id) != storage::TerminalState::none ||
+        allDone(spec.id) || !free(spec.id))
         return false;
     const auto need = bookkeeping::needOf(spec);
-    const std::uint32_t wanted = spec.kind == Kind::gang ? spec.tasks : 1;
+    const std::uint32_t wanted = spec.kind == JobKind::gang ? spec.tasks : 1;
     const auto* team = settings.team(spec.team);
     const auto use = usage.teams[spec.team];
-    if (team->cpusMax > 0 && use.cpus + need.cpus * wanted > team->cpusMax + 1e-6) return false;
-    if (team->gpusMax > 0 && use.gpus + need.gpus * wanted > team->gpusMax + 1e-6) return false;
+    if (team->maxCpus > 0 && use.cpus + need.cpus * wanted > team->maxCpus + 1e-6) return false;
+    if (team->maxGpus > 0 && use.gpus + need.gpus * wanted > team->maxGpus + 1e-6) return false;
     return roomFor(spec, usage) >= wanted;
 }
 
@@ -149,7 +153,7 @@
 void World::checkStored(const Attempt& attempt) {
     const auto value = store.values.at(storage::keys::job(attempt.job));
     const auto record = storage::decodeJob(protocol::unpackBody(value.data).get());
-    if (record.final != storage::Final::open || record.spec.kind == Kind::service) return;
+    if (record.terminalState != storage::TerminalState::none || record.spec.kind == JobKind::service) return;
     std::vector<bool> bits(record.spec.tasks);
     const std::size_t chunk = attempt.task / record.chunkTasks;
     const auto found = store.values.find(storage::keys::doneChunk(attempt.job, chunk));
--- a/tests/world_workers.cpp
+++ b/tests/world_workers.cpp
@@ -1,4 +1,5 @@
 // What workers do: reports, leases, tasks, and the troubles that befall them.
+#include "base/clock.h"
 #include "world.h"
 
 namespace burlpoint::tests {
@@ -19,9 +20,9 @@
     return now_ >= zoneCutUntil_ || inside == (w.zone == cutZone_);
 }
 
-Report World::reportOf(Worker& w) {
-    Report r{w.id, w.id, w.type, w.zone, w.spot, w.session, ++w.sequence, w.token, {}, {}};
-    if (w.recallAt) r.notice = std::max(Seconds(0), Seconds(*w.recallAt - now_));
+Heartbeat World::heartbeatOf(Worker& w) {
+    Heartbeat r{w.id, w.id, w.type, w.zone, w.spot, w.incarnation, ++w.sequence, w.fencingToken, {}, {}};
+    if (w.interruptionAt) r.interruptionNotice = std::max(Seconds(0), Seconds(*w.interruptionAt - now_));
     for (const auto& [attempt, task] : w.tasks) r.tasks.push_back({attempt, task.state, task.why, false});
     return r;
 }
@@ -31,18 +32,19 @@
     if (chance(faults_.cut * perStep)) w.cutUntil = now_ + span(1, 25);
     if (chance(faults_.unreachable * perStep)) w.unreachableUntil = now_ + span(3, 60);
     if (rarely(faults_.mute * perStep)) w.muteUntil = now_ + span(3, 40);
-    if (std::max({w.hungUntil, w.cutUntil, w.unreachableUntil, w.muteUntil}) > now_ || w.recallAt)
+    if (std::max({w.hungUntil, w.cutUntil, w.unreachableUntil, w.muteUntil}) > now_ || w.interruptionAt)
         w.troubledAt = now_;
     if (const bool anew = chance(faults_.anew * perStep); anew || chance(faults_.back * perStep)) {
         w.tasks.clear();
-        w.session = anew ? 1 : w.session + 1;
-        if (anew) w.sequence = w.token = 0;
+        w.incarnation = anew ? 1 : w.incarnation + 1;
+        if (anew) w.sequence = w.fencingToken = 0;
         w.answeredSent = now_;
         w.inFlight = 0;
         w.changed = true;
         w.troubledAt = now_;
     }
-    if (w.spot && !w.recallAt && chance(faults_.drainForRecall * perStep)) w.recallAt = now_ + span(3, 9);
+    if (w.spot && !w.interruptionAt && chance(faults_.drainForInterruption * perStep))
+        w.interruptionAt = now_ + span(3, 9);
 }
 
 void World::stepWorker(Worker& w, double perStep) {
@@ -52,7 +54,7 @@
         w.up = true;
         w.answeredSent = now_;
     }
-    if (chance(faults_.die * perStep) || (w.recallAt && now_ >= *w.recallAt)) {
+    if (chance(faults_.die * perStep) || (w.interruptionAt && now_ >= *w.interruptionAt)) {
         w.dead = true;
         w.tasks.clear();
         return;
@@ -61,58 +63,58 @@
     if (w.hungUntil > now_) return;
     if (!present(w)) {
         w.tasks.clear();
-        ++w.session;
+        ++w.incarnation;
         w.troubledAt = now_;
         w.answeredSent = now_;
         w.inFlight = 0;
         w.changed = true;
     }
     for (auto& [attempt, task] : w.tasks) stepTask(w, attempt, task);
-    if (w.inFlight && now_ - w.reportSent > 4s) {
+    if (w.inFlight && now_ - w.heartbeatSent > 4s) {
         w.inFlight = 0;
-        w.nextReport = now_ + 1s;
+        w.nextHeartbeat = now_ + 1s;
     }
-    if (w.inFlight || now_ < w.nextReport) {
-        if (!w.changed || w.inFlight || now_ - w.reportSent < 500ms) return;
+    if (w.inFlight || now_ < w.nextHeartbeat) {
+        if (!w.changed || w.inFlight || now_ - w.heartbeatSent < 500ms) return;
     }
-    sendReport(w);
+    sendHeartbeat(w);
 }
 
-void World::sendReport(Worker& w) {
+void World::sendHeartbeat(Worker& w) {
     w.changed = false;
-    w.reportSent = now_;
-    w.nextReport = now_ + span(1.5, 2.5);
+    w.heartbeatSent = now_;
+    w.nextHeartbeat = now_ + span(1.5, 2.5);
     w.inFlight = ++requests_;
-    reports_[w.inFlight] = {w.id, w.session};
-    const auto report = reportOf(w);
+    heartbeats_[w.inFlight] = {w.id, w.incarnation};
+    const auto heartbeat = heartbeatOf(w);
     if (w.cutUntil > now_) {  // held back, and delivered when the cut ends
         if (chance(0.5))
-            at(w.cutUntil - now_, [this, report, request = requests_] { arrive(report, request); });
+            at(w.cutUntil - now_, [this, heartbeat, request = requests_] { arrive(heartbeat, request); });
         return;
     }
     if (w.muteUntil > now_) return;
     if (rarely(faults_.heldBack)) {
         const auto copy = ++requests_;
-        reports_[copy] = {w.id, w.session};
-        held_.push_back([this, report, copy] {
-            ++met.heldReports;
-            met.earlierSessions += report.session < workers_.at(report.machine).session;
-            arrive(report, copy);
+        heartbeats_[copy] = {w.id, w.incarnation};
+        held_.push_back([this, heartbeat, copy] {
+            ++met.heldHeartbeats;
+            met.earlierSessions += heartbeat.incarnation < workers_.at(heartbeat.machine).incarnation;
+            arrive(heartbeat, copy);
         });
     }
     if (chance(faults_.copy)) {
         const auto copy = ++requests_;  // nobody waits for its answer
-        reports_[copy] = {w.id, w.session};
-        at(span(0.1, chance(0.5) ? 3 : 50), [this, report, copy] { arrive(report, copy); });
+        heartbeats_[copy] = {w.id, w.incarnation};
+        at(span(0.1, chance(0.5) ? 3 : 50), [this, heartbeat, copy] { arrive(heartbeat, copy); });
     }
     if (chance(faults_.lose)) return;
     at(chance(faults_.late) ? span(0, 10) : span(0, 0.2),
-       [this, report, request = w.inFlight] { arrive(report, request); });
+       [this, heartbeat, request = w.inFlight] { arrive(heartbeat, request); });
 }
 
-void World::arrive(const Report& report, std::uint64_t request) {
-    if (tenant_ && linked(workers_.at(report.machine), tenant_->inside))
-        tell(coordination::ReportArrived{request, report});
+void World::arrive(const Heartbeat& heartbeat, std::uint64_t request) {
+    if (tenant_ && linked(workers_.at(heartbeat.machine), tenant_->inside))
+        tell(coordination::HeartbeatReceived{request, heartbeat});
 }
 
 void World::exit(Worker& w, Task& task, ExitReason why) {
@@ -140,7 +142,7 @@
     if (task.state == TaskState::fetching && now_ >= task.next) {
         w.changed = true;
         task.since = now_;
-        task.state = spec.kind == Kind::gang && spec.tasks > 1 ? TaskState::waiting : TaskState::running;
+        task.state = spec.kind == JobKind::gang && spec.tasks > 1 ? TaskState::waiting : TaskState::running;
         task.next = now_ + span(shortestRun.count(), longestRun.count());
         checkPlace(w, attempt);
     }
@@ -151,14 +153,14 @@
         if (ready == spec.tasks) {
             w.changed = true;
             task.state = TaskState::running;
-        } else if (now_ - task.since > settings.gangWait) {
+        } else if (now_ - task.since > settings.gangWaitTimeout) {
             exit(w, task, ExitReason::alone);
         }
     }
-    if (task.state == TaskState::running && spec.kind != Kind::service && now_ >= task.next) {
+    if (task.state == TaskState::running && spec.kind != JobKind::service && now_ >= task.next) {
         if (chance(faults_.error)) return exit(w, task, ExitReason::error);
         const auto done = [&](std::uint32_t t) { completed.insert(attempt.job + "/" + std::to_string(t)); };
-        if (spec.kind == Kind::gang)
+        if (spec.kind == JobKind::gang)
             for (std::uint32_t t = 0; t < spec.tasks; ++t) done(t);
         else
             done(attempt.task);
@@ -167,7 +169,7 @@
     }
     if (task.state == TaskState::saving && now_ >= task.next) exit(w, task, ExitReason::stopped);
     // The rest of a gang that lost a task leaves after a while.
-    if (task.state == TaskState::running && spec.kind == Kind::gang && spec.tasks > 1) {
+    if (task.state == TaskState::running && spec.kind == JobKind::gang && spec.tasks > 1) {
         const auto others = membersOfGang(attempt, [](const Task& member) {
             return member.state != TaskState::exited || member.why == ExitReason::done;
         });
@@ -177,7 +179,7 @@
 
 void World::atEnd(const std::string& id) {
     at(span(0, 0.6), [this, id] {
-        met.endCancels += finalOf(id) == storage::Final::open;
+        met.endCancels += terminalStateOf(id) == storage::TerminalState::none;
         cancel(id);
     });
     for (int i = 0; i < 3; ++i) {
@@ -187,27 +189,27 @@
     }
 }
 
-void World::execute(Worker& w, const Order& order) {
-    const auto found = w.tasks.find(order.attempt);
+void World::execute(Worker& w, const WorkerCommand& command) {
+    const auto found = w.tasks.find(command.attempt);
     w.changed = true;
-    switch (order.op) {
-        case protocol::Op::start:
-            if (found == w.tasks.end()) start(w, order.attempt);
+    switch (command.kind) {
+        case protocol::CommandKind::start:
+            if (found == w.tasks.end()) start(w, command.attempt);
             break;
-        case protocol::Op::stop:
+        case protocol::CommandKind::stop:
             if (found == w.tasks.end() || found->second.state == TaskState::exited) break;
             if (found->second.state == TaskState::running &&
-                specs_.at(order.attempt.job).checkpoint > Seconds(0) &&
-                order.grace >= specs_.at(order.attempt.job).save) {
+                specs_.at(command.attempt.job).checkpointInterval > Seconds(0) &&
+                command.grace >= specs_.at(command.attempt.job).saveTime) {
                 found->second.state = TaskState::saving;
                 found->second.next = now_ + 1s;
-            } else if (found->second.state != TaskState::saving || order.grace <= Seconds(0)) {
+            } else if (found->second.state != TaskState::saving || command.grace <= Seconds(0)) {
                 exit(w, found->second, ExitReason::stopped);
             }
             break;
-        case protocol::Op::forget:
+        case protocol::CommandKind::acknowledge:
             if (found != w.tasks.end() && found->second.state == TaskState::exited) {
-                if (found->second.why == ExitReason::done) checkStored(order.attempt);
+                if (found->second.why == ExitReason::done) checkStored(command.attempt);
                 w.tasks.erase(found);
             }
     }
--- a/tests/zone_reservations_test.cpp
+++ b/tests/zone_reservations_test.cpp
@@ -1,19 +1,18 @@
-#include "coordination/zone_reservations.h"
+#include "coordination/scheduling/zone_reservations.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using coordination::ZoneReservations;
-using protocol::Kind;
+using protocol::JobKind;
 using protocol::Priority;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
 
 namespace {
 
@@ -37,10 +36,10 @@
     }
     static void setUp(Machine& machine, const protocol::MachineType& type, const std::string& zone) {
         machine.type = type.name;
-        machine.kind = &type;
+        machine.typeInfo = &type;
         machine.zone = zone;
     }
-    Job& job(Kind kind, double gpus, Priority priority, Clock::duration age) {
+    Job& job(JobKind kind, double gpus, Priority priority, Clock::duration age) {
         auto& job = *jobs.emplace_back(std::make_unique<Job>());
         job.spec.id = "job-" + std::to_string(jobs.size());
         job.spec.kind = kind;
@@ -54,9 +53,9 @@
         return job;
     }
     Job& gang(Clock::duration age = kLongWait, double gpus = 1) {
-        return job(Kind::gang, gpus, Priority::normal, age);
+        return job(JobKind::gang, gpus, Priority::normal, age);
     }
-    Job& rival() { return job(Kind::array, 1, Priority::normal, 0s); }
+    Job& rival() { return job(JobKind::array, 1, Priority::normal, 0s); }
     bool keepsOut(const Job& job, const Machine& machine) { return zones.keepsOut(job, machine, now); }
 };
 
@@ -86,20 +85,20 @@
 
 TEST_F(Zones, ProductionAndLowerWorkGoOn) {
     zones.reserve(gang(), "a", now);
-    EXPECT_FALSE(keepsOut(job(Kind::array, 1, Priority::production, 0s), gpuA));
-    EXPECT_FALSE(keepsOut(job(Kind::array, 1, Priority::low, 0s), gpuA));  // it yields anyway
-    EXPECT_TRUE(keepsOut(job(Kind::array, 1, Priority::high, 0s), gpuA));
+    EXPECT_FALSE(keepsOut(job(JobKind::array, 1, Priority::production, 0s), gpuA));
+    EXPECT_FALSE(keepsOut(job(JobKind::array, 1, Priority::low, 0s), gpuA));  // it yields anyway
+    EXPECT_TRUE(keepsOut(job(JobKind::array, 1, Priority::high, 0s), gpuA));
 }
 
 TEST_F(Zones, WorkWithoutAcceleratorsIsNotKeptOutForAGangWithThem) {
     zones.reserve(gang(), "a", now);
-    EXPECT_FALSE(keepsOut(job(Kind::array, 0, Priority::normal, 0s), gpuA));
+    EXPECT_FALSE(keepsOut(job(JobKind::array, 0, Priority::normal, 0s), gpuA));
     EXPECT_FALSE(keepsOut(rival(), plainA));  // the gang does not fit there
 }
 
 TEST_F(Zones, AGangWithoutAcceleratorsKeepsOutGangsOnly) {
     zones.reserve(gang(kLongWait, 0), "a", now);
-    EXPECT_FALSE(keepsOut(job(Kind::array, 0, Priority::normal, 0s), plainA));
+    EXPECT_FALSE(keepsOut(job(JobKind::array, 0, Priority::normal, 0s), plainA));
     EXPECT_TRUE(keepsOut(gang(0s, 0), plainA));
 }
 
@@ -180,9 +179,9 @@
     goOn(1);
     EXPECT_FALSE(keepsOut(waited, gpuA));
     EXPECT_TRUE(keepsOut(rival(), gpuA));  // has not waited
-    waited.run->liveTotal = 1;
+    waited.run->placedTotal = 1;
     EXPECT_TRUE(keepsOut(waited, gpuA));  // runs already
-    waited.run->liveTotal = 0;
+    waited.run->placedTotal = 0;
     goOn(29);
     EXPECT_FALSE(keepsOut(waited, gpuA));
     goOn(1);
