--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -156,14 +156,14 @@
 // Seen on a simulated day: a leader three times slower than its peers for 30 s kept the leadership for 7 s
 // more, answered no worker in time, and the leases of a third of them ran out.
 void Controller::giveWayIfOverloaded(Time now) {
-    if (!leader_ || !overload_.shouldGiveWay(now)) return;
+    if (!leader_ || !overload_.shouldResign(now)) return;
     // In an outage no peer could take over, and none should that hears nothing of the others.
     if (now - state_.lastAnswer() > kServedLately) return;
     const bool heard = std::any_of(settings_.peers.begin(), settings_.peers.end(),
                                    [&](const auto& peer) { return peers_.inTouch(peer.name, now); });
     if (!heard) return;
     spdlog::info("resigning: this node does not keep up with its work");
-    overload_.noteGivenWay(now);
+    overload_.noteResigned(now);
     election_.resign(now, true);
     nextPeerExchange_ = now;
 }
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -81,10 +81,10 @@
 }
 
 bool Election::boundByVote(Time now) const {
-    if (votes_.bound(now, resignedTokens_)) return true;
+    if (votes_.isBound(now, resignedTokens_)) return true;
     // What a former self may have granted is forgotten; if its own name is on the key, that was the holder.
     return !keyIsOwn() && replica_.fencingToken > resignedTokens_ &&
-           now < started_ + LeaseVotes::kForgottenLife;
+           now < started_ + LeaseVotes::kUnknownVoteLife;
 }
 
 Duration Election::voteForExtension(const std::string& leader, std::uint64_t fencingToken, Time now) {
@@ -187,7 +187,7 @@
 
 void Election::lose() {
     leaderLease_.end();
-    votes_.dropReceived();
+    votes_.forgetReceived();
     resignedToken_ = fencingToken_;
     leading_ = false;
     vacant_ = false;
--- a/src/coordination/leadership/overload_monitor.cpp
+++ b/src/coordination/leadership/overload_monitor.cpp
@@ -7,19 +7,20 @@
 
 namespace {
 
-constexpr auto kLate = 200ms;              // a tick later than this is behind, not merely after a long batch
+constexpr auto kLateTick = 200ms;          // more than one long batch of work delays a tick
 constexpr auto kOverloadedAfter = 1200ms;  // of ticks that were all late
-// A take-over reads, reconciles and answers everything at once, and is late for some seconds on any machine.
-constexpr auto kTakeOver = 8s;
+// After a failover the new leader reads, reconciles and answers everything at once, and is late for some
+// seconds on any machine.
+constexpr auto kFailoverTime = 8s;
 constexpr Clock::duration kFirstPause = 60s;
 constexpr Clock::duration kLongestPause = 960s;
-// So long after it gave way, the next time counts as the first again.
+// A resignation longer ago than this no longer lengthens the pause.
 constexpr auto kForgottenAfter = 3600s;
 
 }  // namespace
 
 void OverloadMonitor::noteTick(Time due, Time now) {
-    if (now - due < kLate)
+    if (now - due < kLateTick)
         lateSince_.reset();
     else if (!lateSince_)
         lateSince_ = due;
@@ -34,15 +35,15 @@
     return lateSince_ && now - *lateSince_ >= kOverloadedAfter;
 }
 
-bool OverloadMonitor::shouldGiveWay(Time now) const {
-    if (now - leadingSince_ < kTakeOver || !isOverloaded(now)) return false;
-    return pause_ == Clock::duration::zero() || now - givenWayAt_ >= pause_;
+bool OverloadMonitor::shouldResign(Time now) const {
+    if (now - leadingSince_ < kFailoverTime || !isOverloaded(now)) return false;
+    return pause_ == Clock::duration::zero() || now - resignedAt_ >= pause_;
 }
 
-void OverloadMonitor::noteGivenWay(Time now) {
-    const bool first = pause_ == Clock::duration::zero() || now - givenWayAt_ >= kForgottenAfter;
+void OverloadMonitor::noteResigned(Time now) {
+    const bool first = pause_ == Clock::duration::zero() || now - resignedAt_ >= kForgottenAfter;
     pause_ = first ? kFirstPause : std::min(pause_ * 2, kLongestPause);
-    givenWayAt_ = now;
+    resignedAt_ = now;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/leadership/overload_monitor.h
+++ b/src/coordination/leadership/overload_monitor.h
@@ -1,34 +1,34 @@
 #pragma once
 
+// Detects that this process falls behind with its work. Owns how late the event loop has been and when this
+// leader last resigned for that reason. Used on the event loop's thread.
+
 #include <optional>
 
 #include "base/clock.h"
 
-/// Whether this process keeps up with its work. `OverloadMonitor` owns the history of how late the event loop
-/// was, and how often a leader has given way for it.
 namespace burlpoint::coordination {
 
-/// Tells a leader whose event loop falls behind to leave the leadership to a peer: its processor may be
-/// slower than theirs for a while. As they may be no faster, each time this leader stays longer before it
-/// gives way again.
+/// Tells a leader whose event loop falls behind to resign, as its processor may be slower than its peers' for
+/// a while. The peers may be no faster, so the pause until this controller resigns again doubles each time.
 class OverloadMonitor {
   public:
-    /// A tick that was due at `due` runs at `now`. All ticks are to be noted.
+    /// A tick that was due at `due` runs at `now`. All ticks must be noted.
     void noteTick(Time due, Time now);
-    /// This node leads from now on; what came before does not count.
+    /// This controller became leader at `now`. Earlier late ticks no longer count.
     void noteLeading(Time now);
-    /// The event loop has been late without a break for so long that workers would not be answered in time.
+    /// Have all ticks been late for so long that workers would not be answered in time?
     bool isOverloaded(Time now) const;
-    /// A leader should give way. Only as long as it leads.
-    bool shouldGiveWay(Time now) const;
-    /// It has given way.
-    void noteGivenWay(Time now);
+    /// Should the leader resign now? Only to be asked while this controller leads.
+    bool shouldResign(Time now) const;
+    /// The leader resigned because of the overload.
+    void noteResigned(Time now);
 
   private:
-    std::optional<Time> lateSince_;
+    std::optional<Time> lateSince_;  // when the first of the late ticks without a break was due
     Time leadingSince_{};
-    Time givenWayAt_{};
-    Clock::duration pause_{};  // after giving way, before it does so again
+    Time resignedAt_{};
+    Clock::duration pause_{};  // after a resignation, before the next; 0: it never resigned
 };
 
 }  // namespace burlpoint::coordination
--- a/tests/lease_votes_test.cpp
+++ b/tests/lease_votes_test.cpp
@@ -16,17 +16,17 @@
 }  // namespace
 
 TEST(LeaseVotes, OnlyVotesOfAllPeersCount) {
-    LeaseVotes grants;
-    EXPECT_FALSE(grants.allInForce(kPeers, kStart));
-    EXPECT_FALSE(grants.allInForce({}, kStart));  // a node alone has nobody to grant it anything
-    grants.noteReceived("two", LeaseVotes::kLife, kStart);
-    EXPECT_FALSE(grants.allInForce(kPeers, kStart));
-    grants.noteReceived("four", LeaseVotes::kLife, kStart);
-    EXPECT_FALSE(grants.allInForce(kPeers, kStart));
-    grants.noteReceived("three", LeaseVotes::kLife, kStart);
-    EXPECT_TRUE(grants.allInForce(kPeers, kStart));
-    grants.dropReceived();
-    EXPECT_FALSE(grants.allInForce(kPeers, kStart));
+    LeaseVotes votes;
+    EXPECT_FALSE(votes.allInForce(kPeers, kStart));
+    EXPECT_FALSE(votes.allInForce({}, kStart));  // a node alone has nobody to grant it anything
+    votes.noteReceived("two", LeaseVotes::kVoteLife, kStart);
+    EXPECT_FALSE(votes.allInForce(kPeers, kStart));
+    votes.noteReceived("four", LeaseVotes::kVoteLife, kStart);
+    EXPECT_FALSE(votes.allInForce(kPeers, kStart));
+    votes.noteReceived("three", LeaseVotes::kVoteLife, kStart);
+    EXPECT_TRUE(votes.allInForce(kPeers, kStart));
+    votes.forgetReceived();
+    EXPECT_FALSE(votes.allInForce(kPeers, kStart));
 }
 
 // The leader's count ends before that of the peer, whose count begins later.
@@ -37,27 +37,27 @@
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
     EXPECT_TRUE(leader.allInForce(two, kStart + life - 200ms));
     EXPECT_FALSE(leader.allInForce(two, kStart + life - 150ms));
-    EXPECT_TRUE(peer.bound(kStart + life, 0));
-    EXPECT_FALSE(peer.bound(kStart + life + 10ms, 0));
-    EXPECT_GE(LeaseVotes::kForgottenLife, life + life / 1000);
+    EXPECT_TRUE(peer.isBound(kStart + life, 0));
+    EXPECT_FALSE(peer.isBound(kStart + life + 10ms, 0));
+    EXPECT_GE(LeaseVotes::kUnknownVoteLife, life + life / 1000);
 }
 
 TEST(LeaseVotes, AVoteIsBoundedAndARefusalTakesNoneBack) {
-    LeaseVotes grants;
+    LeaseVotes votes;
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
-    grants.noteReceived("two", 60s, kStart);
-    EXPECT_TRUE(grants.allInForce(two, kStart + 2s));
-    EXPECT_FALSE(grants.allInForce(two, kStart + LeaseVotes::kLife));
-    grants.noteReceived("two", 0ms, kStart + 1s);
-    EXPECT_TRUE(grants.allInForce(two, kStart + 2s));
+    votes.noteReceived("two", 60s, kStart);
+    EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
+    EXPECT_FALSE(votes.allInForce(two, kStart + LeaseVotes::kVoteLife));
+    votes.noteReceived("two", 0ms, kStart + 1s);
+    EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
 }
 
 TEST(LeaseVotes, ANodeIsNotBoundToALeaderThatGaveUp) {
-    LeaseVotes grants;
-    EXPECT_FALSE(grants.bound(kStart, 0));
-    grants.giveVote(7, kStart);
-    EXPECT_TRUE(grants.bound(kStart, 6));
-    EXPECT_FALSE(grants.bound(kStart, 7));
-    grants.dropReceived();
-    EXPECT_TRUE(grants.bound(kStart, 6));  // its own grant is another matter
+    LeaseVotes votes;
+    EXPECT_FALSE(votes.isBound(kStart, 0));
+    votes.giveVote(7, kStart);
+    EXPECT_TRUE(votes.isBound(kStart, 6));
+    EXPECT_FALSE(votes.isBound(kStart, 7));
+    votes.forgetReceived();
+    EXPECT_TRUE(votes.isBound(kStart, 6));  // its own grant is another matter
 }
--- a/tests/overload_monitor_test.cpp
+++ b/tests/overload_monitor_test.cpp
@@ -22,8 +22,8 @@
         }
     }
     bool givesWay() {
-        const bool should = monitor.shouldGiveWay(now);
-        if (should) monitor.noteGivenWay(now);
+        const bool should = monitor.shouldResign(now);
+        if (should) monitor.noteResigned(now);
         return should;
     }
 
