--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -185,7 +185,9 @@
 
 void ActionExecutor::carryOut(Resign& action) {
     spdlog::info("resigning: {}", action.why);
-    services_.election.resign(Clock::now(), action.deferToPeers);
+    using Resignation = Election::Resignation;
+    services_.election.resign(Clock::now(),
+                              action.deferToPeers ? Resignation::deferToPeers : Resignation::mayTryAgain);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -149,7 +149,7 @@
 // Refused by the key-value store alone, this node cannot lead for long: better that a peer does it at once.
 void Controller::resignIfRefusedAlone(Time now) {
     spdlog::info("the state service answers others and not this node: resigning");
-    election_.resign(now, true);
+    election_.resign(now, Election::Resignation::deferToPeers);
     nextPeerExchange_ = now;
 }
 
@@ -164,7 +164,7 @@
     if (!heard) return;
     spdlog::info("resigning: this node does not keep up with its work");
     overload_.noteResigned(now);
-    election_.resign(now, true);
+    election_.resign(now, Election::Resignation::deferToPeers);
     nextPeerExchange_ = now;
 }
 
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -12,13 +12,13 @@
 namespace keys = storage::keys;
 
 namespace {
-constexpr Duration kUnserved{1200};         // without an answer of the key-value store: an outage
-constexpr Duration kTakeOverTimeout{1500};  // of the transaction that takes the key
-constexpr Duration kVacancySpread{250};     // nodes that see the key go at once try apart
-constexpr Duration kFailurePause{300};      // before the next try, and as much again by lot
-constexpr Duration kRenewalRetry{300};      // after a renewal that was refused or not answered
-constexpr Duration kDeference{20'000};      // a node that is badly placed to lead leaves it to the others
-constexpr int kRenewalsInALife = 6;         // so that several may fail
+constexpr Duration kOutageAfter{1200};     // without an answer of the key-value store
+constexpr Duration kAcquireTimeout{1500};  // of the transaction that writes the leader's key
+constexpr Duration kVacancySpread{250};    // controllers that see the key disappear at once try apart
+constexpr Duration kFailurePause{300};     // before the next attempt, and by chance up to as much again
+constexpr Duration kRenewalRetry{300};     // after a renewal that was refused or not answered
+constexpr Duration kDeference{20'000};     // for which a controller leaves the next attempts to its peers
+constexpr int kRenewalsPerLife = 6;        // so that several may fail
 }  // namespace
 
 Election::Election(const protocol::Settings& settings, const protocol::Policy& policy,
@@ -32,86 +32,95 @@
       onLost_(std::move(leadershipLost)),
       random_(std::random_device{}()),
       started_(Clock::now()) {
-    // Half of the workers' lease at most: when a leader stands still, its workers wait for it, find the
-    // successor among the others, and all of them must be answered in what is left of their leases. An outage
-    // of the key-value store is spanned by the peers' votes.
-    const auto wished = policy.leadership.count() > 0
-                            ? policy.leadership
-                            : std::clamp(settings.workerLease * 0.5, Seconds(2), Seconds(8));
+    // At most half of the workers' lease: when a leader hangs, its workers wait for it, then look for its
+    // successor, and all of them must be answered in what is left of their leases. A longer lease is not
+    // needed for outages of the key-value store, in which the peers' votes extend it.
+    const auto preferred = policy.leadership.count() > 0
+                               ? policy.leadership
+                               : std::clamp(settings.workerLease * 0.5, Seconds(2), Seconds(8));
     maxTimeWithoutRead_ = maxTimeWithoutRead(settings);
-    life_ = std::min(std::chrono::duration_cast<Duration>(wished), maxTimeWithoutRead_);
+    life_ = std::min(std::chrono::duration_cast<Duration>(preferred), maxTimeWithoutRead_);
 }
 
 Duration Election::maxTimeWithoutRead(const protocol::Settings& settings) {
-    // A cancellation confirmed elsewhere must reach the leader, or the leases that it renewed last must be
-    // over, within `cancel_s`. Half of what is left beside a lease; the rest is for clocks, for an answer on
-    // its way and for a worker's next look at its lease.
+    // Within the cancel timeout, a cancellation that another controller confirmed must reach the leader, or
+    // the worker leases that the leader renewed last must be over. This is half of what the timeout leaves
+    // beside a worker lease. The rest is for clock drift, for an answer on its way and for the worker's next
+    // check of its lease.
     const auto half =
         std::chrono::duration_cast<Duration>((settings.cancelTimeout - settings.workerLease) / 2.0);
     return std::clamp(half, Duration(2000), Duration(10'000));
 }
 
 void Election::tick(Time now) {
-    if (leading_) {
-        if (replica_.fencingToken != fencingToken_) {
-            spdlog::error("token {} has been raised to {}", fencingToken_, replica_.fencingToken);
-            return lose();
-        }
-        if (now >= nextRenewal_ && !renewing_) renew(now);
-        return;
+    switch (role_) {
+        case Role::leader:
+            if (replica_.fencingToken != fencingToken_) {
+                spdlog::error("fencing token raised by another controller own={} stored={}", fencingToken_,
+                              replica_.fencingToken);
+                return lose();
+            }
+            if (now >= nextRenewal_ && !renewalUnderWay_) renew(now);
+            return;
+        case Role::candidate:
+            return;
+        case Role::follower:
+        case Role::vacancy:
+            if (!watcher_.synced() || !seesVacancy(now) || isBoundByVote(now)) return;
+            if (now >= notBefore_) attempt(now);
+            return;
     }
-    if (trying_ || !watcher_.synced()) return;
-    if (!seesVacancy(now) || boundByVote(now)) return;
-    if (now >= notBefore_) attempt(now);
 }
 
 bool Election::seesVacancy(Time now) {
-    const bool own = keyIsOwn();
+    const bool own = isNamedLeader();
     if (replica_.leader && !own && !hasResigned(*replica_.leader)) {
-        vacant_ = false;
+        role_ = Role::follower;
         return false;
     }
-    if (vacant_) return true;
-    // Nodes that see the key go at the same moment should not all try at once. Its own name on the key
-    // tells a restarted node that its former self held it: that process is gone, so nobody else acts.
-    vacant_ = true;
-    const Duration spread(own ? 0 : std::uniform_int_distribution<>(0, kVacancySpread.count())(random_));
+    if (role_ == Role::vacancy) return true;
+    // Controllers that see the key disappear at the same moment should not all try at once. If the key names
+    // this controller, an earlier process of it held the key. That process is gone, and as all others still
+    // respect the key, no spread is needed.
+    role_ = Role::vacancy;
+    const Duration spread = own ? Duration(0) : drawUpTo(kVacancySpread);
     notBefore_ = std::max(notBefore_, now + spread);
     return true;
 }
 
-bool Election::boundByVote(Time now) const {
+bool Election::isBoundByVote(Time now) const {
     if (votes_.isBound(now, resignedTokens_)) return true;
-    // What a former self may have granted is forgotten; if its own name is on the key, that was the holder.
-    return !keyIsOwn() && replica_.fencingToken > resignedTokens_ &&
+    // An earlier process of this controller may have voted, which this one can't know. It hasn't if the key
+    // names this controller: then that process led itself.
+    return !isNamedLeader() && replica_.fencingToken > resignedTokens_ &&
            now < started_ + LeaseVotes::kUnknownVoteLife;
 }
 
 Duration Election::voteForExtension(const std::string& leader, std::uint64_t fencingToken, Time now) {
     const bool known =
         replica_.leader && replica_.leader->node == leader && replica_.leader->fencingToken == fencingToken;
-    if (!known || hasResigned(*replica_.leader) || leading_ || trying_ || !watcher_.synced())
-        return Duration(0);
-    if (now - state_.lastAnswer() < kUnserved) return Duration(0);
-    // A transaction of an earlier try cannot come through late: this leader's key has changed its conditions.
+    if (!known || hasResigned(*replica_.leader)) return Duration(0);
+    if (role_ == Role::leader || role_ == Role::candidate || !watcher_.synced()) return Duration(0);
+    if (now - state_.lastAnswer() < kOutageAfter) return Duration(0);
+    // A transaction of an earlier attempt of this controller can't succeed late: its conditions don't hold
+    // any more, as this leader's key was written since.
     return votes_.giveVote(fencingToken, now);
 }
 
 void Election::attempt(Time now) {
-    trying_ = true;
+    role_ = Role::candidate;
     const auto round = ++round_;
     state_.makeLease(life_, [this, round, sent = now](int status, std::uint64_t lease) {
         if (round != round_) return;
         if (status != 200) return fail(0);
-        takeOver(lease, sent);
+        acquire(lease, sent);
     });
 }
 
-void Election::takeOver(std::uint64_t lease, Time sent) {
-    // Another node may have won while the lease was being made. Its key is known by now, and a transaction
-    // conditional on that very key would take the leadership from a leader whose lease goes on.
-    if (replica_.leader && replica_.leader->node != settings_.name && !hasResigned(*replica_.leader))
-        return fail(lease);
+void Election::acquire(std::uint64_t lease, Time sent) {
+    // Another controller may have won while the lease was being made. Its key is then in the replica, and a
+    // transaction conditional on that key would depose a leader whose lease lasts.
+    if (replica_.leader && !isNamedLeader() && !hasResigned(*replica_.leader)) return fail(lease);
     const auto round = round_;
     const auto fencingToken = replica_.fencingToken + 1;
     const std::vector<protocol::KeyCondition> conditions{
@@ -119,7 +128,7 @@
     const std::vector<protocol::KeyWrite> writes{
         {keys::kLeader, storage::encodeLeader({settings_.name, fencingToken}), lease},
         {keys::kToken, storage::encodeToken(fencingToken), 0}};
-    state_.transact(conditions, writes, kTakeOverTimeout,
+    state_.transact(conditions, writes, kAcquireTimeout,
                     [this, round, fencingToken, lease, sent](const TransactionResult& result) {
                         if (round != round_) return;
                         if (result.status != TransactionStatus::applied) return fail(lease);
@@ -133,66 +142,74 @@
     const auto round = round_;
     watcher_.readLatest([this, round, fencingToken](bool ok) {
         if (round != round_) return;
-        const bool valid = leaderLease_.valid(Clock::now());
-        if (!ok && valid) return confirm(fencingToken);
-        if (!ok || !valid || replica_.fencingToken != fencingToken || !replica_.leader ||
-            replica_.leader->fencingToken != fencingToken)
-            return fail(lease_);
-        trying_ = false;
-        vacant_ = false;
-        leading_ = true;
-        fencingToken_ = fencingToken;
-        renewing_ = false;
-        nextRenewal_ = Clock::now();
-        spdlog::info("leading with token {}", fencingToken);
-        onGained_(fencingToken);
+        if (!leaderLease_.valid(Clock::now())) return fail(lease_);
+        if (!ok) return confirm(fencingToken);
+        if (!isConfirmed(fencingToken)) return fail(lease_);
+        lead(fencingToken);
     });
 }
 
+bool Election::isConfirmed(std::uint64_t fencingToken) const {
+    return replica_.fencingToken == fencingToken && replica_.leader &&
+           replica_.leader->fencingToken == fencingToken;
+}
+
+void Election::lead(std::uint64_t fencingToken) {
+    role_ = Role::leader;
+    fencingToken_ = fencingToken;
+    renewalUnderWay_ = false;
+    nextRenewal_ = Clock::now();
+    spdlog::info("leadership gained token={}", fencingToken);
+    onGained_(fencingToken);
+}
+
 void Election::fail(std::uint64_t lease) {
     if (lease) state_.endLease(lease);
     ++round_;
-    notBefore_ = Clock::now() + kFailurePause +
-                 Duration(std::uniform_int_distribution<>(0, kFailurePause.count())(random_));
-    // Whoever won, or whether this try was carried out after all, is in the store.
+    notBefore_ = Clock::now() + kFailurePause + drawUpTo(kFailurePause);
+    // Only a read tells who won, or whether the transaction of this attempt was executed after all.
     const auto round = round_;
     watcher_.readLatest([this, round](bool) {
-        if (round == round_) trying_ = false;
+        if (round == round_) role_ = Role::vacancy;
     });
 }
 
 void Election::renew(Time now) {
-    renewing_ = true;
-    nextRenewal_ = now + life_ / kRenewalsInALife;
+    renewalUnderWay_ = true;
+    nextRenewal_ = now + life_ / kRenewalsPerLife;
     const auto round = round_;
     state_.extendLease(lease_, [this, round, sent = now](int status, std::uint64_t) {
         if (round != round_) return;
-        renewing_ = false;
+        renewalUnderWay_ = false;
         if (status == 200) return leaderLease_.renewed(sent);
         if (status == 404) {
-            spdlog::error("the leadership's lease has ended");
+            spdlog::error("leadership lease ended in the key-value store token={}", fencingToken_);
             return lose();
         }
-        // Refused or unanswered: a later renewal that succeeds, after an outage say, resumes the leadership.
+        // Refused or unanswered. A later renewal that succeeds, such as after an outage, makes the leadership
+        // valid again.
         nextRenewal_ = std::min(nextRenewal_, Clock::now() + kRenewalRetry);
     });
 }
 
-void Election::resign(Time now, bool deferToPeers) {
-    if (!leading_) return;
+void Election::resign(Time now, Resignation resignation) {
+    if (!leading()) return;
     state_.endLease(lease_);
     lose();
-    if (deferToPeers) notBefore_ = now + kDeference;
+    if (resignation == Resignation::deferToPeers) notBefore_ = now + kDeference;
 }
 
 void Election::lose() {
     leaderLease_.end();
     votes_.forgetReceived();
     resignedToken_ = fencingToken_;
-    leading_ = false;
-    vacant_ = false;
+    role_ = Role::follower;
     ++round_;
     onLost_();
 }
 
+Duration Election::drawUpTo(Duration bound) {
+    return Duration(std::uniform_int_distribution<>(0, static_cast<int>(bound.count()))(random_));
+}
+
 }  // namespace burlpoint::coordination
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -1,5 +1,10 @@
 #pragma once
 
+// Leader election. A controller becomes leader by writing the leader's key to the key-value store under a
+// lease, together with a raised fencing token. Owns this controller's role, its lease, its fencing token, its
+// leader lease, and the votes that extend a leader's lease in an outage of the key-value store. Used on the
+// event loop's thread.
+
 #include <cstdint>
 #include <functional>
 #include <random>
@@ -13,105 +18,123 @@
 #include "protocol/settings.h"
 #include "storage/key_value_client.h"
 
-/// Who leads. `Election` owns what this node needs to win, hold and give up the leadership: its lease, its
-/// fencing token, its leader lease and the votes of nodes that carry a leader through an outage.
 namespace burlpoint::coordination {
 
-/// Leadership by a key under a lease, with a fencing token from a counter that never goes back.
+/// This controller's part in the election. An attempt to become leader has three steps: make a lease, acquire
+/// the leader's key under it, and confirm by a read that the key is held.
 class Election {
   public:
-    /// The replica is fresh and shows this node as leader under `fencingToken`.
+    /// This controller is leader with `fencingToken`, and the replica is up to date and shows that.
     using LeadershipGained = std::function<void(std::uint64_t fencingToken)>;
-    /// This node leads no more, and will not act under that fencing token again.
+    /// This controller leads no more, and will not act with that fencing token again.
     using LeadershipLost = std::function<void()>;
 
-    /// All of these must outlive this. `won` and `lost` are called in turn, from inside `tick` and `resign`
-    /// or as an answer of the key-value store comes.
+    /// What a leader that resigns does next.
+    enum class Resignation {
+        mayTryAgain,  // it is a candidate like the others
+        deferToPeers  // it is badly placed to lead, so it leaves the next attempts to its peers
+    };
+
+    /// All references must outlive this. The two callbacks are called in turn, from inside `tick` and
+    /// `resign` or when an answer of the key-value store arrives.
     Election(const protocol::Settings& settings, const protocol::Policy& policy,
              storage::KeyValueClient& state, bookkeeping::StateReplica& replica, StateWatcher& watcher,
              LeadershipGained leadershipGained, LeadershipLost leadershipLost);
 
-    /// Takes the next step if one is due: renews the lease, or tries to lead where nobody does. To be called
-    /// a few times a second.
+    /// Takes the next step if one is due: renews the lease, or tries to become leader if there is none. To be
+    /// called a few times a second.
     void tick(Time now);
 
-    /// Gives leadership up at once; nothing happens if this node doesn't lead. `deferToPeers`: this node is
-    /// badly placed to lead, so others go first.
-    void resign(Time now, bool deferToPeers);
+    /// Ends this controller's leadership at once. Does nothing if it does not lead.
+    void resign(Time now, Resignation resignation);
 
-    /// May this node act as leader at this moment?
+    /// May this controller act as leader at this moment?
     bool valid(Time now) const {
-        return leading_ && ((leaderLease_.valid(now) && now - watcher_.asOf() < maxTimeWithoutRead_) ||
-                            extendedByVotes(now));
+        return leading() && ((leaderLease_.valid(now) && now - watcher_.asOf() < maxTimeWithoutRead_) ||
+                             extendedByVotes(now));
     }
 
-    /// Does this leader know what was cancelled until a moment ago? Without that it starts nothing.
+    /// Does this leader know all cancellations up to a moment ago? If not, it must not start anything.
     bool cancellationsCurrent(Time now) const {
         return now - watcher_.asOf() < kCancellationFreshness || extendedByVotes(now);
     }
 
-    /// How long a leader may act on its own, without an answer of the key-value store to anything but the
-    /// renewal of its lease: then the workers' leases are over well within the time a cancellation has.
+    /// How long a leader may act while the key-value store answers nothing but the renewal of its lease. The
+    /// workers' leases are then over within the time that a cancellation may take.
     static Duration maxTimeWithoutRead(const protocol::Settings& settings);
 
-    /// A leader asks in an outage: how long will this node not try to lead? Zero unless its key was there
-    /// when the key-value store last answered, which was a while ago. The answer that carries the grant must
-    /// tell all cancellations that this node knows and the leader may not.
+    /// In an outage, a leader asks for this controller's vote. Returns for how long this controller promises
+    /// not to become leader. Zero, no vote, unless the leader's key was there when the key-value store last
+    /// answered, and that was a while ago. The message that carries the vote must also carry all
+    /// cancellations that are known here and may not be known to the leader.
     Duration voteForExtension(const std::string& leader, std::uint64_t fencingToken, Time now);
 
-    /// A peer's answer to that, once what came with it is taken in. Grants of all peers stand in for the
-    /// lease while nobody is served. `sent`: when the question was sent.
+    /// A peer voted, in answer to a request sent at `sent`, for `life`. To be called once the cancellations
+    /// in the same message are taken in. Votes of all peers replace the lease in an outage.
     void noteVote(const std::string& peer, Duration life, Time sent) {
         votes_.noteReceived(peer, life, sent);
     }
 
-    /// Does this node hold the leadership? It may still not be entitled to act, see `valid`.
-    bool leading() const { return leading_; }
+    /// Is this controller the leader? That alone doesn't entitle it to act, see `valid`.
+    bool leading() const { return role_ == Role::leader; }
 
-    /// A leader that the key-value store refuses has told its peers that it stopped: its key may be taken
-    /// over.
+    /// A leader told its peers that it resigned, as one does that the key-value store refuses. Its key may be
+    /// replaced although its lease has not ended.
     void noteResignation(std::uint64_t fencingToken) {
         resignedTokens_ = std::max(resignedTokens_, fencingToken);
     }
 
-    /// The fencing token that this node led with last and gave up, 0: none.
+    /// The fencing token that this controller led with last and resigned, 0: none.
     std::uint64_t resignedToken() const { return resignedToken_; }
 
   private:
-    /// A read that old still tells a leader what was cancelled: see docs/safety.md, "What a leader may not
-    /// know".
+    enum class Role {
+        follower,   // another controller leads, or it is not known yet that none does
+        vacancy,    // nobody leads, and `notBefore_` was drawn for this vacancy
+        candidate,  // an attempt is under way, or the read after one that failed
+        leader
+    };
+
+    /// A read that is no older than this tells a leader what was cancelled: see docs/safety.md, "What a
+    /// leader may not know".
     static constexpr Duration kCancellationFreshness{1500};
 
-    /// Do the votes of all peers stand in for the lease?
+    /// Do the votes of all peers extend the leader lease?
     bool extendedByVotes(Time now) const { return votes_.allInForce(settings_.peers, now); }
-    /// Is there no leader whose key this node must respect? Draws the time before which it doesn't try when
-    /// it first sees that.
+    /// Is there no leader whose key this controller must respect? When it first sees that, it draws the time
+    /// before which it doesn't try.
     bool seesVacancy(Time now);
-    /// Is this node bound by a grant, or perhaps by one that a former self gave before it ended?
-    bool boundByVote(Time now) const;
-    /// Does the leader's key bear this node's name?
-    bool keyIsOwn() const { return replica_.leader && replica_.leader->node == settings_.name; }
-    /// Has that leader given its fencing token up?
+    /// Is this controller bound by its vote, or perhaps by one that it gave before it was restarted?
+    bool isBoundByVote(Time now) const;
+    /// Does the leader's key name this controller?
+    bool isNamedLeader() const { return replica_.leader && replica_.leader->node == settings_.name; }
+    /// Has that leader resigned?
     bool hasResigned(const storage::LeaderRecord& leader) const {
         return leader.fencingToken <= resignedTokens_;
     }
 
-    /// The first step of a try: makes a lease.
+    /// First step of an attempt: makes a lease.
     void attempt(Time now);
-    /// The second step: takes the key under the lease, which was asked for at `sent`, and raises the fencing
-    /// token.
-    void takeOver(std::uint64_t lease, Time sent);
-    /// The third step: reads until the replica shows this node as the leader under `fencingToken`, then
-    /// leads.
+    /// Second step: writes the leader's key under `lease`, which was requested at `sent`, and raises the
+    /// fencing token.
+    void acquire(std::uint64_t lease, Time sent);
+    /// Third step: reads until the replica shows whether this controller is leader with `fencingToken`.
     void confirm(std::uint64_t fencingToken);
-    /// Ends a try, and the lease unless that is 0. The next try comes after a read and a short pause.
+    /// Does the replica show this controller's key and `fencingToken`?
+    bool isConfirmed(std::uint64_t fencingToken) const;
+    /// The attempt succeeded.
+    void lead(std::uint64_t fencingToken);
+    /// The attempt failed. Ends its lease unless that is 0. The next attempt comes after a read and a pause.
     void fail(std::uint64_t lease);
 
-    /// Asks for the lease to be extended. The leadership is lost only if the lease has ended.
+    /// Renews the lease. The leadership is lost only if the lease has ended.
     void renew(Time now);
-    /// Leads no more: forgets what entitled it and tells the owner.
+    /// Stops leading: drops everything that entitled this controller and tells the owner.
     void lose();
 
+    /// At most `bound`, by chance.
+    Duration drawUpTo(Duration bound);
+
     const protocol::Settings& settings_;
     storage::KeyValueClient& state_;
     bookkeeping::StateReplica& replica_;
@@ -119,22 +142,20 @@
     LeadershipGained onGained_;
     LeadershipLost onLost_;
     Duration life_;                // of the lease
-    Duration maxTimeWithoutRead_;  // while it leads by its leader lease
+    Duration maxTimeWithoutRead_;  // of a leader with a valid leader lease
     std::mt19937 random_;
     LeaderLease leaderLease_;
     LeaseVotes votes_;
-    std::uint64_t lease_ = 0;           // of the leadership or of the try under way
-    std::uint64_t fencingToken_ = 0;    // that this node leads with or led with last
-    std::uint64_t resignedTokens_ = 0;  // fencing tokens up to here were given up by peers that led with them
-    std::uint64_t resignedToken_ = 0;   // and this one by this node
+    Role role_ = Role::follower;
+    std::uint64_t lease_ = 0;           // of the leadership or of the attempt under way
+    std::uint64_t fencingToken_ = 0;    // that this controller leads with or led with last
+    std::uint64_t resignedTokens_ = 0;  // all fencing tokens up to here were resigned by the peers that led
+    std::uint64_t resignedToken_ = 0;   // and this one by this controller
     std::uint64_t round_ = 0;           // answers to requests of earlier rounds are ignored
-    bool trying_ = false;               // a try is under way
-    bool leading_ = false;
-    bool renewing_ = false;  // a renewal is under way
-    bool vacant_ = false;    // nobody leads, as far as is known here, and `notBefore_` was drawn
-    Time notBefore_{};       // the next try
-    Time nextRenewal_{};     // of the lease
-    const Time started_;     // this process
+    bool renewalUnderWay_ = false;      // of a leader
+    Time notBefore_{};                  // the next attempt
+    Time nextRenewal_{};                // of the lease
+    const Time started_;                // this process
 };
 
 }  // namespace burlpoint::coordination
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -31,7 +31,7 @@
         EXPECT_TRUE(leader.election.valid(Clock::now()));
         EXPECT_GT(leader.fencingToken, last);
         last = leader.fencingToken;
-        leader.election.resign(Clock::now(), false);
+        leader.election.resign(Clock::now(), coordination::Election::Resignation::mayTryAgain);
         EXPECT_FALSE(leader.election.valid(Clock::now()));
     }
 }
@@ -98,7 +98,7 @@
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
     const auto fencingToken = a.fencingToken;
-    a.election.resign(Clock::now(), true);
+    a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
     EXPECT_EQ(a.election.resignedToken(), fencingToken);
     b.election.noteResignation(fencingToken);
     while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -191,7 +191,7 @@
     EXPECT_TRUE(a.election.valid(Clock::now()));
     ServiceNode b(io, stub, "two", Seconds(1));
     b.until([&] { return b.watcher.synced(); });
-    a.election.resign(Clock::now(), true);
+    a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
     const auto before = stub.store.tooMany;
     while (stub.store.tooMany < before + 3) b.election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_EQ(b.fencingToken, 0u);
