--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -124,8 +124,8 @@
 }
 
 void UserApi::status(const std::string& id, const Reply& reply) {
-    watcher_.readLatest([this, id, reply](bool ok) {
-        if (!ok) return reply(protocol::retryLater(503, kUnanswered));
+    watcher_.readLatest([this, id, reply](FreshRead read) {
+        if (read == FreshRead::failed) return reply(protocol::retryLater(503, kUnanswered));
         const auto* job = replica_.find(id);
         if (!job) return reply(protocol::respond(404, protocol::errorReply(kNoSuchJob)));
         answerState(*job, reply);
@@ -160,8 +160,8 @@
 
 // Another node may have accepted what it needs a moment ago.
 void UserApi::admitAfterRead(JobSpec spec, const Reply& reply) {
-    watcher_.readLatest([this, spec = std::move(spec), reply](bool ok) mutable {
-        if (!ok) return reply(protocol::retryLater(503, kUnanswered));
+    watcher_.readLatest([this, spec = std::move(spec), reply](FreshRead read) mutable {
+        if (read == FreshRead::failed) return reply(protocol::retryLater(503, kUnanswered));
         if (const auto* job = replica_.find(spec.id)) return answerState(*job, reply);
         const auto missing = missingDependency(spec);
         if (!missing) return enqueue(std::move(spec), reply);
@@ -178,8 +178,8 @@
 
 // Not even a job that can't run may be turned down if another node has accepted it.
 void UserApi::reject(const std::string& id, const std::string& why, const Reply& reply) {
-    watcher_.readLatest([this, id, why, reply](bool ok) {
-        if (!ok) return reply(protocol::retryLater(503, kUnanswered));
+    watcher_.readLatest([this, id, why, reply](FreshRead read) {
+        if (read == FreshRead::failed) return reply(protocol::retryLater(503, kUnanswered));
         if (const auto* job = replica_.find(id)) return answerState(*job, reply);
         reply(protocol::respond(422, protocol::errorReply(why)));
     });
@@ -256,8 +256,8 @@
 }
 
 void UserApi::cancel(const std::string& id, const Reply& reply, int tries) {
-    watcher_.readLatest([this, id, reply, tries](bool ok) {
-        if (!ok) return reply(protocol::retryLater(503, kUnanswered));
+    watcher_.readLatest([this, id, reply, tries](FreshRead read) {
+        if (read == FreshRead::failed) return reply(protocol::retryLater(503, kUnanswered));
         writeCancelled(id, reply, tries);
     });
 }
--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -114,8 +114,8 @@
 }
 
 void ActionExecutor::carryOut(RefreshReplica&) {
-    services_.watcher.readLatest([this, round = round_](bool ok) {
-        if (round == round_) deliver_(ReplicaRefreshed{ok});
+    services_.watcher.readLatest([this, round = round_](FreshRead read) {
+        if (round == round_) deliver_(ReplicaRefreshed{read == FreshRead::upToDate});
     });
 }
 
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -143,7 +143,7 @@
     const bool old = leader_ && now - watcher_.asOf() > kLeaderReadAge;
     if (!old && now - state_.lastAnswer() <= kReadAge) return;
     nextForcedRead_ = now + (leader_ ? kLeaderReadAge : kReadAge);
-    watcher_.readLatest([](bool) {});
+    watcher_.readLatest([](FreshRead) {});
 }
 
 // Refused by the key-value store alone, this node cannot lead for long: better that a peer does it at once.
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -140,10 +140,10 @@
 
 void Election::confirm(std::uint64_t fencingToken) {
     const auto round = round_;
-    watcher_.readLatest([this, round, fencingToken](bool ok) {
+    watcher_.readLatest([this, round, fencingToken](FreshRead read) {
         if (round != round_) return;
         if (!leaderLease_.valid(Clock::now())) return fail(lease_);
-        if (!ok) return confirm(fencingToken);
+        if (read == FreshRead::failed) return confirm(fencingToken);
         if (!isConfirmed(fencingToken)) return fail(lease_);
         lead(fencingToken);
     });
@@ -169,7 +169,7 @@
     notBefore_ = Clock::now() + kFailurePause + drawUpTo(kFailurePause);
     // Only a read tells who won, or whether the transaction of this attempt was executed after all.
     const auto round = round_;
-    watcher_.readLatest([this, round](bool) {
+    watcher_.readLatest([this, round](FreshRead) {
         if (round == round_) role_ = Role::vacancy;
     });
 }
--- a/src/coordination/state/state_watcher.h
+++ b/src/coordination/state/state_watcher.h
@@ -1,7 +1,12 @@
 #pragma once
 
+// Keeps this controller's copy of what is stored, the replica, up to date. Owns the three kinds of reads: the
+// load of all keys at the start and after a gap, the long watch for changes, and the fresh reads on demand
+// with their waiting callers. The replica itself belongs to the controller. Used on the event loop's thread.
+
 #include <functional>
 #include <set>
+#include <string>
 #include <vector>
 
 #include "base/clock.h"
@@ -9,63 +14,86 @@
 #include "storage/key_value_client.h"
 #include "transport/executor.h"
 
-/// How this node's copy of what is stored is kept up to date. `StateWatcher` owns the reads under way and
-/// those who wait for one; the copy itself is the node's.
 namespace burlpoint::coordination {
 
-/// Keeps the replica up to date by a long watch, and on demand proves it fresh.
+/// What a caller that waited for a fresh read learns.
+enum class FreshRead {
+    upToDate,  // the replica holds all that was stored when the read was asked for
+    failed     // the key-value store did not answer, so nothing is known
+};
+
+/// Keeps the replica up to date by a long watch, and on demand proves that it is.
 class StateWatcher {
   public:
     /// What has just changed in the replica; never empty.
     using Changed = std::function<void(const std::vector<bookkeeping::Change>&)>;
-    /// `ok`: see `fresh`. False: the key-value store did not answer, so nothing is known.
-    using ReadCallback = std::function<void(bool ok)>;
+    using ReadCallback = std::function<void(FreshRead)>;
 
-    /// `spacing`: the least time between two reads, so that all nodes' reads fit the service's rate.
+    /// `spacing`: the least time between two reads, so that the reads of all controllers fit the request rate
+    /// of the key-value store. All references must outlive this.
     StateWatcher(asio::io_context& io, storage::KeyValueClient& state, bookkeeping::StateReplica& replica,
                  Changed changed, Duration spacing = Duration(25));
 
-    /// Begins to read; to be called once.
+    /// Starts reading; to be called once.
     void start() { load(); }
-    /// Everything stored has been read at least once.
+    /// Has everything stored been read at least once?
     bool synced() const { return synced_; }
-    /// Calls `done(true)` once the replica holds all that was stored when this was called, or `done(false)`
-    /// if a read failed; later, exactly once. All that wait share one read.
+    /// Reads what was stored since the last read. Calls `done` exactly once, later. All callers that wait
+    /// share one read.
     void readLatest(ReadCallback done);
-    /// The replica holds all that was stored up to this time: when the newest read that was answered was
-    /// sent.
+    /// The replica holds all that was stored up to this time, which is when the newest read that was answered
+    /// was sent.
     Time asOf() const { return asOf_; }
-    /// What is known without a read: a cancellation that was confirmed, by this node or by a peer.
+    /// Takes in a cancellation that this controller or a peer has confirmed, before any read shows it.
     void noteCancelled(const std::string& id, std::uint64_t version);
 
   private:
-    /// Reads all keys anew, page by page; nothing if that is under way.
+    /// The load of all keys, page by page.
+    struct Load {
+        bool underWay = false;
+        std::set<std::string> keys;  // read so far
+        std::uint64_t revision = 0;  // of the first page; 0 before that
+    };
+
+    /// Reads all keys anew unless that is under way.
     void load();
     void loadPage(const std::string& after);
-    /// The long watch: waits for changes, takes them in and goes on.
-    void poll();
-    void later(transport::Timer& timer, Duration pause, void (StateWatcher::*next)());
-    /// Takes in the changes that the replica doesn't have yet.
-    void take(const protocol::KeyPage& page);
-    /// Sends the read that those in `next_` wait for.
-    void sendPendingRead();
+    void takePage(const protocol::KeyPage& page);
+    void finishLoad();
+
+    /// Opens the long watch unless it is open. It waits for changes, takes them in and opens the next one.
+    void watch();
+    void watchAgainAfter(Duration pause);
+
+    /// Sends the read that the callers in `nextCallers_` wait for.
+    void sendFreshRead();
+    /// Tells the callers of the read under way, then pauses before the next one is sent.
+    void finishFreshRead(FreshRead result);
+
+    /// Takes in the changes that the replica doesn't have yet. `sent`: when the read was sent.
+    void takeChanges(const protocol::KeyPage& page, Time sent);
+    /// Takes in one key. A malformed value is logged and skipped.
+    void apply(const protocol::KeyChange& entry, std::vector<bookkeeping::Change>& changes);
+    void tell(const std::vector<bookkeeping::Change>& changes) const;
+    void runAfter(transport::Timer& timer, Duration pause, void (StateWatcher::*next)());
 
     const Duration spacing_;
     storage::KeyValueClient& state_;
     bookkeeping::StateReplica& replica_;
     Changed changed_;
-    transport::Timer pollTimer_;
-    transport::Timer readTimer_;
-    std::set<std::string> read_;      // the keys seen while all are read anew
-    std::uint64_t loadRevision_ = 0;  // as of the first page of that; 0 before
     bool synced_ = false;
-    bool loading_ = false;             // all keys are being read anew
-    bool polling_ = false;             // the long watch is open
-    bool asking_ = false;              // a read for those in `asked_` is under way
-    bool waiting_ = false;             // the pause after such a read
-    std::vector<ReadCallback> asked_;  // to be told by the read under way
-    std::vector<ReadCallback> next_;   // and by the one after it
     Time asOf_{};
+
+    Load load_;
+
+    transport::Timer watchTimer_;  // also of a load after one that failed
+    bool watchOpen_ = false;
+
+    transport::Timer freshReadTimer_;
+    bool freshReadUnderWay_ = false;  // for `callers_`
+    bool freshReadPause_ = false;     // a read was answered, and the next one must wait for the timer
+    std::vector<ReadCallback> callers_;
+    std::vector<ReadCallback> nextCallers_;  // whose read must be sent after the one under way
 };
 
 }  // namespace burlpoint::coordination
--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -163,7 +163,7 @@
     EXPECT_TRUE(election.leading());
     EXPECT_FALSE(stub.store.leases.empty());
     stub.readsFail = false;
-    a.watcher.readLatest([](bool) {});
+    a.watcher.readLatest([](coordination::FreshRead) {});
     while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
 }
 
