--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -276,7 +276,7 @@
 
 void Leader::checkFailedMachines() {
     if (!failureDetector_.isDue(now_)) return;
-    registry_.dropOrphans();
+    registry_.removeEntriesWithoutMachine();
     const auto census = failureDetector_.takeCensus(now_);
     for (auto* machine : census.expired) {
         spdlog::info("the lease of {} is over", machine->id);
@@ -341,7 +341,7 @@
         return;
     }
     writer_.replicaRefreshed();
-    registry_.ensureEntriesOfReporting();
+    registry_.ensureEntriesOfMachinesWithHeartbeat();
 }
 
 // --- time -------------------------------------------------------------------------------------------------
--- a/src/coordination/state/machine_registry.cpp
+++ b/src/coordination/state/machine_registry.cpp
@@ -22,26 +22,29 @@
 
 void MachineRegistry::ensureEntry(Machine& machine) {
     if (machine.registration == RegistrationState::writing) return;
-    // It was forgotten, and is back. A deletion of its entry may still be on its way, so the entry counts
-    // only once it is written anew: with its new version that deletion fails.
     removals_.erase(machine.id);
     if (removalsSent_.contains(machine.id)) {
+        // The machine had left and is back, and the deletion of its entry may still be executed. The entry
+        // counts only once it is written anew: it then has another version, with which the deletion fails.
         fleet_.setRegistration(machine, RegistrationState::absent);
         additions_.insert(machine.id);
-        return;
-    }
-    const auto stored = replica_.registeredMachines.find(machine.id);
-    if (stored != replica_.registeredMachines.end() && stored->second.record == recordOf(machine)) {
+    } else if (isStoredAsIs(machine)) {
         fleet_.setRegistration(machine, RegistrationState::stored);
         additions_.erase(machine.id);
-        return;
+    } else {
+        // An outdated entry counts as well if it has an address.
+        fleet_.setRegistration(
+            machine, mayHoldTasks(machine.id) ? RegistrationState::stored : RegistrationState::absent);
+        additions_.insert(machine.id);
     }
-    fleet_.setRegistration(machine,
-                           mayHoldTasks(machine.id) ? RegistrationState::stored : RegistrationState::absent);
-    additions_.insert(machine.id);
 }
 
-void MachineRegistry::ensureEntriesOfReporting() {
+bool MachineRegistry::isStoredAsIs(const Machine& machine) const {
+    const auto stored = replica_.registeredMachines.find(machine.id);
+    return stored != replica_.registeredMachines.end() && stored->second.record == recordOf(machine);
+}
+
+void MachineRegistry::ensureEntriesOfMachinesWithHeartbeat() {
     for (auto& [id, machine] : fleet_.machines())
         if (machine->sendsHeartbeats && machine->registration != RegistrationState::stored)
             ensureEntry(*machine);
@@ -52,12 +55,12 @@
     additions_.erase(machine.id);
 }
 
-void MachineRegistry::dropOrphans() {
+void MachineRegistry::removeEntriesWithoutMachine() {
     for (const auto& [id, stored] : replica_.registeredMachines)
         if (!fleet_.find(id)) removals_.insert(id);
 }
 
-void MachineRegistry::dropSettledRemovals() {
+void MachineRegistry::forgetCompletedRemovals() {
     std::erase_if(removals_, [this](const auto& id) { return !replica_.registeredMachines.contains(id); });
 }
 
@@ -81,6 +84,7 @@
         removals_.insert(id);
         return;
     }
+    // An entry without an address is for a machine without a heartbeat and doesn't allow tasks.
     if (!record.address.empty())
         fleet_.setRegistration(*machine, RegistrationState::stored);
     else if (machine->registration == RegistrationState::writing)
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -116,7 +116,7 @@
 }
 
 void StateWriter::putRegistryRemovals(Draft& draft) {
-    registry_.dropSettledRemovals();
+    registry_.forgetCompletedRemovals();
     for (const auto& id : registry_.removals()) {
         if (!draft.hasRoom()) return;
         if (!put(draft, keys::machine(id), std::nullopt, registry_.versionOf(id))) continue;
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -112,9 +112,9 @@
 
 TEST_F(RegistryTest, EntriesOfMachinesThatAreNoMoreAreDeleted) {
     replica.registeredMachines["gone"] = {{"gone", "cpu", "a", false}, 3};
-    registry.dropOrphans();
+    registry.removeEntriesWithoutMachine();
     EXPECT_TRUE(registry.removals().contains("gone"));
     replica.registeredMachines.clear();
-    registry.dropSettledRemovals();
+    registry.forgetCompletedRemovals();
     EXPECT_TRUE(registry.removals().empty());
 }
