--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_F(Leadership, OneLeaderAtATimeAndTokensRise) {
+TEST_F(Leadership, TwoControllersThenOneLeaderAtATimeWithRisingTokens) {
     ServiceNode a(io, stub), b(io, stub, "two");
     const auto tick = [&] {
         a.election.tick(Clock::now());
@@ -38,7 +38,7 @@
 
 // The lease ended behind the leader's back: its next renewal tells it, and its writes fail by the fencing
 // token.
-TEST_F(Leadership, ALeaderWhoseLeaseEndedStops) {
+TEST_F(Leadership, LeaseEndedThenLeaderStopsAndItsWritesFail) {
     ServiceNode a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto old = a.replica.tokenVersion;
@@ -52,7 +52,7 @@
 }
 
 // A node that set out to lead while nobody did must not depose the one that was quicker.
-TEST_F(Leadership, ACandidateDoesNotDeposeAQuickerOne) {
+TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
     ServiceNode a(io, stub);
     a.until([&] { return a.watcher.synced(); });
     stub.holdLeases = true;
@@ -73,7 +73,7 @@
 }
 
 // Should the fencing token rise in any way, a leader stops even though its own lease goes on.
-TEST_F(Leadership, ALeaderStopsWhenTheTokenRises) {
+TEST_F(Leadership, FencingTokenRaisedThenLeaderStops) {
     ServiceNode a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
@@ -88,7 +88,7 @@
 }
 
 // A leader that the key-value store refuses cannot end its lease. Its peers need not wait for that.
-TEST_F(Leadership, APeerTakesOverFromALeaderThatGaveUp) {
+TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
     ServiceNode a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.until([&] { return b.replica.leader.has_value(); });
@@ -107,7 +107,7 @@
 
 // In an outage nobody can take the key. Grants of all peers stand in for the lease, so that workers keep
 // their tasks; each peer keeps its grant whatever becomes of the key.
-TEST_F(Leadership, VotesOfAllPeersCarryALeaderThroughAnOutage) {
+TEST_F(Leadership, OutageThenVotesOfAllPeersExtendTheLeaderLease) {
     ServiceNode a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -142,7 +142,7 @@
 }
 
 // A leader whose lease goes on while its reads fail does not see what others confirm.
-TEST_F(Leadership, ALeaderThatReadsNothingStopsThoughItsLeaseGoesOn) {
+TEST_F(Leadership, ReadsFailThenLeaderStopsThoughItsLeaseIsRenewed) {
     ServiceNode a(io, stub);
     a.config.workerLease = Seconds(10);
     a.config.cancelTimeout = Seconds(14);
@@ -168,7 +168,7 @@
 }
 
 // What a cancellation has and a lease takes leave a leader this long without a read, at every deployment.
-TEST_F(Leadership, LeasesEndWithinTheTimeOfACancellation) {
+TEST_F(Leadership, NoReadsThenWorkerLeasesEndWithinTheCancelTimeout) {
     for (const auto& [lease, cancel] : {std::pair(26.5, 46.5), {13, 33}, {24, 44}, {10, 30}, {30, 40}}) {
         auto s = serviceSettings("one");
         s.workerLease = Seconds(lease);
@@ -180,7 +180,7 @@
 
 // While no change is taken, a leader stays one; a candidate goes on trying and wins as soon as changes
 // are.
-TEST_F(Leadership, LeadershipsOutlastRefusedChanges) {
+TEST_F(Leadership, WritesRefusedThenLeaderStaysAndCandidateKeepsTrying) {
     ServiceNode a(io, stub, "one", Seconds(1));
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto unrenewed = Clock::now() + 1s;
--- a/tests/lease_votes_test.cpp
+++ b/tests/lease_votes_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST(LeaseVotes, OnlyVotesOfAllPeersCount) {
+TEST(LeaseVotes, VotesOfSomePeersThenNotInForce) {
     LeaseVotes votes;
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
     EXPECT_FALSE(votes.allInForce({}, kStart));  // a node alone has nobody to grant it anything
@@ -30,7 +30,7 @@
 }
 
 // The leader's count ends before that of the peer, whose count begins later.
-TEST(LeaseVotes, AReceivedVoteEndsBeforeTheGivenOne) {
+TEST(LeaseVotes, VoteReceivedThenItEndsBeforeThePeerIsUnbound) {
     LeaseVotes leader, peer;
     const auto life = peer.giveVote(7, kStart);
     leader.noteReceived("two", life, kStart);
@@ -42,7 +42,7 @@
     EXPECT_GE(LeaseVotes::kUnknownVoteLife, life + life / 1000);
 }
 
-TEST(LeaseVotes, AVoteIsBoundedAndARefusalTakesNoneBack) {
+TEST(LeaseVotes, LongVoteThenCappedAndALaterRefusalLeavesItInForce) {
     LeaseVotes votes;
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
     votes.noteReceived("two", 60s, kStart);
@@ -52,7 +52,7 @@
     EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
 }
 
-TEST(LeaseVotes, ANodeIsNotBoundToALeaderThatGaveUp) {
+TEST(LeaseVotes, LeaderResignedThenTheVoteDoesNotBind) {
     LeaseVotes votes;
     EXPECT_FALSE(votes.isBound(kStart, 0));
     votes.giveVote(7, kStart);
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_F(RegistryTest, AnEntryCountsOnlyOnceItIsStored) {
+TEST_F(RegistryTest, EntryWrittenThenItCountsOnlyOnceStored) {
     auto& machine = reporting("m1");
     registry.ensureEntry(machine);
     EXPECT_TRUE(registry.additions().contains("m1"));
@@ -53,7 +53,7 @@
     EXPECT_TRUE(registry.mayHoldTasks("m1"));
 }
 
-TEST_F(RegistryTest, ANoteOfARentedMachineAllowsNoTasks) {
+TEST_F(RegistryTest, EntryWithoutHeartbeatThenNoTasksAreAllowed) {
     auto& machine = rented("m1");
     machine.address = std::string("m1");
     registry.noteRequested("m1");
@@ -68,7 +68,7 @@
     EXPECT_EQ(machine.registration, RegistrationState::stored);
 }
 
-TEST_F(RegistryTest, AnEntryWhoseAddressChangedMeanwhileIsWrittenAgain) {
+TEST_F(RegistryTest, AddressChangedDuringWriteThenEntryIsWrittenAgain) {
     auto& machine = reporting("m1");
     registry.ensureEntry(machine);
     registry.additionSent("m1");
@@ -79,7 +79,7 @@
 }
 
 // A deletion that was sent may be carried out after the machine is back.
-TEST_F(RegistryTest, AMachineThatReturnsNeedsANewEntry) {
+TEST_F(RegistryTest, MachineReturnsAfterRemovalWasSentThenItNeedsANewEntry) {
     registry.ensureEntry(reporting("m1"));
     store(*fleet.find("m1"), 7);
     registry.forget(*fleet.find("m1"));
@@ -95,7 +95,7 @@
     EXPECT_EQ(back.registration, RegistrationState::stored);
 }
 
-TEST_F(RegistryTest, AnEntryThatIsStoredAfterItsMachineLeftIsDeleted) {
+TEST_F(RegistryTest, EntryStoredAfterItsMachineLeftThenDeleted) {
     registry.ensureEntry(reporting("m1"));
     registry.additionSent("m1");
     const auto sent = MachineRegistry::recordOf(*fleet.find("m1"));
@@ -110,7 +110,7 @@
     EXPECT_EQ(registry.versionOf("m1"), 0u);
 }
 
-TEST_F(RegistryTest, EntriesOfMachinesThatAreNoMoreAreDeleted) {
+TEST_F(RegistryTest, EntryWithoutMachineThenDeleted) {
     replica.registeredMachines["gone"] = {{"gone", "cpu", "a", false}, 3};
     registry.removeEntriesWithoutMachine();
     EXPECT_TRUE(registry.removals().contains("gone"));
--- a/tests/overload_monitor_test.cpp
+++ b/tests/overload_monitor_test.cpp
@@ -33,14 +33,14 @@
 
 }  // namespace
 
-TEST_F(Overload, ALeaderThatKeepsUpStays) {
+TEST_F(Overload, TicksInTimeThenLeaderStays) {
     monitor.noteLeading(now);
     tickLate(50ms, 60s);
     EXPECT_FALSE(monitor.isOverloaded(now));
     EXPECT_FALSE(givesWay());
 }
 
-TEST_F(Overload, ALeaderThatFallsBehindGivesWay) {
+TEST_F(Overload, TicksLateForLongThenLeaderShouldResign) {
     monitor.noteLeading(now);
     tickLate(0ms, 20s);
     tickLate(300ms, 1s);
@@ -49,7 +49,7 @@
     EXPECT_TRUE(givesWay());
 }
 
-TEST_F(Overload, ATickInTimeEndsIt) {
+TEST_F(Overload, OneTickInTimeThenOverloadEnds) {
     monitor.noteLeading(now);
     tickLate(0ms, 20s);
     for (int i = 0; i < 10; ++i) {
@@ -60,7 +60,7 @@
 }
 
 // A take-over has much to do at once. Were it taken for an overload, nobody would lead for long.
-TEST_F(Overload, ATakeOverMayFallBehind) {
+TEST_F(Overload, TicksLateAfterFailoverThenLeaderStays) {
     monitor.noteLeading(now);
     tickLate(300ms, 6s);
     EXPECT_TRUE(monitor.isOverloaded(now));
@@ -70,7 +70,7 @@
 }
 
 // Where all nodes are too slow, the leadership must not go round for ever.
-TEST_F(Overload, EachTimeItStaysLongerBeforeItGivesWay) {
+TEST_F(Overload, OverloadedAgainThenLeaderStaysLongerEachTime) {
     tickLate(300ms, 10s);
     ASSERT_TRUE(givesWay());
     Clock::duration last = 0s;
--- a/tests/peer_exchange_test.cpp
+++ b/tests/peer_exchange_test.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_F(PeerExchangeTest, OnlyPeersOfTheSettingsCount) {
+TEST_F(PeerExchangeTest, UnknownPeerThenItsStatusIsIgnored) {
     EXPECT_FALSE(exchange.noteStatus(status("four"), start));
     EXPECT_FALSE(exchange.inTouch("four", start));
     EXPECT_FALSE(exchange.inTouch("two", start));
@@ -64,7 +64,7 @@
     EXPECT_FALSE(exchange.inTouch("two", start + 2500ms));
 }
 
-TEST_F(PeerExchangeTest, NamesAPeerInTouchWithThisVeryLeader) {
+TEST_F(PeerExchangeTest, LeaderOutOfTouchThenNamesAPeerInTouchWithThatLeader) {
     exchange.noteStatus(status("three", 7), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // nobody leads
     leads("two", 8);
@@ -78,7 +78,7 @@
 
 // Seen on a simulated day: a follower that the key-value store refused did not know the new leader, and was
 // the only way to it for the workers behind a cut.
-TEST_F(PeerExchangeTest, APeerThatLeadsIsKnownBeforeItsRecordIsRead) {
+TEST_F(PeerExchangeTest, PeerLeadsWithAHigherTokenThenItIsTheKnownLeader) {
     EXPECT_FALSE(exchange.knownLeader(start));
     leads("one", 7);
     auto claim = status("two", 8);
@@ -95,7 +95,7 @@
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // it leads no more
 }
 
-TEST_F(PeerExchangeTest, RefusedAloneMeansThatAPeerIsServedForAWhileAlready) {
+TEST_F(PeerExchangeTest, PeerServedForAWhileLongerThenRefusedAlone) {
     const auto lastAnswer = start;
     const auto now = start + 4s;
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // nobody was heard
@@ -110,7 +110,7 @@
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now - 300ms));
 }
 
-TEST_F(PeerExchangeTest, CancellationsAreToldInPartsAndOnlyOnce) {
+TEST_F(PeerExchangeTest, ManyCancellationsThenSentInPartsAndOnlyOnce) {
     bookkeeping::StateReplica other;
     PeerExchange asking(settings, other, [](const Cancellation&) {});
     for (std::uint32_t job = 0; job < 1100; ++job) cancel(job, job + 1);
@@ -135,7 +135,7 @@
     EXPECT_TRUE(answer.complete);
 }
 
-TEST_F(PeerExchangeTest, ARestartedPeerIsAskedFromTheBeginning) {
+TEST_F(PeerExchangeTest, PeerRestartedThenItsLogIsReadFromTheStart) {
     for (std::uint32_t job = 0; job < 3; ++job) cancel(job, job + 1);
     PeerExchange restarted(settings, replica, [](const Cancellation&) {});
     PeerStatus question, answer, again;
@@ -148,7 +148,7 @@
     EXPECT_EQ(again.cancelled, answer.cancelled);
 }
 
-TEST_F(PeerExchangeTest, WhatAPeerTellsIsTakenIn) {
+TEST_F(PeerExchangeTest, AnswerOfAPeerThenCancellationsAndLogPositionAreTakenIn) {
     auto answer = status("two");
     answer.cancelled = {{"wk-1", 4}, {"wk-2", 9}};
     answer.log = 77;
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-TEST_F(StateWriterTest, EachWriteIsConditionalOnTheTokenAndOnItsKey) {
+TEST_F(StateWriterTest, EachWriteIsConditionalOnTheTokenAndOnItsKeyVersion) {
     auto& job = accept("wk-1", 2);
     finish(job, 0);
     finish(job, 1);
@@ -108,7 +108,7 @@
     EXPECT_EQ(write->conditions[1].version, job.version);
 }
 
-TEST_F(StateWriterTest, AJobIsDoneOnceItsEndIsStored) {
+TEST_F(StateWriterTest, TerminalRecordStoredThenJobIsDone) {
     auto& job = accept("wk-1", 2);
     finish(job, 0);
     finish(job, 1);
@@ -124,7 +124,7 @@
     EXPECT_EQ(nextKeys(), Keys{});
 }
 
-TEST_F(StateWriterTest, BitsCountOnceTheyAreStoredAndGatherForASecond) {
+TEST_F(StateWriterTest, BitmapStoredThenTasksAreDoneAndTheNextWaitsASecond) {
     auto& job = accept("wk-1", 10);
     finish(job, 3);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
@@ -137,14 +137,14 @@
     EXPECT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
 }
 
-TEST_F(StateWriterTest, ARaisedTokenEndsTheLeadership) {
+TEST_F(StateWriterTest, FencingTokenRaisedThenResign) {
     finish(accept("wk-1", 1), 0);
     ASSERT_TRUE(writer().nextWrite(now));
     EXPECT_EQ(answer(TransactionStatus::conflict, {storage::keys::kToken}).followUp, FollowUp::resign);
 }
 
 // After a conflict or an unknown outcome only a read tells what is stored.
-TEST_F(StateWriterTest, NothingIsWrittenBeforeTheReplicaIsReadAnew) {
+TEST_F(StateWriterTest, ConflictOrUnknownOutcomeThenNoWriteBeforeTheReplicaIsRead) {
     finish(accept("wk-1", 1), 0);
     const auto key = storage::keys::job("wk-1");
     for (const auto status :
@@ -158,7 +158,7 @@
     EXPECT_EQ(nextKeys(), Keys{key});
 }
 
-TEST_F(StateWriterTest, ARefusedTransactionIsSentAgainAfterAPause) {
+TEST_F(StateWriterTest, TransactionRefusedThenSentAgainAfterAPause) {
     finish(accept("wk-1", 1), 0);
     for (const auto status : {TransactionStatus::refused, TransactionStatus::tooMany}) {
         ASSERT_EQ(nextKeys().size(), 1u);
@@ -169,7 +169,7 @@
     EXPECT_EQ(nextKeys().size(), 1u);
 }
 
-TEST_F(StateWriterTest, WhatWasTooLargeGoesInSmallerPiecesAndGrowsAgain) {
+TEST_F(StateWriterTest, TransactionTooLargeThenSmallerOnesThatGrowAgain) {
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) rent(id, 1);
     ASSERT_EQ(nextKeys().size(), 4u);
     answer(TransactionStatus::tooLarge);
@@ -183,7 +183,7 @@
     EXPECT_EQ(nextKeys().size(), 2u);
 }
 
-TEST_F(StateWriterTest, WhatIsTooLargeAloneWaitsAsideWhileTheRestGoesOn) {
+TEST_F(StateWriterTest, SingleWriteTooLargeThenDeferredWhileOthersAreWritten) {
     rent("m1", 1);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
     answer(TransactionStatus::tooLarge);
@@ -195,7 +195,7 @@
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
 }
 
-TEST_F(StateWriterTest, ABitmapThatIsTooLargeAloneIsCut) {
+TEST_F(StateWriterTest, SingleBitmapTooLargeThenCutIntoSmallerRanges) {
     auto& job = accept("wk-1", 2000, 2000);
     finish(job, 0);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
@@ -207,7 +207,7 @@
     EXPECT_TRUE(job.isDone(0));
 }
 
-TEST_F(StateWriterTest, NotesOfRentedMachinesComeAfterWhatSomebodyWaitsFor) {
+TEST_F(StateWriterTest, EntriesOfMachinesWithoutHeartbeatAreWrittenLast) {
     rent("m0", 0);
     rent("m1", 1);
     finish(accept("wk-1", 1), 0);
@@ -221,7 +221,7 @@
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m0")});
 }
 
-TEST_F(StateWriterTest, TheRateBoundsWhatIsWritten) {
+TEST_F(StateWriterTest, WriteRateUsedUpThenFewerWrites) {
     settings.storeWritesPerSecond = 5;  // of which the leader takes three a second
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) rent(id, 1);
     ASSERT_EQ(nextKeys().size(), 3u);
@@ -231,7 +231,7 @@
     EXPECT_EQ(nextKeys().size(), 2u);
 }
 
-TEST_F(StateWriterTest, NothingIsStoredOfAJobThatIsOver) {
+TEST_F(StateWriterTest, JobForgottenThenNothingOfItIsStored) {
     auto& job = accept("wk-1", 1);
     finish(job, 0);
     writer().forget(job);
