--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -1,4 +1,4 @@
-// Who leads: fencing tokens, leases, votes of the peers, and what ends a leadership.
+// Leader election: fencing tokens, leases, lease votes of the peers, and what ends a leadership.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -36,8 +36,8 @@
     }
 }
 
-// The lease ended behind the leader's back: its next renewal tells it, and its writes fail by the fencing
-// token.
+// The lease ended without the leader's doing. Its next renewal tells it, and its writes fail as the fencing
+// token has been raised.
 TEST_F(Leadership, LeaseEndedThenLeaderStopsAndItsWritesFail) {
     ServiceNode a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -51,7 +51,7 @@
               0u);
 }
 
-// A node that set out to lead while nobody did must not depose the one that was quicker.
+// A candidate whose attempt began while nobody led must not depose a controller that won in the meantime.
 TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
     ServiceNode a(io, stub);
     a.until([&] { return a.watcher.synced(); });
@@ -72,7 +72,7 @@
         1u);
 }
 
-// Should the fencing token rise in any way, a leader stops even though its own lease goes on.
+// If the fencing token rises for whatever reason, a leader stops although its own lease lasts.
 TEST_F(Leadership, FencingTokenRaisedThenLeaderStops) {
     ServiceNode a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -87,14 +87,15 @@
     EXPECT_EQ(a.fencingToken, 0u);
 }
 
-// A leader that the key-value store refuses cannot end its lease. Its peers need not wait for that.
+// A leader that the key-value store refuses cannot end its lease there. Once it tells its peers that it
+// resigned, they need not wait until the lease ends.
 TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
     ServiceNode a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.until([&] { return b.replica.leader.has_value(); });
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
-    EXPECT_EQ(b.fencingToken, 0u);                   // no reason yet
-    b.election.noteResignation(a.fencingToken - 1);  // of an earlier leadership
+    EXPECT_EQ(b.fencingToken, 0u);                   // the leader has not resigned
+    b.election.noteResignation(a.fencingToken - 1);  // the token of an earlier leadership
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
     const auto fencingToken = a.fencingToken;
@@ -105,8 +106,8 @@
     EXPECT_GT(b.fencingToken, fencingToken);
 }
 
-// In an outage nobody can take the key. Grants of all peers stand in for the lease, so that workers keep
-// their tasks; each peer keeps its grant whatever becomes of the key.
+// In an outage nobody can write the leader's key. Votes of all peers extend the lease, so that workers keep
+// their tasks. Each peer is bound by its vote even if the key disappears.
 TEST_F(Leadership, OutageThenVotesOfAllPeersExtendTheLeaderLease) {
     ServiceNode a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
@@ -130,7 +131,7 @@
     for (int i = 0; i < 100; ++i) b.election.tick(later + i * life / 120), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
     while (!b.fencingToken) b.election.tick(later + 2 * life), io.run_one_for(5ms);
-    // A process that is back at once has forgotten what it granted.
+    // A restarted process doesn't know its vote, so it waits as if it had voted.
     ServiceNode c(io, stub, "three");
     c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
     stub.store.endLease(stub.store.leases.rbegin()->first);
@@ -141,7 +142,7 @@
     while (!c.fencingToken) c.election.tick(Clock::now() + 10s), io.run_one_for(5ms);
 }
 
-// A leader whose lease goes on while its reads fail does not see what others confirm.
+// A leader whose lease is renewed while its reads fail does not see the cancellations that others confirm.
 TEST_F(Leadership, ReadsFailThenLeaderStopsThoughItsLeaseIsRenewed) {
     ServiceNode a(io, stub);
     a.config.workerLease = Seconds(10);
@@ -152,7 +153,7 @@
     while (!a.fencingToken) election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_TRUE(election.valid(Clock::now()));
     EXPECT_TRUE(election.cancellationsCurrent(Clock::now()));
-    // It is entitled for longer than it may start anything.
+    // It may act for longer than it may start anything.
     EXPECT_FALSE(election.cancellationsCurrent(a.watcher.asOf() + 1900ms));
     EXPECT_TRUE(election.valid(a.watcher.asOf() + 1500ms));
     stub.readsFail = true;
@@ -167,7 +168,8 @@
     while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
 }
 
-// What a cancellation has and a lease takes leave a leader this long without a read, at every deployment.
+// For the worker lease and cancel timeout of every deployment: after the longest time without a read, the
+// worker leases still end within the cancel timeout.
 TEST_F(Leadership, NoReadsThenWorkerLeasesEndWithinTheCancelTimeout) {
     for (const auto& [lease, cancel] : {std::pair(26.5, 46.5), {13, 33}, {24, 44}, {10, 30}, {30, 40}}) {
         auto s = serviceSettings("one");
@@ -178,8 +180,8 @@
     }
 }
 
-// While no change is taken, a leader stays one; a candidate goes on trying and wins as soon as changes
-// are.
+// While the key-value store refuses all writes, a leader stays leader. A candidate keeps trying and wins as
+// soon as writes are accepted.
 TEST_F(Leadership, WritesRefusedThenLeaderStaysAndCandidateKeepsTrying) {
     ServiceNode a(io, stub, "one", Seconds(1));
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
--- a/tests/lease_votes_test.cpp
+++ b/tests/lease_votes_test.cpp
@@ -18,7 +18,7 @@
 TEST(LeaseVotes, VotesOfSomePeersThenNotInForce) {
     LeaseVotes votes;
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
-    EXPECT_FALSE(votes.allInForce({}, kStart));  // a node alone has nobody to grant it anything
+    EXPECT_FALSE(votes.allInForce({}, kStart));  // without peers there is nobody to vote
     votes.noteReceived("two", LeaseVotes::kVoteLife, kStart);
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
     votes.noteReceived("four", LeaseVotes::kVoteLife, kStart);
@@ -29,7 +29,7 @@
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
 }
 
-// The leader's count ends before that of the peer, whose count begins later.
+// The leader counts from when it asked and the peer from when it voted, so the leader's time ends first.
 TEST(LeaseVotes, VoteReceivedThenItEndsBeforeThePeerIsUnbound) {
     LeaseVotes leader, peer;
     const auto life = peer.giveVote(7, kStart);
@@ -59,5 +59,5 @@
     EXPECT_TRUE(votes.isBound(kStart, 6));
     EXPECT_FALSE(votes.isBound(kStart, 7));
     votes.forgetReceived();
-    EXPECT_TRUE(votes.isBound(kStart, 6));  // its own grant is another matter
+    EXPECT_TRUE(votes.isBound(kStart, 6));  // the vote that it gave stays
 }
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -15,14 +15,15 @@
     bookkeeping::Fleet fleet;
     MachineRegistry registry{replica, fleet};
 
-    bookkeeping::Machine& rented(const std::string& id) {
+    /// A machine that was requested and has not sent a heartbeat.
+    bookkeeping::Machine& withoutHeartbeat(const std::string& id) {
         auto& machine = fleet.add(id, Time{});
         machine.type = std::string("cpu");
         machine.zone = std::string("a");
         return machine;
     }
-    bookkeeping::Machine& reporting(const std::string& id) {
-        auto& machine = rented(id);
+    bookkeeping::Machine& withHeartbeat(const std::string& id) {
+        auto& machine = withoutHeartbeat(id);
         machine.address = id;
         machine.incarnation = 1;
         machine.sendsHeartbeats = true;
@@ -37,7 +38,7 @@
 }  // namespace
 
 TEST_F(RegistryTest, EntryWrittenThenItCountsOnlyOnceStored) {
-    auto& machine = reporting("m1");
+    auto& machine = withHeartbeat("m1");
     registry.ensureEntry(machine);
     EXPECT_TRUE(registry.additions().contains("m1"));
     EXPECT_EQ(machine.registration, RegistrationState::absent);
@@ -54,7 +55,7 @@
 }
 
 TEST_F(RegistryTest, EntryWithoutHeartbeatThenNoTasksAreAllowed) {
-    auto& machine = rented("m1");
+    auto& machine = withoutHeartbeat("m1");
     machine.address = std::string("m1");
     registry.noteRequested("m1");
     store(machine, 7);
@@ -69,7 +70,7 @@
 }
 
 TEST_F(RegistryTest, AddressChangedDuringWriteThenEntryIsWrittenAgain) {
-    auto& machine = reporting("m1");
+    auto& machine = withHeartbeat("m1");
     registry.ensureEntry(machine);
     registry.additionSent("m1");
     const auto sent = MachineRegistry::recordOf(machine);
@@ -78,15 +79,15 @@
     EXPECT_TRUE(registry.additions().contains("m1"));
 }
 
-// A deletion that was sent may be carried out after the machine is back.
+// A deletion that was sent may be executed after the machine is back.
 TEST_F(RegistryTest, MachineReturnsAfterRemovalWasSentThenItNeedsANewEntry) {
-    registry.ensureEntry(reporting("m1"));
+    registry.ensureEntry(withHeartbeat("m1"));
     store(*fleet.find("m1"), 7);
     registry.forget(*fleet.find("m1"));
     fleet.erase("m1");
     EXPECT_TRUE(registry.removals().contains("m1"));
     registry.removalSent("m1");
-    auto& back = reporting("m1");
+    auto& back = withHeartbeat("m1");
     registry.ensureEntry(back);
     EXPECT_EQ(back.registration, RegistrationState::absent);
     EXPECT_TRUE(registry.removals().empty());
@@ -96,7 +97,7 @@
 }
 
 TEST_F(RegistryTest, EntryStoredAfterItsMachineLeftThenDeleted) {
-    registry.ensureEntry(reporting("m1"));
+    registry.ensureEntry(withHeartbeat("m1"));
     registry.additionSent("m1");
     const auto sent = MachineRegistry::recordOf(*fleet.find("m1"));
     registry.forget(*fleet.find("m1"));
--- a/tests/overload_monitor_test.cpp
+++ b/tests/overload_monitor_test.cpp
@@ -12,7 +12,7 @@
 
 class Overload : public testing::Test {
   protected:
-    /// Ticks that are each late by so much, for a while.
+    /// Ticks for `lasting` that are each late by `late`.
     void tickLate(Clock::duration late, Clock::duration lasting) {
         const auto end = now + lasting;
         while (now < end) {
@@ -21,7 +21,7 @@
             monitor.noteTick(due, now);
         }
     }
-    bool givesWay() {
+    bool resigns() {
         const bool should = monitor.shouldResign(now);
         if (should) monitor.noteResigned(now);
         return should;
@@ -37,16 +37,16 @@
     monitor.noteLeading(now);
     tickLate(50ms, 60s);
     EXPECT_FALSE(monitor.isOverloaded(now));
-    EXPECT_FALSE(givesWay());
+    EXPECT_FALSE(resigns());
 }
 
 TEST_F(Overload, TicksLateForLongThenLeaderShouldResign) {
     monitor.noteLeading(now);
     tickLate(0ms, 20s);
     tickLate(300ms, 1s);
-    EXPECT_FALSE(givesWay());  // one long batch is no overload
+    EXPECT_FALSE(resigns());  // one long batch is no overload
     tickLate(300ms, 1s);
-    EXPECT_TRUE(givesWay());
+    EXPECT_TRUE(resigns());
 }
 
 TEST_F(Overload, OneTickInTimeThenOverloadEnds) {
@@ -55,37 +55,37 @@
     for (int i = 0; i < 10; ++i) {
         tickLate(300ms, 1s);
         tickLate(0ms, 100ms);
-        EXPECT_FALSE(givesWay());
+        EXPECT_FALSE(resigns());
     }
 }
 
-// A take-over has much to do at once. Were it taken for an overload, nobody would lead for long.
+// A new leader has much to do at once. If that counted as overload, nobody would lead for long.
 TEST_F(Overload, TicksLateAfterFailoverThenLeaderStays) {
     monitor.noteLeading(now);
     tickLate(300ms, 6s);
     EXPECT_TRUE(monitor.isOverloaded(now));
-    EXPECT_FALSE(givesWay());
+    EXPECT_FALSE(resigns());
     tickLate(300ms, 4s);
-    EXPECT_TRUE(givesWay());
+    EXPECT_TRUE(resigns());
 }
 
-// Where all nodes are too slow, the leadership must not go round for ever.
+// Where all controllers are too slow, leadership must not keep moving between them.
 TEST_F(Overload, OverloadedAgainThenLeaderStaysLongerEachTime) {
     tickLate(300ms, 10s);
-    ASSERT_TRUE(givesWay());
+    ASSERT_TRUE(resigns());
     Clock::duration last = 0s;
     for (int i = 0; i < 4; ++i) {
         const auto from = now;
         do tickLate(300ms, 1s);
-        while (!givesWay());
+        while (!resigns());
         EXPECT_GT(now - from, last * 3 / 2);
         last = now - from;
     }
     tickLate(0ms, 2h);
     tickLate(300ms, 10s);
-    ASSERT_TRUE(givesWay());
+    ASSERT_TRUE(resigns());
     const auto from = now;
     do tickLate(300ms, 1s);
-    while (!givesWay());
+    while (!resigns());
     EXPECT_LT(now - from, 70s);  // as after the first time
 }
--- a/tests/peer_exchange_test.cpp
+++ b/tests/peer_exchange_test.cpp
@@ -20,7 +20,7 @@
     ASSERT_TRUE(replica.apply({key, &handle.get(), version}, changes));
 }
 
-/// A node "one" with the peers "two" and "three".
+/// A controller "one" with the peers "two" and "three".
 struct PeerExchangeTest : testing::Test {
     PeerExchangeTest() { settings.peers = {{"two", "z", ""}, {"three", "z", ""}}; }
 
@@ -68,7 +68,7 @@
     exchange.noteStatus(status("three", 7), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // nobody leads
     leads("two", 8);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // that was the one before
+    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // it is in touch with an earlier leader
     exchange.noteStatus(status("two", 8), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // the leader itself
     exchange.noteStatus(status("three", 8), start);
@@ -76,8 +76,8 @@
     EXPECT_EQ(exchange.peerInTouchWithLeader(start + 3s), "");
 }
 
-// Seen on a simulated day: a follower that the key-value store refused did not know the new leader, and was
-// the only way to it for the workers behind a cut.
+// In a simulation, a follower that the key-value store refused did not know the new leader, and was the only
+// way to it for the workers behind a network partition.
 TEST_F(PeerExchangeTest, PeerLeadsWithAHigherTokenThenItIsTheKnownLeader) {
     EXPECT_FALSE(exchange.knownLeader(start));
     leads("one", 7);
@@ -87,12 +87,12 @@
     ASSERT_TRUE(exchange.knownLeader(start));
     EXPECT_EQ(exchange.knownLeader(start)->node, "two");
     EXPECT_EQ(exchange.knownLeader(start)->fencingToken, 8u);
-    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // not heard of for a while
+    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other was not heard for a while
     claim.fencingToken = 6;
     exchange.noteStatus(claim, start);
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored one is newer
     exchange.noteStatus(status("two"), start);
-    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // it leads no more
+    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the other leads no more
 }
 
 TEST_F(PeerExchangeTest, PeerServedForAWhileLongerThenRefusedAlone) {
@@ -100,7 +100,7 @@
     const auto now = start + 4s;
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // nobody was heard
     exchange.noteStatus(status("two", 0, 2100), now);
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // it is not served any more either
+    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // the peer is not served any more either
     exchange.noteStatus(status("two", 0, 100), now);
     EXPECT_TRUE(exchange.refusedAlone(lastAnswer, now));
     EXPECT_FALSE(exchange.refusedAlone(now - 2s, now));  // too short to tell
--- a/tests/service_controller.h
+++ b/tests/service_controller.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// A node's side towards users, with its election, against the stand-in of the key-value store.
+// The parts of a controller that tests of the user API and of leader election need: user API, state watcher
+// and election, on a stub of the key-value store.
 
 #include <gtest/gtest.h>
 
@@ -31,7 +32,7 @@
     return s;
 }
 
-/// A node's users' side and election, against the stand-in.
+/// A controller's user API and election on a stub of the key-value store.
 struct ServiceNode {
     ServiceNode(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
                 Seconds leadership = Seconds(0))
@@ -46,9 +47,11 @@
               [this] { fencingToken = 0; }) {
         watcher.start();
     }
+    /// Runs the event loop until the condition holds.
     void until(const std::function<bool()>& holds) {
         while (!holds()) io.run_one();
     }
+    /// The user API's response. Status 599: it doesn't serve this path.
     transport::Response ask(const char* method, const std::string& path, std::string body = {}) {
         std::optional<transport::Response> out;
         transport::Request request;
@@ -60,6 +63,7 @@
         until([&] { return out.has_value(); });
         return *out;
     }
+    /// The job's state as users see it, or the response's status if that is not 200.
     std::string bearing(const std::string& id) {
         const auto r = ask("GET", "/submissions/" + id);
         if (r.status != 200) return std::to_string(r.status);
@@ -78,7 +82,7 @@
     std::uint64_t fencingToken = 0;
 };
 
-/// A submission's body.
+/// The body of a submission.
 inline std::string submission(const std::string& id, double cpus = 1, const std::string& team = "team",
                               std::uint32_t tasks = 2, protocol::JobKind kind = protocol::JobKind::array,
                               std::vector<std::string> dependencies = {}) {
@@ -95,12 +99,12 @@
     return p.take();
 }
 
-/// The same for a job that needs others.
+/// The same for a job with dependencies.
 inline std::string submissionAfter(const std::string& id, std::vector<std::string> dependencies) {
     return submission(id, 1, "team", 2, protocol::JobKind::array, std::move(dependencies));
 }
 
-/// An event loop and a key-value store that stores one type of machine.
+/// An event loop and a key-value store stub that holds one machine type.
 struct ServiceNodeTest : testing::Test {
     asio::io_context io{1};
     StoreStub stub{io};
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr std::uint64_t kTokenVersion = 5;
-constexpr std::uint64_t kDayMs = 1'000'000;  // time of day as the writer is made
+constexpr std::uint64_t kStartMs = 1'000'000;  // time of day when the writer is made
 
 struct StateWriterTest : testing::Test {
     StateWriterTest() {
@@ -36,7 +36,7 @@
     MachineRegistry registry{replica, fleet};
     std::map<std::string, protocol::MachineType> types;
     Time now{1000s};
-    WallClock wallClock{now, kDayMs};
+    WallClock wallClock{now, kStartMs};
     std::optional<StateWriter> made;
     std::uint64_t revision = 100;
 
@@ -67,7 +67,8 @@
         ASSERT_TRUE(job.finish(task));
         writer().noteUnstored(job);
     }
-    void rent(const std::string& id, std::uint64_t incarnation) {
+    /// `incarnation`: 0 for a machine without a heartbeat so far.
+    void addMachine(const std::string& id, std::uint64_t incarnation) {
         auto& machine = fleet.add(id, now);
         machine.address = id;
         machine.incarnation = incarnation;
@@ -120,7 +121,7 @@
     EXPECT_EQ(outcome.followUp, FollowUp::none);
     EXPECT_EQ(outcome.ended, std::vector<Job*>{&job});
     EXPECT_EQ(job.terminalState, TerminalState::done);
-    EXPECT_EQ(job.endedMs, kDayMs + 5000);
+    EXPECT_EQ(job.endedMs, kStartMs + 5000);
     EXPECT_EQ(nextKeys(), Keys{});
 }
 
@@ -170,24 +171,24 @@
 }
 
 TEST_F(StateWriterTest, TransactionTooLargeThenSmallerOnesThatGrowAgain) {
-    for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) rent(id, 1);
+    for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) addMachine(id, 1);
     ASSERT_EQ(nextKeys().size(), 4u);
     answer(TransactionStatus::tooLarge);
     EXPECT_EQ(nextKeys().size(), 2u);
     answer(TransactionStatus::tooLarge);
     EXPECT_EQ(nextKeys().size(), 1u);
     answer(TransactionStatus::applied);
-    EXPECT_EQ(nextKeys().size(), 1u) << "not at once";
+    EXPECT_EQ(nextKeys().size(), 1u) << "limits must not be raised at once";
     now += 30s;
     answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys().size(), 2u);
 }
 
 TEST_F(StateWriterTest, SingleWriteTooLargeThenDeferredWhileOthersAreWritten) {
-    rent("m1", 1);
+    addMachine("m1", 1);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
     answer(TransactionStatus::tooLarge);
-    rent("m2", 1);
+    addMachine("m2", 1);
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m2")});
     answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys(), Keys{});
@@ -208,8 +209,8 @@
 }
 
 TEST_F(StateWriterTest, EntriesOfMachinesWithoutHeartbeatAreWrittenLast) {
-    rent("m0", 0);
-    rent("m1", 1);
+    addMachine("m0", 0);
+    addMachine("m1", 1);
     finish(accept("wk-1", 1), 0);
     finish(accept("wk-2", 10), 0);
     types["cpu"].name = std::string("cpu");
@@ -222,8 +223,8 @@
 }
 
 TEST_F(StateWriterTest, WriteRateUsedUpThenFewerWrites) {
-    settings.storeWritesPerSecond = 5;  // of which the leader takes three a second
-    for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) rent(id, 1);
+    settings.storeWritesPerSecond = 5;  // of which the state writer may use three a second
+    for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) addMachine(id, 1);
     ASSERT_EQ(nextKeys().size(), 3u);
     answer(TransactionStatus::applied);
     EXPECT_EQ(nextKeys(), Keys{});
