--- a/tests/leadership_test.cpp
+++ b/tests/leadership_test.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-using Leadership = ServiceNodeTest;
+using Leadership = ServiceControllerTest;
 
 }  // namespace
 
 TEST_F(Leadership, TwoControllersThenOneLeaderAtATimeWithRisingTokens) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     const auto tick = [&] {
         a.election.tick(Clock::now());
         b.election.tick(Clock::now());
@@ -39,7 +39,7 @@
 // The lease ended without the leader's doing. Its next renewal tells it, and its writes fail as the fencing
 // token has been raised.
 TEST_F(Leadership, LeaseEndedThenLeaderStopsAndItsWritesFail) {
-    ServiceNode a(io, stub);
+    ServiceController a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto old = a.replica.tokenVersion;
     stub.store.endLease(stub.store.leases.begin()->first);
@@ -53,7 +53,7 @@
 
 // A candidate whose attempt began while nobody led must not depose a controller that won in the meantime.
 TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
-    ServiceNode a(io, stub);
+    ServiceController a(io, stub);
     a.until([&] { return a.watcher.synced(); });
     stub.holdLeases = true;
     while (stub.store.leases.empty()) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -74,7 +74,7 @@
 
 // If the fencing token rises for whatever reason, a leader stops although its own lease lasts.
 TEST_F(Leadership, FencingTokenRaisedThenLeaderStops) {
-    ServiceNode a(io, stub);
+    ServiceController a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
     stub.store.transact({},
@@ -90,7 +90,7 @@
 // A leader that the key-value store refuses cannot end its lease there. Once it tells its peers that it
 // resigned, they need not wait until the lease ends.
 TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.until([&] { return b.replica.leader.has_value(); });
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
@@ -109,7 +109,7 @@
 // In an outage nobody can write the leader's key. Votes of all peers extend the lease, so that workers keep
 // their tasks. Each peer is bound by its vote even if the key disappears.
 TEST_F(Leadership, OutageThenVotesOfAllPeersExtendTheLeaderLease) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.until([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
@@ -132,7 +132,7 @@
     EXPECT_EQ(b.fencingToken, 0u);
     while (!b.fencingToken) b.election.tick(later + 2 * life), io.run_one_for(5ms);
     // A restarted process doesn't know its vote, so it waits as if it had voted.
-    ServiceNode c(io, stub, "three");
+    ServiceController c(io, stub, "three");
     c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
     stub.store.endLease(stub.store.leases.rbegin()->first);
     stub.wake();
@@ -144,7 +144,7 @@
 
 // A leader whose lease is renewed while its reads fail does not see the cancellations that others confirm.
 TEST_F(Leadership, ReadsFailThenLeaderStopsThoughItsLeaseIsRenewed) {
-    ServiceNode a(io, stub);
+    ServiceController a(io, stub);
     a.config.workerLease = Seconds(10);
     a.config.cancelTimeout = Seconds(14);
     coordination::Election election(
@@ -183,7 +183,7 @@
 // While the key-value store refuses all writes, a leader stays leader. A candidate keeps trying and wins as
 // soon as writes are accepted.
 TEST_F(Leadership, WritesRefusedThenLeaderStaysAndCandidateKeepsTrying) {
-    ServiceNode a(io, stub, "one", Seconds(1));
+    ServiceController a(io, stub, "one", Seconds(1));
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto unrenewed = Clock::now() + 1s;
     stub.store.limits = {32, 2048, 0};
@@ -191,7 +191,7 @@
     while (Clock::now() < unrenewed) a.election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_EQ(a.fencingToken, fencingToken);
     EXPECT_TRUE(a.election.valid(Clock::now()));
-    ServiceNode b(io, stub, "two", Seconds(1));
+    ServiceController b(io, stub, "two", Seconds(1));
     b.until([&] { return b.watcher.synced(); });
     a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
     const auto before = stub.store.tooMany;
--- a/tests/service_controller.h
+++ b/tests/service_controller.h
@@ -33,9 +33,9 @@
 }
 
 /// A controller's user API and election on a stub of the key-value store.
-struct ServiceNode {
-    ServiceNode(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
-                Seconds leadership = Seconds(0))
+struct ServiceController {
+    ServiceController(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
+                      Seconds leadership = Seconds(0))
         : io(context),
           config(serviceSettings(name)),
           policy{leadership},
@@ -105,7 +105,7 @@
 }
 
 /// An event loop and a key-value store stub that holds one machine type.
-struct ServiceNodeTest : testing::Test {
+struct ServiceControllerTest : testing::Test {
     asio::io_context io{1};
     StoreStub stub{io};
 
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-using StoreLimits = ServiceNodeTest;
+using StoreLimits = ServiceControllerTest;
 
 }  // namespace
 
 // A record beyond the smaller of both limits is refused before anything is stored, unless the job was
 // accepted under the higher one; and chunks are chosen for the smaller.
 TEST_F(StoreLimits, WhatTheNextLimitsWouldNotTakeIsRefusedAtOnce) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
     node.until([&] { return node.watcher.synced(); });
     const auto longTexts = [](const std::string& id) {
@@ -60,7 +60,7 @@
 // Limits lower than the settings say: nothing that was accepted is lost, and nothing is called accepted
 // that was not stored.
 TEST_F(StoreLimits, LimitsThatNobodyAnnounced) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     auto spec = protocol::JobSpec{};
     spec.id = "wk-1";
@@ -87,7 +87,7 @@
 
 // Changes beyond the rate are told from other refusals; the user comes back, and then it is stored.
 TEST_F(StoreLimits, ChangesBeyondTheRateAreTriedAgain) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
     const auto refused = node.ask("POST", "/submissions", submission("wk-1"));
@@ -102,7 +102,7 @@
 
 // The service's refusals of a transaction, told apart.
 TEST_F(StoreLimits, RefusalsOfATransactionAreToldApart) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     std::ostringstream log;
     const auto before = spdlog::default_logger();
     const auto listening =
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-using UserApiTest = ServiceNodeTest;
+using UserApiTest = ServiceControllerTest;
 
 }  // namespace
 
 TEST_F(UserApiTest, EveryStatusOfTheUsersInterface) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", "nonsense").status, 400);
     EXPECT_EQ(node.ask("POST", "/submissions", MessagePacker().map(0).take()).status, 400);
@@ -41,7 +41,7 @@
 }
 
 TEST_F(UserApiTest, NothingIsSaidThatAnOutageKeepsFromBeingKnown) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-2")).status, 201);
@@ -59,7 +59,7 @@
 
 // Each node sees at once what another has acknowledged.
 TEST_F(UserApiTest, NodesNeverAnswerWithOlderStates) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (int i = 0; i < 20; ++i) {
         const auto id = "wk-" + std::to_string(i);
@@ -74,7 +74,7 @@
 
 // A write that was carried out without an answer is found again by the user's retry.
 TEST_F(UserApiTest, UnansweredWritesAreNotTakenForFailures) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.swallowWrites = true;
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 503);
@@ -85,25 +85,25 @@
 TEST_F(UserApiTest, ANodeThatCannotDecideSaysSo) {
     asio::io_context other{1};
     StoreStub empty(other);
-    ServiceNode node(other, empty);
+    ServiceController node(other, empty);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 503);  // no machine types yet
 }
 
 TEST_F(UserApiTest, AStoreReadInPagesIsWhole) {
-    ServiceNode writer(io, stub);
+    ServiceController writer(io, stub);
     writer.until([&] { return writer.watcher.synced(); });
     for (int i = 0; i < 25; ++i)
         EXPECT_EQ(writer.ask("POST", "/submissions", submission("wk-" + std::to_string(i))).status, 201);
     stub.pageEntries = 4;
-    ServiceNode reader(io, stub, "two");
+    ServiceController reader(io, stub, "two");
     reader.until([&] { return reader.watcher.synced(); });
     EXPECT_EQ(reader.replica.jobs().size(), 25u);
 }
 
 // The node that confirmed a cancellation knows it at once, though no read comes through any more.
 TEST_F(UserApiTest, AConfirmedCancellationIsKnownWhereItWasConfirmed) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
     EXPECT_EQ(node.bearing("wk-1"), "pending");
@@ -118,7 +118,7 @@
 
 // Whether a job was accepted is asked of the store, however short ago and by whichever node that was.
 TEST_F(UserApiTest, AJobMayNeedOnlyWhatWasAccepted) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter("wk-1", {"wk-1"})).status, 422);
     EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter("wk-2", {"wk-1"})).status, 422);
@@ -137,7 +137,7 @@
 
 // One record cancels all that need the job: on every node, for those submitted later, and after restarts.
 TEST_F(UserApiTest, WhatNeedsACancelledJobIsCancelledWithIt) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (const auto& job : {submission("wk-1"), submissionAfter("wk-2", {"wk-1"}), submission("wk-9"),
                             submissionAfter("wk-3", {"wk-9", "wk-2"}), submissionAfter("wk-4", {"wk-9"})})
@@ -146,7 +146,7 @@
     const auto before = stub.store.revision;
     EXPECT_EQ(a.ask("POST", "/submissions/wk-1/cancel").status, 200);
     EXPECT_EQ(stub.store.revision, before + 1);
-    ServiceNode c(io, stub, "three");
+    ServiceController c(io, stub, "three");
     c.until([&] { return c.watcher.synced(); });
     for (auto* userApi : {&a, &b, &c}) {
         EXPECT_EQ(userApi->bearing("wk-2"), "cancelled");
