--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,20 +1,21 @@
 #pragma once
 
-/// Time as every layer measures it. Holds no state.
+// The clock and the units of time that all layers share. Holds no state.
 
 #include <chrono>
 
 namespace burlpoint {
 
-/// Never set back; what a process decides by. It may drift from other machines' clocks by 0.05%.
+/// The clock by which a process decides. It is never set back, but may drift from other machines' clocks by
+/// 0.05%.
 using Clock = std::chrono::steady_clock;
 using Time = Clock::time_point;
 /// Timeouts and pauses of the process itself.
 using Duration = std::chrono::milliseconds;
-/// Times as messages and settings give them.
+/// Times in messages and settings.
 using Seconds = std::chrono::duration<double>;
 
-/// A time in seconds by the steps of the steady clock.
+/// Converts seconds to the steady clock's unit; what is less than a unit is cut off.
 inline Clock::duration toClockDuration(Seconds seconds) {
     return std::chrono::duration_cast<Clock::duration>(seconds);
 }
--- a/src/transport/endpoint.cpp
+++ b/src/transport/endpoint.cpp
@@ -5,18 +5,33 @@
 
 namespace burlpoint::transport {
 
+namespace {
+
+constexpr std::size_t kMaxPortDigits = 5;
+constexpr int kMaxPort = 65'535;
+constexpr int kNoPort = -1;
+
+/// `kNoPort` for a text that is no port number.
+int parsePort(const std::string& digits) {
+    const bool isNumber =
+        !digits.empty() && digits.size() <= kMaxPortDigits &&
+        std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
+    if (!isNumber) return kNoPort;
+    const int port = std::stoi(digits);
+    return port <= kMaxPort ? port : kNoPort;
+}
+
+}  // namespace
+
 asio::ip::tcp::endpoint parseEndpoint(const std::string& text) {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) throw std::invalid_argument("no port in address \"" + text + "\"");
     asio::error_code error;
     const auto address = asio::ip::make_address_v4(text.substr(0, colon), error);
-    const std::string digits = text.substr(colon + 1);
-    const bool numeric =
-        !digits.empty() && digits.size() <= 5 &&
-        std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (error || !numeric || std::stoi(digits) > 65535)
+    const int port = parsePort(text.substr(colon + 1));
+    if (error || port == kNoPort)
         throw std::invalid_argument("not an IPv4 address and port: \"" + text + "\"");
-    return {address, static_cast<unsigned short>(std::stoi(digits))};
+    return {address, static_cast<unsigned short>(port)};
 }
 
 }  // namespace burlpoint::transport
--- a/src/transport/executor.h
+++ b/src/transport/executor.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Sockets and timers of the event loop that every part of the process shares.
+// The socket and timer types of the one event loop that all parts of a process share. Holds no state.
 
 #include <asio/basic_socket_acceptor.hpp>
 #include <asio/basic_stream_socket.hpp>
@@ -12,14 +12,14 @@
 
 namespace burlpoint::transport {
 
-// Bound to the event loop's own executor type: the default one is type-erased, which costs several indirect
-// calls and copies for each operation.
+// The types name the event loop's own executor. Asio's default executor is type-erased, which costs several
+// indirect calls and copies for each operation.
 using Executor = asio::io_context::executor_type;
 using Socket = asio::basic_stream_socket<asio::ip::tcp, Executor>;
 using Acceptor = asio::basic_socket_acceptor<asio::ip::tcp, Executor>;
 using Timer = asio::basic_waitable_timer<Clock, asio::wait_traits<Clock>, Executor>;
 
-/// For the constructor of the event loop of a process whose only thread runs it: without locks.
+/// Concurrency hint for the `asio::io_context` of a process with a single thread: no locks.
 inline constexpr int kSingleThread = ASIO_CONCURRENCY_HINT_UNSAFE;
 
 }  // namespace burlpoint::transport
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -3,14 +3,31 @@
 #include <http_parser.h>
 
 #include <algorithm>
+#include <array>
 #include <asio/buffer.hpp>
 #include <asio/post.hpp>
 #include <asio/write.hpp>
+#include <utility>
 
 #include "transport/endpoint.h"
 
 namespace burlpoint::transport {
 
+namespace {
+
+constexpr std::size_t kReadBytes = 4096;  // read at a time
+
+std::string renderRequest(const std::string& address, const char* method, const std::string& target,
+                          const std::string& body) {
+    std::string out = std::string(method) + " " + target + " HTTP/1.1\r\nHost: " + address + "\r\n";
+    if (!body.empty()) out += "Content-Type: application/msgpack\r\n";
+    return out + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+}  // namespace
+
+/// One connection to one address, with at most one request at a time. It connects with its first request and
+/// is kept open for later ones. Pending operations hold it by shared pointers, so it may outlive its pool.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
   public:
     Connection(HttpClient& client, std::string address)
@@ -19,159 +36,181 @@
     }
 
     const std::string& address() const { return address_; }
-    bool busy() const { return static_cast<bool>(done_); }
-    bool idleFor(Duration age) const { return !busy() && Clock::now() - since_ > age; }
+    /// Whether a request is under way.
+    bool isBusy() const { return static_cast<bool>(done_); }
+    bool isIdleFor(Duration age) const { return !isBusy() && Clock::now() - idleSince_ > age; }
 
+    /// The connection must not be busy.
     void send(const char* method, const std::string& target, const std::string& body, Duration timeout,
               ResultCallback done) {
         done_ = std::move(done);
-        outcome_ = {};
+        result_ = {};
         http_parser_init(&parser_, HTTP_RESPONSE);
         parser_.data = this;
-        complete_ = false;
-        out_ = std::string(method) + " " + target + " HTTP/1.1\r\nHost: " + address_ + "\r\n";
-        if (!body.empty()) out_ += "Content-Type: application/msgpack\r\n";
-        out_ += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-        timer_.expires_after(timeout);
-        timer_.async_wait([self = shared_from_this()](auto error) {
-            if (!error && self->timer_.expiry() <= Clock::now() && self->busy()) self->fail();
-        });
-        if (connected_) return write();
-        asio::ip::tcp::endpoint endpoint;
-        try {
-            endpoint = parseEndpoint(address_);
-        } catch (const std::exception&) {
-            asio::post(client_.io_, [self = shared_from_this()] { self->fail(); });
-            return;
-        }
-        socket_.async_connect(endpoint, [self = shared_from_this()](auto error) {
-            if (self->closed_) return;
-            if (error) return self->fail();
-            asio::error_code ignored;
-            self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
-            self->connected_ = true;
-            self->read();
-            self->write();
-        });
+        responseComplete_ = false;
+        out_ = renderRequest(address_, method, target, body);
+        startTimeout(timeout);
+        if (state_ == State::connected) return write();
+        connect();
     }
 
-    /// Closes the socket; a request under way ends without a response.
+    /// Closes the connection. A request under way ends without a response.
     void fail() {
-        if (closed_) return;
+        if (state_ == State::closed) return;
         close();
-        outcome_ = {};
-        outcome_.tooLarge = oversize_;
+        result_ = {};
+        result_.tooLarge = responseTooLarge_;
         finish();
     }
 
     void close() {
-        if (closed_) return;
-        closed_ = true;
+        if (state_ == State::closed) return;
+        state_ = State::closed;
         asio::error_code ignored;
         socket_.close(ignored);
         timer_.cancel();
         client_.remove(this);
     }
 
+    /// Drops the request under way without calling its callback.
     void abandon() { done_ = nullptr; }
 
   private:
+    enum class State { unconnected, connected, closed };
+
     static Connection& of(http_parser* parser) { return *static_cast<Connection*>(parser->data); }
 
+    void startTimeout(Duration timeout) {
+        timer_.expires_after(timeout);
+        timer_.async_wait([self = shared_from_this()](auto error) {
+            // The wait of an earlier request may complete just as a later request sets the timer anew.
+            const bool isOver = self->timer_.expiry() <= Clock::now();
+            if (!error && isOver && self->isBusy()) self->fail();
+        });
+    }
+
+    void connect() {
+        asio::ip::tcp::endpoint endpoint;
+        try {
+            endpoint = parseEndpoint(address_);
+        } catch (const std::exception&) {
+            // Later, since no callback may run from inside `request`.
+            asio::post(client_.io_, [self = shared_from_this()] { self->fail(); });
+            return;
+        }
+        socket_.async_connect(endpoint, [self = shared_from_this()](auto error) {
+            if (self->state_ == State::closed) return;
+            if (error) return self->fail();
+            asio::error_code ignored;
+            self->socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
+            self->state_ = State::connected;
+            self->read();
+            self->write();
+        });
+    }
+
     void write() {
         asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](auto error, std::size_t) {
-            if (error && !self->closed_) self->fail();
+            if (error && self->state_ != State::closed) self->fail();
         });
     }
 
-    // One read is always under way, so a connection that the other side closes leaves the pool at once.
+    /// One read is always under way, also while the connection is idle, so that a connection closed by the
+    /// other side leaves its pool at once.
     void read() {
         socket_.async_read_some(asio::buffer(buffer_),
-                                [self = shared_from_this()](auto error, std::size_t n) {
-                                    if (self->closed_) return;
-                                    if (error || !self->busy()) return self->fail();
-                                    self->parse(n);
+                                [self = shared_from_this()](auto error, std::size_t bytes) {
+                                    if (self->state_ == State::closed) return;
+                                    // Bytes that no request asked for are an error as well.
+                                    if (error || !self->isBusy()) return self->fail();
+                                    self->parse(bytes);
                                 });
     }
 
-    void parse(std::size_t n) {
-        static const http_parser_settings kCallbacks = callbacks();
-        http_parser_execute(&parser_, &kCallbacks, buffer_.data(), n);
-        if (!complete_) {
-            if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return fail();
-            return read();
-        }
-        outcome_.status = parser_.status_code;
+    void parse(std::size_t bytes) {
+        static const http_parser_settings kCallbacks = parserCallbacks();
+        http_parser_execute(&parser_, &kCallbacks, buffer_.data(), bytes);
+        if (responseComplete_) return completeResponse();
+        if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK) return fail();
+        read();
+    }
+
+    void completeResponse() {
+        result_.status = parser_.status_code;
         timer_.cancel();
-        since_ = Clock::now();
-        if (!keepAlive_) {
-            close();
-        } else {
+        idleSince_ = Clock::now();
+        if (keepAlive_)
             read();
-        }
+        else
+            close();
         finish();
     }
 
-    static http_parser_settings callbacks() {
-        http_parser_settings s;
-        http_parser_settings_init(&s);
-        s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            auto& c = of(p);
-            if (c.outcome_.body.size() + n > kMaxResponseBytes) {
-                c.oversize_ = true;
-                return 1;
-            }
-            c.outcome_.body.append(at, n);
-            return 0;
+    static http_parser_settings parserCallbacks() {
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_body = [](http_parser* parser, const char* at, std::size_t bytes) {
+            return of(parser).appendBody(at, bytes) ? 0 : 1;
         };
-        s.on_message_complete = [](http_parser* p) {
-            auto& c = of(p);
-            c.complete_ = true;
-            c.keepAlive_ = http_should_keep_alive(p) != 0;
-            http_parser_pause(p, 1);
+        settings.on_message_complete = [](http_parser* parser) {
+            auto& connection = of(parser);
+            connection.responseComplete_ = true;
+            connection.keepAlive_ = http_should_keep_alive(parser) != 0;
+            http_parser_pause(parser, 1);
             return 0;
         };
-        return s;
+        return settings;
+    }
+
+    /// False if the response becomes too large, which ends the parsing.
+    bool appendBody(const char* at, std::size_t bytes) {
+        if (result_.body.size() + bytes > kMaxResponseBytes) {
+            responseTooLarge_ = true;
+            return false;
+        }
+        result_.body.append(at, bytes);
+        return true;
     }
 
+    /// Hands over the result. The connection is ready for another request by then, which the callback may
+    /// send.
     void finish() {
-        if (!done_) return;
+        if (!isBusy()) return;
         const auto done = std::exchange(done_, nullptr);
-        done(std::exchange(outcome_, {}));
+        done(std::exchange(result_, {}));
     }
 
     HttpClient& client_;
     std::string address_;
+    State state_ = State::unconnected;
     Socket socket_;
-    Timer timer_;
+    Timer timer_;  // of the request under way
     http_parser parser_{};
-    std::array<char, 4096> buffer_;
-    std::string out_;
-    HttpResult outcome_;
-    ResultCallback done_;
-    bool oversize_ = false;  // the response under way; the connection is closed for it
-    bool connected_ = false;
-    bool complete_ = false;
-    bool keepAlive_ = true;
-    bool closed_ = false;
-    Time since_ = Clock::now();
+    std::array<char, kReadBytes> buffer_;
+    std::string out_;      // the request under way
+    HttpResult result_;    // as far as the response has come
+    ResultCallback done_;  // set while a request is under way
+    bool responseComplete_ = false;
+    bool responseTooLarge_ = false;  // the connection is closed for it
+    bool keepAlive_ = true;          // as the last response says
+    Time idleSince_ = Clock::now();
 };
 
 // NOLINTNEXTLINE(bugprone-exception-escape): no timer that exists fails to be cancelled
 HttpClient::~HttpClient() {
-    *alive_ = false;
-    auto pools = std::move(pools_);
-    for (auto& [address, pool] : pools)
-        for (auto& connection : pool) {
+    isAlive_ = false;
+    const auto pools = std::move(poolsByAddress_);
+    for (const auto& [address, pool] : pools)
+        for (const auto& connection : pool) {
             connection->abandon();
             connection->close();
         }
 }
 
 void HttpClient::closeOneIdle() {
-    for (const auto& [address, pool] : pools_)
+    for (const auto& [address, pool] : poolsByAddress_)
         for (const auto& connection : pool)
-            if (!connection->busy()) {
+            if (!connection->isBusy()) {
                 // NOLINTNEXTLINE(performance-unnecessary-copy-initialization): it outlives its removal
                 const auto idle = connection;
                 return idle->close();
@@ -180,38 +219,39 @@
 
 void HttpClient::request(const std::string& address, const char* method, const std::string& target,
                          const std::string& body, Duration timeout, ResultCallback done) {
-    auto& pool = pools_[address];
-    const auto idle = std::find_if(pool.begin(), pool.end(), [](const auto& c) { return !c->busy(); });
+    auto& pool = poolsByAddress_[address];
+    const auto idle = std::find_if(pool.begin(), pool.end(), [](const auto& c) { return !c->isBusy(); });
     if (idle != pool.end()) {
         const auto connection = *idle;
         return connection->send(method, target, body, timeout, std::move(done));
     }
-    // Connections kept for later give way to one that is needed now.
-    if (open_ >= limit_) closeOneIdle();
-    if (open_ >= limit_) {
-        if (pool.empty()) pools_.erase(address);
+    // An idle connection to another address gives way.
+    if (openConnections_ >= maxConnections_) closeOneIdle();
+    if (openConnections_ >= maxConnections_) {
+        if (pool.empty()) poolsByAddress_.erase(address);
         asio::post(io_, [done = std::move(done)] { done({}); });
         return;
     }
-    ++open_;
+    ++openConnections_;
     const auto connection = pool.emplace_back(std::make_shared<Connection>(*this, address));
     connection->send(method, target, body, timeout, std::move(done));
 }
 
 void HttpClient::closeIdle(Duration age) {
-    std::vector<std::shared_ptr<Connection>> stale;
-    for (const auto& [address, pool] : pools_)
+    Pool stale;  // closing a connection changes its pool
+    for (const auto& [address, pool] : poolsByAddress_)
         for (const auto& connection : pool)
-            if (connection->idleFor(age)) stale.push_back(connection);
+            if (connection->isIdleFor(age)) stale.push_back(connection);
     for (const auto& connection : stale) connection->close();
 }
 
 void HttpClient::remove(Connection* connection) {
-    if (!*alive_) return;
-    const auto found = pools_.find(connection->address());
-    if (found == pools_.end()) return;
-    open_ -= std::erase_if(found->second, [&](const auto& c) { return c.get() == connection; });
-    if (found->second.empty()) pools_.erase(found);
+    if (!isAlive_) return;
+    const auto found = poolsByAddress_.find(connection->address());
+    if (found == poolsByAddress_.end()) return;
+    auto& pool = found->second;
+    openConnections_ -= std::erase_if(pool, [&](const auto& c) { return c.get() == connection; });
+    if (pool.empty()) poolsByAddress_.erase(found);
 }
 
 }  // namespace burlpoint::transport
--- a/src/transport/http_message.h
+++ b/src/transport/http_message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP requests and responses, as the server and those that serve them exchange them.
+// The HTTP requests that the server hands to its handler, and the responses that come back. Holds no state.
 
 #include <chrono>
 #include <functional>
@@ -10,19 +10,21 @@
 
 struct Request {
     std::string method;
-    std::string path;
-    std::string query;
+    std::string path;   ///< of the target, up to "?"
+    std::string query;  ///< of the target, after "?"
     std::string body;
-    bool tooLarge = false;  // the body went over the limit and was not kept
+    bool tooLarge = false;  ///< the body is larger than the server's limit; `body` is incomplete
 };
 
 struct Response {
     int status = 200;
-    std::string body;
-    std::chrono::seconds retryAfter{0};  // 0: no such header
-    std::string allow;                   // methods for a 405
+    std::string body;                    ///< MessagePack, or empty
+    std::chrono::seconds retryAfter{0};  ///< Retry-After header; 0: none
+    std::string allow;                   ///< Allow header, the methods of a 405; empty: none
 };
 
+/// Sends the response to a request. May be called later, on the event loop's thread. Only the first call
+/// counts, and none does once the connection is closed.
 using Reply = std::function<void(Response)>;
 using Handler = std::function<void(Request&&, Reply)>;
 
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -2,22 +2,34 @@
 
 #include <http_parser.h>
 
+#include <array>
 #include <asio/buffer.hpp>
 #include <asio/write.hpp>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "transport/http_status.h"
 
 namespace burlpoint::transport {
 
 namespace {
 
-constexpr std::size_t kTargetBytes = 2048;
-constexpr std::size_t kHeaderBytes = std::size_t{16} * 1024;
+constexpr std::size_t kReadBytes = 4096;                         // read at a time
+constexpr std::size_t kMaxTargetBytes = 2048;                    // of a request
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;  // names and values of a request's headers
+/// How long the client's remaining bytes are read after the last response.
 constexpr Duration kLinger{1000};
-constexpr std::size_t kFreeShare = 10;  // one of so many connections is kept free for clients that come anew
+constexpr Duration kSweepInterval{2000};
+constexpr Duration kAcceptRetry{100};
+/// One in so many connections is reserved for clients that connect anew.
+constexpr std::size_t kReservedShare = 10;
 
-const char* reason(int status) { return http_status_str(static_cast<http_status>(status)); }
+const char* reasonPhrase(int status) { return http_status_str(static_cast<::http_status>(status)); }
 
-std::string render(const Response& response, bool keepAlive) {
-    std::string out = "HTTP/1.1 " + std::to_string(response.status) + " " + reason(response.status) + "\r\n";
+std::string renderResponse(const Response& response, bool keepAlive) {
+    std::string out =
+        "HTTP/1.1 " + std::to_string(response.status) + " " + reasonPhrase(response.status) + "\r\n";
     if (!response.body.empty()) out += "Content-Type: application/msgpack\r\n";
     if (response.retryAfter.count() > 0)
         out += "Retry-After: " + std::to_string(response.retryAfter.count()) + "\r\n";
@@ -29,137 +41,165 @@
 
 }  // namespace
 
+/// One client's connection. It goes through idle, receiving, handling and writing for each request, and is
+/// closed by way of lingering after its last response.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
   public:
-    Connection(HttpServer& server, Socket socket)
-        : server_(server), socket_(std::move(socket)), since_(Clock::now()) {
+    Connection(HttpServer& server, Socket socket) : server_(server), socket_(std::move(socket)) {
         http_parser_init(&parser_, HTTP_REQUEST);
         parser_.data = this;
+        enter(State::idle, server_.limits_.idle);
     }
 
     void read() {
         socket_.async_read_some(asio::buffer(buffer_),
-                                [self = shared_from_this()](auto error, std::size_t n) {
-                                    if (self->closed_) return;
+                                [self = shared_from_this()](auto error, std::size_t bytes) {
+                                    if (self->state_ == State::closed) return;
                                     if (error) return self->close();
-                                    if (self->lingering_) return self->read();
-                                    self->begin_ = 0;
-                                    self->end_ = n;
+                                    if (self->state_ == State::lingering) return self->read();
+                                    self->unparsedBegin_ = 0;
+                                    self->unparsedEnd_ = bytes;
                                     self->parse();
                                 });
     }
 
     void close() {
-        if (closed_) return;
-        closed_ = true;
+        if (state_ == State::closed) return;
+        state_ = State::closed;
         asio::error_code ignored;
         socket_.close(ignored);
         server_.connections_.erase(shared_from_this());
     }
 
-    /// Silent and slow peers may not hold their sockets for ever.
-    bool overdue(Time now, const ServerLimits& limits) const {
-        if (answering_) return false;
-        if (lingering_) return now - since_ > kLinger;
-        return now - since_ > (receiving_ ? limits.receive : limits.idle);
-    }
+    /// Whether the client has been too slow, so that the connection should be closed.
+    bool isOverdue(Time now) const { return state_ != State::handling && now - since_ > limit_; }
 
   private:
+    enum class State {
+        idle,       ///< waits for a request
+        receiving,  ///< a part of a request has come
+        handling,   ///< the handler has the request; it may take as long as it needs
+        writing,    ///< the response is written
+        lingering,  ///< the last response is written; waits for the client to close
+        closed
+    };
+
     static Connection& of(http_parser* parser) { return *static_cast<Connection*>(parser->data); }
 
+    /// `limit`: how long the client may take from now on.
+    void enter(State state, Duration limit) {
+        state_ = state;
+        limit_ = limit;
+        since_ = Clock::now();
+    }
+
     void parse() {
-        static const http_parser_settings kCallbacks = callbacks();
-        const auto used = http_parser_execute(&parser_, &kCallbacks, buffer_.data() + begin_, end_ - begin_);
-        begin_ += used;
-        if (complete_) return dispatch();
-        if (HTTP_PARSER_ERRNO(&parser_) != HPE_OK || parser_.upgrade) {
-            Response bad;
-            bad.status = 400;
-            return write(render(bad, false), false);
-        }
-        read();
+        static const http_parser_settings kCallbacks = parserCallbacks();
+        unparsedBegin_ += http_parser_execute(&parser_, &kCallbacks, buffer_.data() + unparsedBegin_,
+                                              unparsedEnd_ - unparsedBegin_);
+        if (requestComplete_) return handle();
+        if (HTTP_PARSER_ERRNO(&parser_) == HPE_OK && !parser_.upgrade) return read();
+        // Where the next request begins can't be told any more.
+        keepAlive_ = false;
+        Response malformed;
+        malformed.status = http_status::kBadRequest;
+        write(malformed);
     }
 
-    static http_parser_settings callbacks() {
-        http_parser_settings s;
-        http_parser_settings_init(&s);
-        s.on_message_begin = [](http_parser* p) {
-            auto& c = of(p);
-            c.request_ = {};
-            c.target_.clear();
-            c.headerBytes_ = 0;
-            c.receiving_ = true;
-            c.since_ = Clock::now();
+    static http_parser_settings parserCallbacks() {
+        http_parser_settings settings;
+        http_parser_settings_init(&settings);
+        settings.on_message_begin = [](http_parser* parser) {
+            of(parser).beginRequest();
             return 0;
         };
-        s.on_url = [](http_parser* p, const char* at, std::size_t n) {
-            auto& c = of(p);
-            c.target_.append(at, n);
-            return c.target_.size() > kTargetBytes ? 1 : 0;
+        settings.on_url = [](http_parser* parser, const char* at, std::size_t bytes) {
+            auto& target = of(parser).target_;
+            target.append(at, bytes);
+            return target.size() > kMaxTargetBytes ? 1 : 0;
         };
-        const auto header = [](http_parser* p, const char*, std::size_t n) {
-            auto& c = of(p);
-            c.headerBytes_ += n;
-            return c.headerBytes_ > kHeaderBytes ? 1 : 0;
+        const auto countHeaderBytes = [](http_parser* parser, const char*, std::size_t bytes) {
+            auto& headerBytes = of(parser).headerBytes_;
+            headerBytes += bytes;
+            return headerBytes > kMaxHeaderBytes ? 1 : 0;
         };
-        s.on_header_field = header;
-        s.on_header_value = header;
-        s.on_body = [](http_parser* p, const char* at, std::size_t n) {
-            auto& c = of(p);
-            if (c.request_.body.size() + n > c.server_.limits_.bodyBytes) {
-                c.request_.tooLarge = true;
-                c.complete_ = true;  // answered at once; the rest is not read
-                c.keepAlive_ = false;
-                return 1;
-            }
-            c.request_.body.append(at, n);
-            return 0;
+        settings.on_header_field = countHeaderBytes;
+        settings.on_header_value = countHeaderBytes;
+        settings.on_body = [](http_parser* parser, const char* at, std::size_t bytes) {
+            return of(parser).appendBody(at, bytes) ? 0 : 1;
         };
-        s.on_message_complete = [](http_parser* p) {
-            auto& c = of(p);
-            c.complete_ = true;
-            c.keepAlive_ = http_should_keep_alive(p) != 0;
-            http_parser_pause(p, 1);
+        settings.on_message_complete = [](http_parser* parser) {
+            auto& connection = of(parser);
+            connection.requestComplete_ = true;
+            connection.keepAlive_ = http_should_keep_alive(parser) != 0;
+            // The bytes of a next request wait until this one is answered.
+            http_parser_pause(parser, 1);
             return 0;
         };
-        return s;
+        return settings;
+    }
+
+    void beginRequest() {
+        request_ = {};
+        target_.clear();
+        headerBytes_ = 0;
+        enter(State::receiving, server_.limits_.receive);
+    }
+
+    /// False if the body becomes too large. The request is handled at once then, and the rest of it not read.
+    bool appendBody(const char* at, std::size_t bytes) {
+        if (request_.body.size() + bytes > server_.limits_.bodyBytes) {
+            request_.tooLarge = true;
+            requestComplete_ = true;
+            keepAlive_ = false;
+            return false;
+        }
+        request_.body.append(at, bytes);
+        return true;
     }
 
-    void dispatch() {
-        complete_ = false;
-        receiving_ = false;
-        answering_ = true;
+    void handle() {
+        requestComplete_ = false;
+        state_ = State::handling;
         request_.method = http_method_str(static_cast<http_method>(parser_.method));
-        const auto mark = target_.find('?');
-        request_.path = target_.substr(0, mark);
-        if (mark != std::string::npos) request_.query = target_.substr(mark + 1);
+        const auto queryMark = target_.find('?');
+        request_.path = target_.substr(0, queryMark);
+        if (queryMark != std::string::npos) request_.query = target_.substr(queryMark + 1);
         server_.handler_(std::move(request_), [weak = weak_from_this()](const Response& response) {
             const auto self = weak.lock();
-            if (!self || self->closed_ || !self->answering_) return;
-            const bool keepAlive = self->keepAlive_ && !self->server_.isCrowded();
-            self->write(render(response, keepAlive), keepAlive);
+            if (!self || self->state_ != State::handling) return;
+            self->keepAlive_ = self->keepAlive_ && !self->server_.isCrowded();
+            self->write(response);
         });
     }
 
-    void write(std::string text, bool keepAlive) {
-        answering_ = false;
-        since_ = Clock::now();
-        out_ = std::move(text);
-        asio::async_write(socket_, asio::buffer(out_),
-                          [self = shared_from_this(), keepAlive](auto error, std::size_t) {
-                              if (self->closed_) return;
-                              self->out_.clear();
-                              if (error) return self->close();
-                              if (!keepAlive) return self->linger();
-                              http_parser_pause(&self->parser_, 0);
-                              if (self->begin_ < self->end_) return self->parse();
-                              self->read();
-                          });
+    void write(const Response& response) {
+        // A client whose request was malformed has no more time than it had for the request.
+        const auto& limits = server_.limits_;
+        enter(State::writing, state_ == State::receiving ? limits.receive : limits.idle);
+        out_ = renderResponse(response, keepAlive_);
+        asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](auto error, std::size_t) {
+            if (self->state_ == State::closed) return;
+            self->out_.clear();
+            if (error) return self->close();
+            if (self->keepAlive_) return self->awaitRequest();
+            self->linger();
+        });
     }
 
-    // Closing with bytes unread would reset the connection, and the peer might lose the answer.
+    /// The idle time counts from the moment at which the response was ready.
+    void awaitRequest() {
+        state_ = State::idle;
+        http_parser_pause(&parser_, 0);
+        if (unparsedBegin_ < unparsedEnd_) return parse();
+        read();
+    }
+
+    /// Waits for the client to close. Closing with bytes unread would reset the connection, and the client
+    /// might lose the response. The time counts from the moment at which the response was ready.
     void linger() {
-        lingering_ = true;
+        state_ = State::lingering;
+        limit_ = kLinger;
         asio::error_code ignored;
         socket_.shutdown(asio::socket_base::shutdown_send, ignored);
         read();
@@ -167,26 +207,24 @@
 
     HttpServer& server_;
     Socket socket_;
+    State state_ = State::idle;
+    Time since_;         // from when `limit_` counts
+    Duration limit_{0};  // after which the connection is overdue
     http_parser parser_{};
-    std::array<char, 4096> buffer_;
-    std::size_t begin_ = 0;
-    std::size_t end_ = 0;
+    std::array<char, kReadBytes> buffer_;
+    std::size_t unparsedBegin_ = 0;  // of what was read into `buffer_`
+    std::size_t unparsedEnd_ = 0;
     Request request_;
     std::string target_;
-    std::string out_;
     std::size_t headerBytes_ = 0;
-    bool complete_ = false;
-    bool keepAlive_ = true;
-    bool receiving_ = false;
-    bool answering_ = false;
-    bool lingering_ = false;
-    bool closed_ = false;
-    Time since_;
+    bool requestComplete_ = false;
+    bool keepAlive_ = true;  // after the response
+    std::string out_;
 };
 
 HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& at, ServerLimits limits,
                        Handler handler)
-    : acceptor_(io), sweeper_(io), limits_(limits), handler_(std::move(handler)) {
+    : acceptor_(io), sweepTimer_(io), limits_(limits), handler_(std::move(handler)) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
     acceptor_.bind(at);
@@ -196,7 +234,7 @@
 }
 
 HttpServer::~HttpServer() {
-    *alive_ = false;
+    *isAlive_ = false;
     while (!connections_.empty()) {
         const auto connection = *connections_.begin();
         connection->close();
@@ -204,43 +242,51 @@
 }
 
 bool HttpServer::isCrowded() const {
-    return connections_.size() + limits_.connections / kFreeShare > limits_.connections;
+    return connections_.size() + limits_.connections / kReservedShare > limits_.connections;
 }
 
 void HttpServer::accept() {
-    acceptor_.async_accept([this, alive = alive_](auto error, Socket socket) {
-        if (!*alive) return;
-        if (error) {
-            // Out of descriptors or a peer already gone: a short pause keeps this from spinning.
-            sweeper_.expires_after(std::chrono::milliseconds(100));
-            sweeper_.async_wait([this, alive](auto) {
-                if (!*alive) return;
-                accept();
-                sweep();
-            });
-            return;
+    acceptor_.async_accept([this, isAlive = isAlive_](auto error, Socket socket) {
+        if (!*isAlive) return;
+        if (!error) {
+            add(std::move(socket));
+            return accept();
         }
-        if (connections_.size() < limits_.connections) {
-            asio::error_code ignored;
-            socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-            const auto connection = std::make_shared<Connection>(*this, std::move(socket));
-            connections_.insert(connection);
-            connection->read();
-        }
-        accept();
+        // No file descriptor is free, or the client is gone already. The pause keeps the loop from spinning.
+        sweepTimer_.expires_after(kAcceptRetry);
+        sweepTimer_.async_wait([this, isAlive](auto) {
+            if (!*isAlive) return;
+            accept();
+            sweep();
+        });
     });
 }
 
+/// Beyond the limit a connection is closed at once, by the end of `socket`.
+void HttpServer::add(Socket socket) {
+    if (connections_.size() >= limits_.connections) return;
+    asio::error_code ignored;
+    socket.set_option(asio::ip::tcp::no_delay(true), ignored);
+    const auto connection = std::make_shared<Connection>(*this, std::move(socket));
+    connections_.insert(connection);
+    connection->read();
+}
+
 void HttpServer::sweep() {
-    sweeper_.expires_after(std::chrono::seconds(2));
-    sweeper_.async_wait([this, alive = alive_](auto error) {
-        if (!*alive || error) return;
-        std::vector<std::shared_ptr<Connection>> overdue;
-        for (const auto& connection : connections_)
-            if (connection->overdue(Clock::now(), limits_)) overdue.push_back(connection);
-        for (const auto& connection : overdue) connection->close();
+    sweepTimer_.expires_after(kSweepInterval);
+    sweepTimer_.async_wait([this, isAlive = isAlive_](auto error) {
+        if (!*isAlive || error) return;
+        closeOverdue();
         sweep();
     });
 }
 
+void HttpServer::closeOverdue() {
+    const auto now = Clock::now();
+    std::vector<std::shared_ptr<Connection>> overdue;  // closing a connection takes it out of the set
+    for (const auto& connection : connections_)
+        if (connection->isOverdue(now)) overdue.push_back(connection);
+    for (const auto& connection : overdue) connection->close();
+}
+
 }  // namespace burlpoint::transport
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// An HTTP/1.1 server that is bounded in connections, memory and time. Owns the listening socket and the
+// connections. Used on the event loop's thread only; the handler runs there.
+
 #include <cstddef>
 #include <memory>
 #include <unordered_set>
@@ -10,39 +13,46 @@
 
 namespace burlpoint::transport {
 
+/// Bounds that keep slow or hostile clients from using up the process's sockets and memory.
 struct ServerLimits {
-    std::size_t connections = 500;
-    std::size_t bodyBytes = std::size_t{64} * 1024;
-    Duration idle{60'000};     // a connection without a request under way
-    Duration receive{10'000};  // from a request's first byte to its last
+    std::size_t connections = 500;                   ///< open at the same time
+    std::size_t bodyBytes = std::size_t{64} * 1024;  ///< of a request
+    Duration idle{60'000};                           ///< how long a connection is kept without a request
+    Duration receive{10'000};                        ///< from a request's first byte to its last
 };
 
-/// An HTTP/1.1 server: one request at a time per connection, bounded in connections, bytes and time. Where
-/// most of its connections are in use, each is closed with its answer, so that more clients than connections
-/// take turns.
+/// Serves one request at a time on each connection. While the server is crowded, it closes each connection
+/// after its response, so that more clients than connections can take turns.
 class HttpServer {
   public:
+    /// Listens at once; throws `asio::system_error` if it can't.
     HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& at, ServerLimits limits, Handler handler);
+    /// Closes all connections.
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
     HttpServer& operator=(const HttpServer&) = delete;
 
     asio::ip::tcp::endpoint localEndpoint() const { return acceptor_.local_endpoint(); }
     std::size_t connections() const { return connections_.size(); }
-    /// So few connections are left that none is kept open for a later request.
+    /// Whether so many connections are open that none is kept for a later request of its client.
     bool isCrowded() const;
 
   private:
     class Connection;
+
     void accept();
+    void add(Socket socket);
+    /// Closes overdue connections from time to time.
     void sweep();
+    void closeOverdue();
 
     Acceptor acceptor_;
-    Timer sweeper_;
+    Timer sweepTimer_;
     ServerLimits limits_;
     Handler handler_;
     std::unordered_set<std::shared_ptr<Connection>> connections_;
-    std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+    /// False once the server is destroyed; held by pending operations, which may complete later.
+    std::shared_ptr<bool> isAlive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace burlpoint::transport
