--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -135,7 +135,7 @@
 
 void ActionExecutor::carryOut(ScaleIn& action) {
     if (!entitled()) return deliver_(ScaleInCompleted{action.machines, false});
-    services_.http.request(settings_.cloudAddress, "POST", paths::kRelease,
+    services_.http.request(settings_.cloudAddress, "POST", paths::kInstanceDeletion,
                            protocol::encodeInstanceDeletion(action.machines), kCloudTimeout,
                            [this, round = round_, machines = action.machines](const HttpResult& outcome) {
                                if (round == round_) deliver_(ScaleInCompleted{machines, outcome.ok()});
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -258,7 +258,7 @@
         // A grant of a peer that has more to tell would carry this leader on while tasks go on that users
         // were told are cancelled.
         if (!leader_ || question.round != executor_.round() || !answer.complete) return;
-        const Duration life(std::min(answer.grantMs, kMaxVoteMs));
+        const Duration life(std::min(answer.voteMs, kMaxVoteMs));
         election_.noteVote(question.peer, life, question.sent);
     } catch (const MalformedMessage& error) {
         spdlog::error("malformed answer of a peer: {}", error.what());
@@ -278,7 +278,7 @@
         status.running.clear();
         if (asking.fencingToken > 0) {
             peers_.appendCancellations(asking, status);
-            if (status.complete) status.grantMs = voteFor(asking, now);
+            if (status.complete) status.voteMs = voteFor(asking, now);
         }
         call.reply(protocol::respond(200, protocol::encodePeerStatus(status)));
     } catch (const MalformedMessage& error) {
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -1,8 +1,9 @@
 #include "protocol/cloud_messages.h"
 
 #include "protocol/enum_names.h"
-#include "protocol/errors.h"
-#include "protocol/msgpack_codec.h"
+#include "protocol/map_reader.h"
+#include "protocol/message_packer.h"
+#include "protocol/wire_names.h"
 
 namespace burlpoint::protocol {
 
@@ -12,89 +13,104 @@
                                                      {"running", MachineState::running},
                                                      {"failed", MachineState::failed}}};
 
+MachineType decodeMachineType(const MapReader& fields) {
+    MachineType type;
+    type.name = fields.text(wire::cloud::kTypeName);
+    type.cpus = fields.amount(wire::kCpus);
+    type.gpus = fields.amount(wire::kGpus);
+    type.memoryGb = fields.amount(wire::kMemoryGb);
+    type.cacheGb = fields.amount(wire::cloud::kCacheGb);
+    type.fetchGbPerS = fields.amount(wire::cloud::kFetchGbPerS);
+    type.price = fields.amount(wire::cloud::kPrice);
+    type.spotPrice = fields.amount(wire::cloud::kSpotPrice);
+    type.boot = Seconds(fields.amount(wire::cloud::kBootS));
+    type.zones = fields.texts(wire::kZones);
+    return type;
+}
+
+void packMachineType(MessagePacker& packer, const MachineType& type) {
+    packer.map(10);
+    packer.field(wire::cloud::kTypeName, type.name);
+    packer.field(wire::kCpus, type.cpus);
+    packer.field(wire::kGpus, type.gpus);
+    packer.field(wire::kMemoryGb, type.memoryGb);
+    packer.field(wire::cloud::kCacheGb, type.cacheGb);
+    packer.field(wire::cloud::kFetchGbPerS, type.fetchGbPerS);
+    packer.field(wire::cloud::kPrice, type.price);
+    packer.field(wire::cloud::kSpotPrice, type.spotPrice);
+    packer.field(wire::cloud::kBootS, type.boot.count());
+    packer.field(wire::kZones, type.zones);
+}
+
+CloudInstance decodeInstance(const MapReader& fields) {
+    CloudInstance instance;
+    instance.id = fields.text(wire::kId);
+    instance.address = fields.maybeText(wire::kAddress).value_or("");
+    instance.type = fields.text(wire::kMachineType);
+    instance.zone = fields.text(wire::kZone);
+    instance.spot = fields.flag(wire::kSpot);
+    instance.state = parseEnum(kMachineStates, fields.text(wire::kState));
+    instance.age = Seconds(fields.maybeAmount(wire::cloud::kAgeS).value_or(0));
+    return instance;
+}
+
 }  // namespace
 
 std::vector<MachineType> decodeMachineTypes(const msgpack::object& body) {
     std::vector<MachineType> types;
-    MapReader(body).each("hulls", [&](const msgpack::object& element) {
-        const MapReader f(element);
-        MachineType t;
-        t.name = f.text("label");
-        t.cpus = f.amount("cores");
-        t.gpus = f.amount("accelerators");
-        t.memoryGb = f.amount("ramGb");
-        t.cacheGb = f.amount("cacheGb");
-        t.fetchGbPerS = f.amount("pullGbPerS");
-        t.price = f.amount("rate");
-        t.spotPrice = f.amount("marketPrice");
-        t.boot = Seconds(f.amount("readyS"));
-        t.zones = f.texts("quays");
-        types.push_back(std::move(t));
+    MapReader(body).each(wire::kMachineTypes, [&](const msgpack::object& element) {
+        types.push_back(decodeMachineType(MapReader(element)));
     });
     return types;
 }
 
 std::string encodeMachineTypes(const std::vector<MachineType>& types) {
-    MessagePacker p;
-    p.map(1).key("hulls").list(types.size());
-    for (const auto& t : types) {
-        p.map(10).field("label", t.name).field("cores", t.cpus).field("accelerators", t.gpus);
-        p.field("ramGb", t.memoryGb).field("cacheGb", t.cacheGb).field("pullGbPerS", t.fetchGbPerS);
-        p.field("rate", t.price).field("marketPrice", t.spotPrice).field("readyS", t.boot.count());
-        p.field("quays", t.zones);
-    }
-    return p.take();
+    MessagePacker packer;
+    packer.map(1).key(wire::kMachineTypes).list(types.size());
+    for (const auto& type : types) packMachineType(packer, type);
+    return packer.take();
 }
 
-std::string encodeInstanceRequest(const InstanceRequest& r) {
-    MessagePacker p;
-    p.map(5).field("charter", r.name).field("hull", r.type).field("quay", r.zone).field("driftwood", r.spot);
-    return p.field("howMany", r.count).take();
+std::string encodeInstanceRequest(const InstanceRequest& request) {
+    MessagePacker packer;
+    packer.map(5);
+    packer.field(wire::cloud::kRequestName, request.name);
+    packer.field(wire::kMachineType, request.type);
+    packer.field(wire::kZone, request.zone);
+    packer.field(wire::kSpot, request.spot);
+    packer.field(wire::cloud::kCount, request.count);
+    return packer.take();
 }
 
 std::vector<std::string> decodeInstanceIds(std::string_view body) {
     const auto handle = unpackBody(body);
-    return MapReader(handle.get()).texts("bollards");
+    return MapReader(handle.get()).texts(wire::kMachines);
 }
 
 std::string encodeInstanceDeletion(const std::vector<std::string>& machines) {
-    return MessagePacker().map(1).field("bollards", machines).take();
+    return MessagePacker().map(1).field(wire::kMachines, machines).take();
 }
 
 InstancePage decodeInstancePage(std::string_view body) {
     const auto handle = unpackBody(body);
-    const MapReader f(handle.get());
+    const MapReader fields(handle.get());
     InstancePage page;
-    f.each("bollards", [&](const msgpack::object& element) {
-        const MapReader m(element);
-        CloudInstance rented;
-        rented.id = m.text("uid");
-        rented.address = m.maybeText("address").value_or("");
-        rented.type = m.text("hull");
-        rented.zone = m.text("quay");
-        rented.spot = m.flag("driftwood");
-        rented.state = parseEnum(kMachineStates, m.text("bearing"));
-        rented.age = Seconds(m.maybeAmount("heldS").value_or(0));
-        page.machines.push_back(std::move(rented));
+    fields.each(wire::kMachines, [&](const msgpack::object& element) {
+        page.machines.push_back(decodeInstance(MapReader(element)));
     });
-    page.more = f.flagOr("hasNext", false);
+    page.more = fields.flagOr(wire::kHasMore, false);
     return page;
 }
 
-bool saysNoCapacity(std::string_view body) {
-    try {
-        const auto handle = unpackBody(body);
-        return MapReader(handle.get()).maybeText("error") == "no capacity";
-    } catch (const MalformedMessage&) {
-        return false;
-    }
-}
+bool saysNoCapacity(std::string_view body) { return decodeErrorReply(body) == wire::cloud::kNoCapacity; }
 
 namespace paths {
 
-std::string instancePage(const std::string& after, unsigned most) {
-    return std::string(kInstanceRequest) + "?most=" + std::to_string(most) +
-           (after.empty() ? "" : "&since=" + after);
+std::string instancePage(const std::string& after, unsigned limit) {
+    std::string target = kInstanceRequest;
+    target.append("?").append(wire::query::kLimit).append(std::to_string(limit));
+    if (!after.empty()) target.append("&").append(wire::query::kAfter).append(after);
+    return target;
 }
 
 }  // namespace paths
--- a/src/protocol/cloud_messages.h
+++ b/src/protocol/cloud_messages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Machine types, and what is asked of the cloud and answered by it.
+// The messages exchanged with the cloud: machine types, instance requests and the list of machines. Holds no
+// state.
 
 #include <cstdint>
 #include <msgpack/object_fwd.hpp>
@@ -13,17 +14,18 @@
 
 namespace burlpoint::protocol {
 
+/// A type of machine that the cloud offers.
 struct MachineType {
     std::string name;
     double cpus = 0;
     double gpus = 0;
     double memoryGb = 0;
-    double cacheGb = 0;  // for images
-    double fetchGbPerS = 0;
-    double price = 0;      // an hour
-    double spotPrice = 0;  // an hour; moves all the time
-    Seconds boot{0};
-    std::vector<std::string> zones;  // that have it
+    double cacheGb = 0;              ///< disk space for images
+    double fetchGbPerS = 0;          ///< speed at which a machine fetches images
+    double price = 0;                ///< of an ordinary machine, an hour
+    double spotPrice = 0;            ///< of a spot machine, an hour; changes all the time
+    Seconds boot{0};                 ///< that a new machine takes until its worker runs
+    std::vector<std::string> zones;  ///< that offer the type
     bool operator==(const MachineType&) const = default;
 };
 
@@ -32,15 +34,15 @@
 /// A machine as the cloud lists it.
 struct CloudInstance {
     std::string id;
-    std::string address;  // empty until it is known
+    std::string address;  ///< empty until the cloud has assigned one
     std::string type;
     std::string zone;
     bool spot = false;
     MachineState state = MachineState::booting;
-    Seconds age{0};  // since it was rented
+    Seconds age{0};  ///< since the instance request; 0 if the cloud does not say
 };
 
-/// A request for machines; a repetition under the same name rents no more.
+/// A request for machines. It is idempotent: repeated under the same name, it adds no machines.
 struct InstanceRequest {
     std::string name;
     std::string type;
@@ -49,29 +51,31 @@
     std::uint32_t count = 0;
 };
 
-/// A part of the list of machines.
+/// A page of the list of machines.
 struct InstancePage {
     std::vector<CloudInstance> machines;
-    bool more = false;
+    bool more = false;  ///< another page follows
 };
 
-// Each decode function throws Malformed.
+// Each decode function throws `MalformedMessage`.
+
 std::vector<MachineType> decodeMachineTypes(const msgpack::object& body);
 std::string encodeMachineTypes(const std::vector<MachineType>& types);
 std::string encodeInstanceRequest(const InstanceRequest& request);
-/// The machines rented, by id.
+/// The ids of the machines that an instance request has added.
 std::vector<std::string> decodeInstanceIds(std::string_view body);
+/// `machines`: the ids of the machines to delete.
 std::string encodeInstanceDeletion(const std::vector<std::string>& machines);
 InstancePage decodeInstancePage(std::string_view body);
-/// Is this the refusal of a instance request for lack of machines?
+/// Whether the body of a refusal tells of a capacity error. False for a body that can't be read.
 bool saysNoCapacity(std::string_view body);
 
 namespace paths {
-inline constexpr char kTypes[] = "/flavors";
-inline constexpr char kInstanceRequest[] = "/rentals";
-inline constexpr char kRelease[] = "/rentals/release";
-/// At most `most` machines after that one.
-std::string instancePage(const std::string& after, unsigned most);
+inline constexpr char kTypes[] = "/flavors";            ///< machine types
+inline constexpr char kInstanceRequest[] = "/rentals";  ///< POST: a request; GET: the list of machines
+inline constexpr char kInstanceDeletion[] = "/rentals/release";
+/// The page of at most `limit` machines whose ids sort after `after`.
+std::string instancePage(const std::string& after, unsigned limit);
 }  // namespace paths
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/enum_names.h
+++ b/src/protocol/enum_names.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Tables between enumerators and the words that stand for them in messages.
+// Tables between the enumerators of a type and the words that stand for them in messages.
 
 #include <array>
 #include <cstddef>
@@ -9,15 +9,14 @@
 #include <utility>
 
 #include "protocol/errors.h"
-#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
-/// The words for all values of an enumeration.
+/// The word on the wire and the enumerator, for every value of `E` that may be sent.
 template <typename E, std::size_t N>
 using EnumNames = std::array<std::pair<std::string_view, E>, N>;
 
-/// The value that the word stands for; throws Malformed if there is none.
+/// The enumerator that the word stands for; throws `MalformedMessage` if there is none.
 template <typename E, std::size_t N>
 E parseEnum(const EnumNames<E, N>& names, std::string_view word) {
     for (const auto& [name, value] : names)
@@ -25,7 +24,7 @@
     throw MalformedMessage("unknown word \"" + std::string(word) + "\"");
 }
 
-/// The word for the value.
+/// The word for the enumerator; empty if the table has none.
 template <typename E, std::size_t N>
 std::string_view enumName(const EnumNames<E, N>& names, E wanted) {
     for (const auto& [name, value] : names)
--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -3,7 +3,10 @@
 #include <algorithm>
 
 #include "protocol/enum_names.h"
-#include "protocol/msgpack_codec.h"
+#include "protocol/errors.h"
+#include "protocol/map_reader.h"
+#include "protocol/message_packer.h"
+#include "protocol/wire_names.h"
 
 namespace burlpoint::protocol {
 
@@ -20,80 +23,127 @@
                                              {"done", JobState::done},
                                              {"cancelled", JobState::cancelled}}};
 
+constexpr std::string_view kJobIdPrefix = "wk-";
+constexpr std::size_t kMaxJobIdDigits = 20;
+constexpr std::size_t kMaxNameBytes = 100;  // of names that users choose
+constexpr std::size_t kMaxMachineTypes = 16;
+constexpr std::size_t kSpecFields = 20;  // without the dependencies
+
+std::uint32_t decodeTaskCount(const MapReader& fields) {
+    const auto tasks = fields.integer(wire::kTasks);
+    if (tasks < 1 || tasks > kMaxTasks) MapReader::throwInvalid(wire::kTasks);
+    return static_cast<std::uint32_t>(tasks);
+}
+
+std::optional<std::vector<std::string>> decodeAllowedTypes(const MapReader& fields) {
+    if (!fields.find(wire::kMachineTypes)) return std::nullopt;
+    auto types = fields.texts(wire::kMachineTypes);
+    if (types.size() > kMaxMachineTypes) MapReader::throwInvalid(wire::kMachineTypes);
+    return types;
+}
+
+/// The ids in the order given, each once.
+std::vector<std::string> decodeDependencies(const MapReader& fields) {
+    std::vector<std::string> dependencies;
+    for (auto& id : fields.texts(wire::job::kDependencies)) {
+        if (!isJobId(id)) MapReader::throwInvalid(wire::job::kDependencies);
+        const auto known = std::find(dependencies.begin(), dependencies.end(), id);
+        if (known == dependencies.end()) dependencies.push_back(std::move(id));
+    }
+    return dependencies;
+}
+
 }  // namespace
 
 bool isJobId(std::string_view text) {
-    constexpr std::string_view kPrefix = "wk-";
-    constexpr std::size_t kMaxDigits = 20;
-    if (!text.starts_with(kPrefix)) return false;
-    const auto digits = text.substr(kPrefix.size());
-    return !digits.empty() && digits.size() <= kMaxDigits &&
+    if (!text.starts_with(kJobIdPrefix)) return false;
+    const auto digits = text.substr(kJobIdPrefix.size());
+    return !digits.empty() && digits.size() <= kMaxJobIdDigits &&
            std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
 JobSpec decodeSpec(const msgpack::object& body) {
-    const MapReader f(body);
-    constexpr std::size_t kName = 100;  // characters
-    constexpr std::size_t kMaxTypes = 16;
-    JobSpec s;
-    s.id = f.text("uid");
-    if (!isJobId(s.id)) throw MalformedMessage("field uid is invalid");
-    s.jobClass = f.text("berth", kName);
-    s.team = f.text("crew", kName);
-    s.kind = parseEnum(kJobKinds, f.text("rig"));
-    s.priority = parseEnum(kPriorities, f.text("tide"));
-    const auto tasks = f.integer("hands");
-    if (tasks < 1 || tasks > kMaxTasks) throw MalformedMessage("field hands is invalid");
-    s.tasks = static_cast<std::uint32_t>(tasks);
-    s.cpus = f.amount("cores");
-    s.gpus = f.amount("accelerators");
-    s.memoryGb = f.amount("ramGb");
-    s.image = f.text("cargo", kName);
-    s.imageGb = f.amount("pullGb");
-    if (f.find("hulls")) {
-        s.types = f.texts("hulls");
-        if (s.types->size() > kMaxTypes) throw MalformedMessage("field hulls is invalid");
-    }
-    s.zone = f.maybeText("quay", kName);
-    s.singleZone = f.flag("together");
-    s.spreadZones = f.flag("apart");
-    s.spot = f.flag("driftwood");
-    s.estimatedRunTime = Seconds(f.amount("voyageS"));
-    s.checkpointInterval = Seconds(f.amount("logbookS"));
-    s.saveTime = Seconds(f.amount("stowS"));
-    if (const auto deadline = f.maybeAmount("sailingS")) s.deadline = Seconds(*deadline);
-    for (auto& id : f.texts("towlines")) {
-        if (!isJobId(id)) throw MalformedMessage("field towlines is invalid");
-        const auto known = std::find(s.dependencies.begin(), s.dependencies.end(), id);
-        if (known == s.dependencies.end()) s.dependencies.push_back(std::move(id));
-    }
-    return s;
+    const MapReader fields(body);
+    JobSpec spec;
+    spec.id = fields.text(wire::kId);
+    if (!isJobId(spec.id)) MapReader::throwInvalid(wire::kId);
+    spec.jobClass = fields.text(wire::job::kClass, kMaxNameBytes);
+    spec.team = fields.text(wire::job::kTeam, kMaxNameBytes);
+    spec.kind = parseEnum(kJobKinds, fields.text(wire::job::kKind));
+    spec.priority = parseEnum(kPriorities, fields.text(wire::job::kPriority));
+    spec.tasks = decodeTaskCount(fields);
+    spec.cpus = fields.amount(wire::kCpus);
+    spec.gpus = fields.amount(wire::kGpus);
+    spec.memoryGb = fields.amount(wire::kMemoryGb);
+    spec.image = fields.text(wire::job::kImage, kMaxNameBytes);
+    spec.imageGb = fields.amount(wire::job::kImageGb);
+    spec.types = decodeAllowedTypes(fields);
+    spec.zone = fields.maybeText(wire::kZone, kMaxNameBytes);
+    spec.singleZone = fields.flag(wire::job::kSingleZone);
+    spec.spreadZones = fields.flag(wire::job::kSpreadZones);
+    spec.spot = fields.flag(wire::kSpot);
+    spec.estimatedRunTime = Seconds(fields.amount(wire::job::kEstimatedRunTimeS));
+    spec.checkpointInterval = Seconds(fields.amount(wire::job::kCheckpointIntervalS));
+    spec.saveTime = Seconds(fields.amount(wire::job::kSaveTimeS));
+    if (const auto deadline = fields.maybeAmount(wire::job::kDeadlineS)) spec.deadline = Seconds(*deadline);
+    spec.dependencies = decodeDependencies(fields);
+    return spec;
 }
 
-void packSpec(MessagePacker& p, const JobSpec& s, std::size_t extraFields) {
-    p.map(20 + extraFields + !s.dependencies.empty());
-    p.field("uid", s.id).field("berth", s.jobClass).field("crew", s.team);
-    p.field("rig", enumName(kJobKinds, s.kind)).field("tide", enumName(kPriorities, s.priority));
-    p.field("hands", s.tasks).field("cores", s.cpus).field("accelerators", s.gpus).field("ramGb", s.memoryGb);
-    p.field("cargo", s.image).field("pullGb", s.imageGb);
-    p.maybe("hulls", s.types).maybe("quay", s.zone);
-    p.field("together", s.singleZone).field("apart", s.spreadZones).field("driftwood", s.spot);
-    p.field("voyageS", s.estimatedRunTime.count()).field("logbookS", s.checkpointInterval.count());
-    p.field("stowS", s.saveTime.count());
-    s.deadline ? p.field("sailingS", s.deadline->count()) : p.nil("sailingS");
-    if (!s.dependencies.empty()) p.field("towlines", s.dependencies);
+void packSpec(MessagePacker& packer, const JobSpec& spec, std::size_t extraFields) {
+    const bool hasDependencies = !spec.dependencies.empty();
+    packer.map(kSpecFields + extraFields + (hasDependencies ? 1 : 0));
+    packer.field(wire::kId, spec.id);
+    packer.field(wire::job::kClass, spec.jobClass);
+    packer.field(wire::job::kTeam, spec.team);
+    packer.field(wire::job::kKind, enumName(kJobKinds, spec.kind));
+    packer.field(wire::job::kPriority, enumName(kPriorities, spec.priority));
+    packer.field(wire::kTasks, spec.tasks);
+    packer.field(wire::kCpus, spec.cpus);
+    packer.field(wire::kGpus, spec.gpus);
+    packer.field(wire::kMemoryGb, spec.memoryGb);
+    packer.field(wire::job::kImage, spec.image);
+    packer.field(wire::job::kImageGb, spec.imageGb);
+    packer.maybe(wire::kMachineTypes, spec.types);
+    packer.maybe(wire::kZone, spec.zone);
+    packer.field(wire::job::kSingleZone, spec.singleZone);
+    packer.field(wire::job::kSpreadZones, spec.spreadZones);
+    packer.field(wire::kSpot, spec.spot);
+    packer.field(wire::job::kEstimatedRunTimeS, spec.estimatedRunTime.count());
+    packer.field(wire::job::kCheckpointIntervalS, spec.checkpointInterval.count());
+    packer.field(wire::job::kSaveTimeS, spec.saveTime.count());
+    if (spec.deadline)
+        packer.field(wire::job::kDeadlineS, spec.deadline->count());
+    else
+        packer.nil(wire::job::kDeadlineS);
+    // Left out when there are none, as in the records of versions without dependencies.
+    if (hasDependencies) packer.field(wire::job::kDependencies, spec.dependencies);
 }
 
 std::string jobReply(const std::string& id, JobState state) {
-    return MessagePacker().map(2).field("uid", id).field("bearing", enumName(kJobStates, state)).take();
+    MessagePacker packer;
+    packer.map(2).field(wire::kId, id).field(wire::kState, enumName(kJobStates, state));
+    return packer.take();
 }
 
 std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running) {
-    MessagePacker p;
-    p.map(4).field("uid", id).field("bearing", enumName(kJobStates, state));
-    return p.field("done", done).field("running", running).take();
+    MessagePacker packer;
+    packer.map(4).field(wire::kId, id).field(wire::kState, enumName(kJobStates, state));
+    packer.field(wire::job::kTasksDone, done).field(wire::job::kTasksRunning, running);
+    return packer.take();
 }
 
-std::string errorReply(std::string_view why) { return MessagePacker().map(1).field("error", why).take(); }
+std::string errorReply(std::string_view reason) {
+    return MessagePacker().map(1).field(wire::kError, reason).take();
+}
+
+std::string decodeErrorReply(std::string_view body) {
+    try {
+        const auto handle = unpackBody(body);
+        return MapReader(handle.get()).maybeText(wire::kError).value_or("");
+    } catch (const MalformedMessage&) {
+        return "";
+    }
+}
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/job_messages.h
+++ b/src/protocol/job_messages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Jobs as users describe and ask about them.
+// The messages exchanged with users: jobs as they submit them, and the answers to submissions, cancellations
+// and questions about a job's state. Holds no state.
 
 #include <cstddef>
 #include <cstdint>
@@ -11,62 +12,68 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "protocol/errors.h"
-#include "protocol/msgpack_codec.h"
 
 namespace burlpoint::protocol {
 
 class MessagePacker;
 
-/// How the tasks of a job belong together: independent of each other, at once or not at all, or for good.
-enum class JobKind { array, gang, service };
+enum class JobKind {
+    array,   ///< a job array: independent tasks, each of which runs until it is done
+    gang,    ///< all tasks run at the same time, or none
+    service  ///< tasks that run until the job is cancelled
+};
 enum class Priority { low, normal, high, production };
 enum class JobState { queued, running, done, cancelled };
 
-/// Tasks that a job may have.
+/// The most tasks that a job may have.
 constexpr std::uint32_t kMaxTasks = 100'000;
 
 /// A job as its user describes it.
 struct JobSpec {
     std::string id;
-    std::string jobClass;
+    std::string jobClass;  ///< by which service-level objectives name their jobs
     std::string team;
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
-    std::uint32_t tasks = 1;
-    double cpus = 0;  // of each task, like what follows
-    double gpus = 0;
-    double memoryGb = 0;
-    std::string image;
+    std::uint32_t tasks = 1;  ///< from 1 to `kMaxTasks`
+    double cpus = 0;          ///< of each task
+    double gpus = 0;          ///< of each task
+    double memoryGb = 0;      ///< of each task
+    std::string image;        ///< that each task needs on its machine
     double imageGb = 0;
-    std::optional<std::vector<std::string>> types;  // machine types that it may use; none: all
-    std::optional<std::string> zone;                // the only one that it may use
-    bool singleZone = false;                        // all tasks in the same zone
-    bool spreadZones = false;                       // at most half of the tasks, rounded up, in a zone
-    bool spot = false;                              // spot machines may be used
-    Seconds estimatedRunTime{0};                    // of a task's run
-    Seconds checkpointInterval{0};                  // between saves; 0: it does not save
-    Seconds saveTime{0};                            // that a save takes
-    std::optional<Seconds> deadline;                // from the submission
-    std::vector<std::string> dependencies;  // jobs that have to be done before any task of this one starts
+    std::optional<std::vector<std::string>> types;  ///< machine types that it may use; none: all
+    std::optional<std::string> zone;                ///< the only zone that it may use; none: all
+    bool singleZone = false;                        ///< all its tasks run in the same zone
+    bool spreadZones = false;               ///< at most half of its tasks, rounded up, run in the same zone
+    bool spot = false;                      ///< its tasks may run on spot machines
+    Seconds estimatedRunTime{0};            ///< of each task
+    Seconds checkpointInterval{0};          ///< between two checkpoints; 0: it makes none
+    Seconds saveTime{0};                    ///< that a checkpoint takes
+    std::optional<Seconds> deadline;        ///< from the submission on
+    std::vector<std::string> dependencies;  ///< jobs that must be done before any of its tasks starts
     bool operator==(const JobSpec&) const = default;
 };
 
-/// Has the text the form of a job's id?
+/// Whether the text has the form of a job id.
 bool isJobId(std::string_view text);
 
-/// Throws Malformed.
+/// Throws `MalformedMessage` for a spec that lacks a field or has one that is out of range.
 JobSpec decodeSpec(const msgpack::object& body);
-/// Opens a map with the spec's fields and room for so many more, which have to follow.
+/// Packs the spec as a map that has room for `extraFields` more fields, which the caller has to add.
 void packSpec(MessagePacker& packer, const JobSpec& spec, std::size_t extraFields = 0);
+
 std::string jobReply(const std::string& id, JobState state);
-/// `done` and `running`: tasks.
+/// `done`, `running`: numbers of tasks.
 std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running);
-std::string errorReply(std::string_view why);
+
+/// The body of a refusal with its reason.
+std::string errorReply(std::string_view reason);
+/// The reason in the body of a refusal; empty if the body has none or can't be read.
+std::string decodeErrorReply(std::string_view body);
 
 namespace paths {
-inline constexpr char kSubmissions[] = "/submissions";
-inline constexpr char kCancel[] = "/cancel";
+inline constexpr char kSubmissions[] = "/submissions";  ///< and below it, each job's path
+inline constexpr char kCancel[] = "/cancel";            ///< after a job's path
 inline constexpr char kReady[] = "/ready";
 }  // namespace paths
 
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -2,51 +2,63 @@
 
 #include <algorithm>
 
-#include "protocol/msgpack_codec.h"
+#include "protocol/job_messages.h"
+#include "protocol/map_reader.h"
+#include "protocol/message_packer.h"
+#include "protocol/wire_names.h"
 
 namespace burlpoint::protocol {
 
 PeerStatus decodePeerStatus(std::string_view body) {
     const auto handle = unpackBody(body);
-    const MapReader f(handle.get());
-    PeerStatus s;
-    s.node = f.text("node");
-    s.fencingToken = f.integer("token");
-    s.resignedToken = f.integerOr("given_up", 0);
-    s.stateAgeMs = f.integer("state_age_ms");
-    s.leaderToken = f.integerOr("hears", 0);
-    s.grantMs = f.integerOr("promise_ms", 0);
-    s.revision = f.integerOr("revision", 0);
-    s.log = f.integerOr("log", 0);
-    s.logAt = f.integerOr("log_at", 0);
-    s.complete = f.flagOr("told", false);
-    f.each("cancelled", [&](const msgpack::object& element) {
-        const MapReader c(element);
-        s.cancelled.push_back({c.text("job"), c.integer("version")});
+    const MapReader fields(handle.get());
+    PeerStatus status;
+    status.node = fields.text(wire::peer::kController);
+    status.fencingToken = fields.integer(wire::peer::kFencingToken);
+    status.resignedToken = fields.integerOr(wire::peer::kResignedToken, 0);
+    status.stateAgeMs = fields.integer(wire::peer::kStateAgeMs);
+    status.leaderToken = fields.integerOr(wire::peer::kLeaderToken, 0);
+    status.voteMs = fields.integerOr(wire::peer::kVoteMs, 0);
+    status.revision = fields.integerOr(wire::peer::kRevision, 0);
+    status.log = fields.integerOr(wire::peer::kLog, 0);
+    status.logAt = fields.integerOr(wire::peer::kLogPosition, 0);
+    status.complete = fields.flagOr(wire::peer::kComplete, false);
+    fields.each(wire::peer::kCancelled, [&](const msgpack::object& element) {
+        const MapReader cancellation(element);
+        status.cancelled.push_back(
+            {cancellation.text(wire::peer::kJob), cancellation.integer(wire::peer::kVersion)});
     });
-    f.each("running", [&](const msgpack::object& element) {
-        const MapReader r(element);
-        s.running.emplace_back(r.text("job"), static_cast<std::uint32_t>(
-                                                  std::min<std::uint64_t>(r.integer("count"), kMaxTasks)));
+    fields.each(wire::peer::kRunning, [&](const msgpack::object& element) {
+        const MapReader running(element);
+        auto job = running.text(wire::peer::kJob);
+        const auto count = std::min<std::uint64_t>(running.integer(wire::peer::kCount), kMaxTasks);
+        status.running.emplace_back(std::move(job), static_cast<std::uint32_t>(count));
     });
-    return s;
+    return status;
 }
 
-std::string encodePeerStatus(const PeerStatus& s) {
-    MessagePacker p;
-    p.map(12)
-        .field("node", s.node)
-        .field("token", s.fencingToken)
-        .field("given_up", s.resignedToken)
-        .field("state_age_ms", s.stateAgeMs)
-        .field("hears", s.leaderToken)
-        .field("promise_ms", s.grantMs);
-    p.field("revision", s.revision).field("log", s.log).field("log_at", s.logAt).field("told", s.complete);
-    p.key("cancelled").list(s.cancelled.size());
-    for (const auto& c : s.cancelled) p.map(2).field("job", c.job).field("version", c.version);
-    p.key("running").list(s.running.size());
-    for (const auto& [job, count] : s.running) p.map(2).field("job", job).field("count", count);
-    return p.take();
+std::string encodePeerStatus(const PeerStatus& status) {
+    MessagePacker packer;
+    packer.map(12);
+    packer.field(wire::peer::kController, status.node);
+    packer.field(wire::peer::kFencingToken, status.fencingToken);
+    packer.field(wire::peer::kResignedToken, status.resignedToken);
+    packer.field(wire::peer::kStateAgeMs, status.stateAgeMs);
+    packer.field(wire::peer::kLeaderToken, status.leaderToken);
+    packer.field(wire::peer::kVoteMs, status.voteMs);
+    packer.field(wire::peer::kRevision, status.revision);
+    packer.field(wire::peer::kLog, status.log);
+    packer.field(wire::peer::kLogPosition, status.logAt);
+    packer.field(wire::peer::kComplete, status.complete);
+    packer.key(wire::peer::kCancelled).list(status.cancelled.size());
+    for (const auto& cancellation : status.cancelled) {
+        packer.map(2).field(wire::peer::kJob, cancellation.job);
+        packer.field(wire::peer::kVersion, cancellation.version);
+    }
+    packer.key(wire::peer::kRunning).list(status.running.size());
+    for (const auto& [job, count] : status.running)
+        packer.map(2).field(wire::peer::kJob, job).field(wire::peer::kCount, count);
+    return packer.take();
 }
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What nodes tell each other.
+// The status messages that controllers exchange: who leads, how old the sender's view of the key-value store
+// is, votes for the leader's lease, and the cancellations that a leader may not know yet. Holds no state.
 
 #include <cstdint>
 #include <string>
@@ -8,44 +9,44 @@
 #include <utility>
 #include <vector>
 
-#include "protocol/job_messages.h"
-
 namespace burlpoint::protocol {
 
 /// A job that its user has cancelled.
 struct Cancellation {
     std::string job;
-    std::uint64_t version = 0;  // of the record that tells it
+    std::uint64_t version = 0;  ///< of the job's record that says so
     bool operator==(const Cancellation&) const = default;
 };
 
-/// What a node tells a peer, as a question or in answer to one.
+/// A controller's status, sent to a peer as a question or as the answer to one.
+///
+/// Each controller keeps a log of the cancellations that it knows, identified by a number that it draws when
+/// it starts. A leader asks its peers for the cancellations that they know and it may not.
 struct PeerStatus {
-    std::string node;
-    std::uint64_t fencingToken = 0;   // of the sender's leadership, 0 for a follower
-    std::uint64_t resignedToken = 0;  // a fencing token that the sender led with and will not act under again
-    std::uint64_t stateAgeMs = 0;     // since the key-value store last answered the sender
-    std::uint64_t leaderToken = 0;    // fencing token of the leader that the sender is or is in touch with
-    std::uint64_t grantMs = 0;        // in an answer to a leader: so long the sender will not try to lead
-    std::vector<std::pair<std::string, std::uint32_t>> running;  // a leader's counts per job
-    // A leader asks for the cancellations that the other side knows and it may not.
-    std::uint64_t revision = 0;  // it knows all that was stored up to here
-    // Each process keeps a log of the cancellations it knows, named by a number that it draws as it starts.
-    // In a question: whose log, and from where on; in an answer: the own one, and up to where it was told.
-    std::uint64_t log = 0;
-    std::uint64_t logAt = 0;
+    std::string node;                 ///< the sender's name
+    std::uint64_t fencingToken = 0;   ///< of a leader; 0 from a follower
+    std::uint64_t resignedToken = 0;  ///< that the sender led with, and will never act under again
+    std::uint64_t stateAgeMs = 0;     ///< since the key-value store last answered the sender
+    std::uint64_t leaderToken = 0;    ///< of the leader that the sender is, or is in touch with
+    std::uint64_t voteMs = 0;  ///< in an answer to a leader: for this long the sender won't try to lead
+    /// Of a leader: how many tasks of each job run.
+    std::vector<std::pair<std::string, std::uint32_t>> running;
+    std::uint64_t revision = 0;  ///< of a leader: it knows everything stored up to this revision
+    std::uint64_t log = 0;       ///< in a question: the log to read from; in an answer: the sender's own log
+    std::uint64_t logAt = 0;  ///< in a question: where to begin; in an answer: up to where it tells the log
     std::vector<Cancellation> cancelled;
-    bool complete = false;  // in an answer: nothing is left to tell
+    bool complete = false;  ///< in an answer: it reaches the end of the log
     bool operator==(const PeerStatus&) const = default;
 };
 
-/// Throws Malformed. Fields that older versions lack have a meaning when they are missing.
+/// Throws `MalformedMessage`. Fields that older versions don't send may be missing; they are 0, empty or
+/// false then.
 PeerStatus decodePeerStatus(std::string_view body);
 std::string encodePeerStatus(const PeerStatus& status);
 
 namespace paths {
-inline constexpr char kPeer[] = "/peer";
-inline constexpr char kRelay[] = "/relay";
+inline constexpr char kPeer[] = "/peer";    ///< a peer's status
+inline constexpr char kRelay[] = "/relay";  ///< a heartbeat that a follower forwards to the leader
 }  // namespace paths
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -1,7 +1,9 @@
 #include "protocol/responses.h"
 
+#include <utility>
+
 #include "protocol/job_messages.h"
-#include "transport/http_message.h"
+#include "transport/http_status.h"
 
 namespace burlpoint::protocol {
 
@@ -14,14 +16,14 @@
     return response;
 }
 
-Response retryLater(int status, std::string_view why, std::chrono::seconds after) {
-    auto response = respond(status, errorReply(why));
+Response retryLater(int status, std::string_view reason, std::chrono::seconds after) {
+    auto response = respond(status, errorReply(reason));
     response.retryAfter = after;
     return response;
 }
 
 Response wrongMethod(const char* allow, std::string body) {
-    auto response = respond(405, std::move(body));
+    auto response = respond(transport::http_status::kMethodNotAllowed, std::move(body));
     response.allow = allow;
     return response;
 }
--- a/src/protocol/store_messages.h
+++ b/src/protocol/store_messages.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// What is asked of the key-value store and answered by it.
+// The messages exchanged with the key-value store: transactions, pages of keys, watches and leases. Holds no
+// state.
 
 #include <chrono>
 #include <cstdint>
@@ -10,58 +11,60 @@
 #include <string_view>
 #include <vector>
 
-#include "protocol/errors.h"
-
 namespace burlpoint::protocol {
 
-/// A key that a transaction writes or deletes.
+/// A write or deletion of one key in a transaction.
 struct KeyWrite {
     std::string key;
-    std::optional<std::string> value;  // packed; none: the key is deleted
-    std::uint64_t lease = 0;
+    std::optional<std::string> value;  ///< packed; none: the key is deleted
+    std::uint64_t lease = 0;           ///< with which the key is deleted when it expires; 0: no lease
 };
-/// The version that a key must have for a transaction to be carried out; 0: it must not exist.
+/// The version that a key must have for a transaction to be carried out; 0: the key must not exist.
 struct KeyCondition {
     std::string key;
     std::uint64_t version = 0;
 };
-/// A key's value or its deletion. The object lives as long as the body it was unpacked from.
+/// A key with its value, or a key that was deleted.
 struct KeyChange {
     std::string key;
-    const msgpack::object* value = nullptr;
-    std::uint64_t version = 0;
+    const msgpack::object* value = nullptr;  ///< null: deleted; lives as long as the unpacked body
+    std::uint64_t version = 0;               ///< the revision that wrote or deleted the key
 };
-/// A part of the keys, or the changes after a revision.
+/// A page of keys in their order, or the changes after a revision in the order in which they were made.
 struct KeyPage {
     std::vector<KeyChange> entries;
-    bool more = false;
-    std::uint64_t revision = 0;
+    bool more = false;           ///< another page follows
+    std::uint64_t revision = 0;  ///< of the store when it answered
 };
-/// The revision that the transaction made; or the keys whose condition failed.
+/// The answer to a transaction that was carried out, or that was not because of its conditions.
 struct TransactionReply {
-    std::uint64_t revision = 0;
-    std::vector<std::string> failed;
+    std::uint64_t revision = 0;       ///< that the transaction made, if it was carried out
+    std::vector<std::string> failed;  ///< the keys whose condition did not hold
 };
 
-// Each decode function throws Malformed.
+// Each decode function throws `MalformedMessage`.
+
 std::string encodeTransaction(const std::vector<KeyCondition>& conditions,
                               const std::vector<KeyWrite>& writes);
 TransactionReply decodeTransactionReply(std::string_view body);
 KeyPage decodeKeyPage(const msgpack::object& body);
 KeyPage decodeWatch(const msgpack::object& body);
-/// A lease that ends after `life` unless it is extended.
+/// A request for a lease that expires after `life` unless it is extended.
 std::string encodeLease(std::chrono::milliseconds life);
-/// The new lease's id.
+/// The id of the new lease.
 std::uint64_t decodeLease(std::string_view body);
+/// Whether a refusal's reason (see `decodeErrorReply`) says that a lease does not exist or has expired.
+bool isNoSuchLease(std::string_view reason);
 
 namespace paths {
 inline constexpr char kTransaction[] = "/multi";
 inline constexpr char kLeases[] = "/holds";
 std::string extendLease(std::uint64_t lease);
 std::string lease(std::uint64_t lease);
-/// At most `most` keys with the prefix, after that one.
-std::string keyPage(const std::string& prefix, const std::string& after, unsigned most);
-/// Changes of keys with the prefix after that revision, as soon as there are any within `wait`.
+/// The page of at most `limit` keys with the prefix that sort after `after`.
+std::string keyPage(const std::string& prefix, const std::string& after, unsigned limit);
+/// The changes of keys with the prefix after that revision. The store answers as soon as there are any, or
+/// after `wait` without any.
 std::string watch(const std::string& prefix, std::uint64_t after, std::chrono::milliseconds wait);
 }  // namespace paths
 
--- a/src/protocol/worker_messages.h
+++ b/src/protocol/worker_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What workers report and what they are ordered.
+// The messages exchanged with worker agents: their heartbeats, and the commands to them. Holds no state.
 
 #include <compare>
 #include <cstdint>
@@ -14,52 +14,64 @@
 
 namespace burlpoint::protocol {
 
-enum class TaskState { fetching, waiting, running, saving, exited };
+/// The state of a task on its machine.
+enum class TaskState {
+    fetching,  ///< its image is fetched
+    waiting,   ///< for the other tasks of its gang
+    running,
+    saving,  ///< makes its last checkpoint before it stops
+    exited   ///< reported until the controller acknowledges it
+};
 
-/// Why a task has exited; none: it has not.
+/// Why a task has exited.
 enum class ExitReason {
-    none,
+    none,  ///< it has not exited
     done,
-    stopped,  // as ordered
-    peers,    // another task of its gang has exited
-    alone,    // its gang did not come together in time
+    stopped,  ///< by a command
+    peers,    ///< another task of its gang has exited
+    alone,    ///< its gang did not come together in time
     error,
-    noRoom,  // refused: the machine is full
-    busy,    // refused, for now
-    unknown  // refused: the worker knows no such task
+    noRoom,  ///< the worker refused to start it: the machine is full
+    busy,    ///< the worker refused to start it, for now
+    unknown  ///< the worker knows no such attempt
 };
 
-/// What a worker is to do with an attempt.
-enum class CommandKind { start, stop, acknowledge };
+/// What a worker is told to do with an attempt.
+enum class CommandKind {
+    start,
+    stop,
+    acknowledge  ///< its exit has been recorded, so the worker may stop reporting it
+};
 
 /// One start of one task.
 struct Attempt {
     std::string job;
-    std::uint32_t task = 0;
-    std::uint64_t number = 0;
+    std::uint32_t task = 0;    ///< from 0 on
+    std::uint64_t number = 0;  ///< of the attempt; unique among the attempts of all tasks
     auto operator<=>(const Attempt&) const = default;
 };
 
-/// An attempt as its worker reports it.
+/// An attempt as its worker's heartbeat describes it.
 struct TaskStatus {
     Attempt attempt;
     TaskState state = TaskState::fetching;
     ExitReason why = ExitReason::none;
-    bool saved = false;  // its progress is stored
+    bool saved = false;  ///< its last checkpoint is stored
     bool operator==(const TaskStatus&) const = default;
 };
 
-/// A worker's message: a heartbeat, or its answer to a direct command.
+/// A worker's heartbeat, which is also its answer to a direct command.
 struct Heartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t incarnation = 0;   // rises with each start of the worker and each end of its lease
-    std::uint64_t sequence = 0;      // rises with each message of the incarnation
-    std::uint64_t fencingToken = 0;  // the highest that the worker has taken
-    std::optional<Seconds> interruptionNotice;  // the cloud takes the machine back after this
+    std::uint64_t incarnation = 0;   ///< rises when the worker starts and when its lease expires
+    std::uint64_t sequence = 0;      ///< rises with each message of an incarnation
+    std::uint64_t fencingToken = 0;  ///< the highest that the worker has accepted
+    /// Present after a spot interruption notice: the cloud takes the machine back after this time.
+    std::optional<Seconds> interruptionNotice;
     std::vector<TaskStatus> tasks;
     bool operator==(const Heartbeat&) const = default;
 };
@@ -67,21 +79,22 @@
 struct WorkerCommand {
     CommandKind kind = CommandKind::start;
     Attempt attempt;
-    Seconds grace{0};  // of a stop: the time to save in
+    Seconds grace{0};  ///< of a stop: how long the task may take for a checkpoint
     bool operator==(const WorkerCommand&) const = default;
 };
 
-// Each decode function throws Malformed.
+// Each decode function throws `MalformedMessage`.
+
 Heartbeat decodeHeartbeat(std::string_view body);
 std::string encodeHeartbeat(const Heartbeat& heartbeat);
 /// The response to a heartbeat.
 std::string encodeHeartbeatResponse(std::uint64_t fencingToken, const std::vector<WorkerCommand>& commands);
-/// A command to a worker in that incarnation.
+/// Commands sent to a worker between its heartbeats. It refuses them unless it is in that incarnation.
 std::string encodeDirectCommands(std::uint64_t fencingToken, std::uint64_t incarnation,
                                  const std::vector<WorkerCommand>& commands);
-/// The orders of a response to a heartbeat or of a command.
+/// The commands in a response to a heartbeat or in a direct message.
 std::vector<WorkerCommand> decodeCommands(std::string_view body);
-/// Sends a worker to the leader; an empty name: nobody is known to lead.
+/// Sends a worker to the leader; `leader` is empty if none is known.
 std::string encodeRedirect(const std::string& leader);
 
 namespace paths {
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -131,7 +131,7 @@
 TEST_F(ActionExecutorTest, OutcomesAreDeliveredAsCommands) {
     lead();
     answers[protocol::paths::kCommands] = protocol::encodeHeartbeat(heartbeat("m1"));
-    answers[protocol::paths::kRelease] = "";
+    answers[protocol::paths::kInstanceDeletion] = "";
     perform(commands());
     const auto answered = next<coordination::CommandsAnswered>();
     EXPECT_EQ(answered.machine, "m1");
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -280,7 +280,7 @@
     while (ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
         runFor(50ms);
     stub.outage = true;
-    while (question(two, asking).grantMs == 0) runFor(50ms);
+    while (question(two, asking).voteMs == 0) runFor(50ms);
     EXPECT_TRUE(question(two, asking).cancelled.empty());  // it knows all of them
 
     asking.revision = 0;
@@ -289,7 +289,7 @@
     int parts = 0;
     for (; !answer.complete; ++parts) {
         answer = question(two, asking);
-        EXPECT_EQ(answer.grantMs > 0, answer.complete);
+        EXPECT_EQ(answer.voteMs > 0, answer.complete);
         for (const auto& c : answer.cancelled) EXPECT_TRUE(heard.insert(c.job).second);
         asking.log = answer.log;
         asking.logAt = answer.logAt;
