--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -18,6 +18,7 @@
 #include "bookkeeping/state_replica.h"
 #include "coordination/autoscaling/capacity_plan.h"
 #include "coordination/autoscaling/instance_request_queue.h"
+#include "protocol/policy.h"
 
 namespace burlpoint::coordination {
 
--- a/src/coordination/autoscaling/capacity_plan.h
+++ b/src/coordination/autoscaling/capacity_plan.h
@@ -19,6 +19,7 @@
 #include "coordination/autoscaling/capacity_errors.h"
 #include "coordination/autoscaling/instance_request_queue.h"
 #include "coordination/autoscaling/instance_selection.h"
+#include "protocol/policy.h"
 
 namespace burlpoint::coordination {
 
--- a/src/coordination/controller/controller.h
+++ b/src/coordination/controller/controller.h
@@ -17,6 +17,7 @@
 #include "coordination/leadership/overload_monitor.h"
 #include "coordination/leadership/peer_exchange.h"
 #include "coordination/state/state_watcher.h"
+#include "protocol/policy.h"
 #include "transport/executor.h"
 #include "transport/http_client.h"
 #include "transport/http_message.h"
--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -36,6 +36,7 @@
 #include "coordination/workers/failure_detector.h"
 #include "coordination/workers/heartbeat_reconciler.h"
 #include "coordination/workers/machine_tombstones.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -10,6 +10,7 @@
 #include "coordination/leadership/leader_lease.h"
 #include "coordination/leadership/lease_votes.h"
 #include "coordination/state/state_watcher.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 #include "storage/key_value_client.h"
 
--- a/src/coordination/scheduling/fetch_pacing.h
+++ b/src/coordination/scheduling/fetch_pacing.h
@@ -12,6 +12,7 @@
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/scheduling/image_locality.h
+++ b/src/coordination/scheduling/image_locality.h
@@ -10,6 +10,7 @@
 #include "coordination/scheduling/fetch_pacing.h"
 #include "coordination/scheduling/scan_counter.h"
 #include "coordination/scheduling/start_constraints.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/scheduling/job_queue.h
+++ b/src/coordination/scheduling/job_queue.h
@@ -11,7 +11,7 @@
 #include "base/wall_clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/state_replica.h"
-#include "protocol/settings.h"
+#include "protocol/policy.h"
 
 namespace burlpoint::coordination {
 
--- a/src/coordination/scheduling/zone_reservations.h
+++ b/src/coordination/scheduling/zone_reservations.h
@@ -8,7 +8,7 @@
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "protocol/settings.h"
+#include "protocol/policy.h"
 
 namespace burlpoint::coordination {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -6,6 +6,7 @@
 #include <cstdlib>
 
 #include "coordination/controller/controller.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 #include "transport/executor.h"
 
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,86 +1,98 @@
 #pragma once
 
+// The platform's settings: a TOML file that the platform writes for each controller. The operators' own file
+// is in protocol/policy.h. Read once at the start; nothing changes afterwards.
+
 #include <algorithm>
 #include <chrono>
-#include <map>
+#include <cstddef>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "base/clock.h"
-#include "protocol/job_messages.h"
+#include "protocol/settings_file.h"
 
 namespace burlpoint::protocol {
 
-/// A settings file that cannot be used; the message names the field or element.
-struct InvalidSettings : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
-/// Another node of the service.
+/// Another controller of the service.
 struct Peer {
     std::string name;
     std::string zone;
-    std::string address;
+    std::string address;  ///< its endpoint for peers
 };
 
-/// A team of users; 0 means no guarantee or no limit.
+/// A team of users and its quota. The guaranteed part of it is 0 for no guarantee, the maximum 0 for no
+/// limit.
 struct Team {
     std::string name;
-    double guaranteedCpus = 0;  // guaranteed
+    double guaranteedCpus = 0;
     double maxCpus = 0;
-    double guaranteedGpus = 0;  // guaranteed
+    double guaranteedGpus = 0;
     double maxGpus = 0;
 };
 
-/// What the platform's users expect of a class of jobs.
+/// A service-level objective: what users may expect of a class of jobs.
 struct ServiceLevelObjective {
-    std::string kind;
-    std::string jobClass;
-    Seconds within{0};
-    double share = 0;  // of the class's tasks or jobs
+    std::string kind;      ///< the kind of objective, as the platform calls it
+    std::string jobClass;  ///< empty: all classes
+    Seconds within{0};     ///< the time after which the objective is missed
+    double share = 0;      ///< of the class's tasks or jobs that meet it, from 0 to 1
 };
 
 /// Limits of the key-value store.
 struct StoreLimits {
-    double writesPerSecond = 0;
-    double maxValueKb = 0;
-    unsigned maxTransactionWrites = 0;
+    double writesPerSecond = 0;         ///< key writes and deletions of all clients together
+    double maxValueKb = 0;              ///< size of a value as JSON, in KiB
+    unsigned maxTransactionWrites = 0;  ///< key writes and deletions in one transaction
 };
 
-/// The platform's settings, one file per node.
+/// The platform's settings for one controller.
 struct Settings {
+    // This controller and those that it works with.
     std::string name;
     std::string zone;
-    std::string listenAddress;
-    std::string peerListenAddress;
+    std::string listenAddress;      ///< endpoint for workers, users and the load balancer
+    std::string peerListenAddress;  ///< endpoint for other controllers
     std::vector<Peer> peers;
     std::string cloudAddress;
-    std::string storeAddress;
+    std::string storeAddress;  ///< of the key-value store
+
+    // The cluster.
     std::vector<std::string> zones;
-    std::chrono::milliseconds clockError{0};
+    std::chrono::milliseconds clockError{0};  ///< at most this far is a time of day off
     std::vector<Team> teams;
     std::vector<ServiceLevelObjective> objectives;
-    Seconds heartbeatInterval{3};  // between a worker's reports
-    Seconds workerLease{30};       // of a worker, from its last answered report
-    Seconds gangWaitTimeout{40};   // how long a gang's task waits for the others
-    Seconds gangPeerTimeout{8};    // within which a gang ends once one of its tasks has
-    Seconds cancelTimeout{45};     // within which nothing of a cancelled job is left
+
+    // Workers and their tasks.
+    Seconds heartbeatInterval{3};  ///< between two heartbeats of a worker
+    Seconds workerLease{30};       ///< of a worker, from its last acknowledged heartbeat on
+    Seconds gangWaitTimeout{40};   ///< how long a gang's task waits for the others
+    Seconds gangPeerTimeout{8};    ///< after which a gang has ended once one of its tasks has exited
+    Seconds cancelTimeout{45};     ///< after which nothing of a cancelled job runs any more
+
+    // Limits of the key-value store, for all controllers together.
     double storeRequestsPerSecond = 100;
-    double storeWritesPerSecond = 20;
-    double maxValueKb = 8;
-    unsigned maxTransactionWrites = 16;
-    std::optional<StoreLimits> nextStoreLimits;  // in force from some moment on, without notice
-    double cloudRequestsPerSecond = 2;
-    Seconds cloudListLag{10};
-    double coreShare = 1;
-    double memoryMb = 100;
-    unsigned maxConnections = 1000;
+    double storeWritesPerSecond = 20;    ///< key writes and deletions
+    double maxValueKb = 8;               ///< size of a value as JSON, in KiB
+    unsigned maxTransactionWrites = 16;  ///< key writes and deletions in one transaction
+    /// Limits that replace those above at some later time, of which the key-value store gives no notice.
+    std::optional<StoreLimits> nextStoreLimits;
 
+    // The cloud.
+    double cloudRequestsPerSecond = 2;  ///< of all controllers together
+    Seconds cloudListLag{10};           ///< how late a change may show in the cloud's list of machines
+
+    // Resources that this controller may use itself.
+    double coreShare = 1;            ///< CPU cores
+    double memoryMb = 100;           ///< resident memory, in MiB
+    unsigned maxConnections = 1000;  ///< open sockets
+
+    /// The team of that name; null if there is none.
     const Team* team(const std::string& name) const;
-    // What is written keeps from the start to the smaller of the limits now and next: nothing tells when the
-    // next ones begin, and what is stored by then stays.
+
+    // Writes keep to the lower of the present and the next limits from the start. Nothing tells when the next
+    // ones come into force, and what is stored by then stays.
     double minValueKb() const {
         return nextStoreLimits ? std::min(maxValueKb, nextStoreLimits->maxValueKb) : maxValueKb;
     }
@@ -92,24 +104,12 @@
         return nextStoreLimits ? std::min(storeWritesPerSecond, nextStoreLimits->writesPerSecond)
                                : storeWritesPerSecond;
     }
+    /// `minValueKb` in bytes.
     std::size_t maxValueBytes() const { return static_cast<std::size_t>(minValueKb() * 1024); }
 };
 
-/// The operators' own settings (XML). Each has a default that suits both first deployments.
-struct Policy {
-    Seconds leadership{0};           // 0: derived from the workers' lease
-    Seconds idleKeep{10};            // how long a machine without tasks is kept
-    double bootKeep = 0.8;           // and at least this many of its type's boot times
-    Seconds minimumKeep{55};         // the cloud charges a minute at least
-    Seconds backlogHorizon{45};      // a backlog of short tasks should be gone after this
-    Seconds fetchStart{5};           // fetch time assumed before one was seen
-    Seconds longestPassedOver{120};  // what has waited for longer goes ahead of its like
-    bool preempt = true;
-};
-
+/// Both throw `InvalidSettings`.
 Settings readSettings(const std::string& path);
 Settings parseSettings(const std::string& toml);
-Policy readPolicy(const std::string& path);
-Policy parsePolicy(const std::string& xml);
 
 }  // namespace burlpoint::protocol
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -3,6 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
+#include "protocol/policy.h"
 
 using namespace burlpoint;
 using namespace burlpoint::protocol;
