--- a/src/coordination/api/submission_queue.cpp
+++ b/src/coordination/api/submission_queue.cpp
@@ -21,7 +21,7 @@
     : changes_(settings.storeWritesPerSecond * kShare, now, settings.minWritesPerSecond() * kShare) {}
 
 std::optional<std::chrono::seconds> SubmissionQueue::retryAfter(Time now) {
-    const Seconds expected(static_cast<double>(queued_) / changes_.rate(now));
+    const Seconds expected(static_cast<double>(queued_) / changes_.ratePerSecond(now));
     if (queued_ < kMaxQueued && expected <= kMaxWait) return std::nullopt;
     const auto after = std::chrono::ceil<std::chrono::seconds>(std::min(expected, kLongestRetry));
     return std::max(after, kShortestRetry);
@@ -54,7 +54,7 @@
 
 std::optional<Submission> SubmissionQueue::takeNext(Time now) {
     if (queues_.empty() || storing_ >= kMaxStoring) return std::nullopt;
-    if (!changes_.take(1, 0, now)) return std::nullopt;
+    if (!changes_.tryTake(1, 0, now)) return std::nullopt;
     auto next = queues_.upper_bound(lastTeam_);
     if (next == queues_.end()) next = queues_.begin();
     lastTeam_ = next->first;
--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -53,7 +53,7 @@
     void stored();
 
     /// The key-value store refused a change as one too many: the budget shrinks for a while.
-    void noteRefused(Time now) { changes_.refused(now); }
+    void noteRefused(Time now) { changes_.recordRefusal(now); }
 
     /// Does none wait? Those being stored don't count.
     bool empty() const { return queues_.empty(); }
--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -85,7 +85,7 @@
         if (machines.size() >= kMaxMachinesPerScaleIn) break;
         if (mayScaleIn(*machine, needed, now)) machines.push_back(machine.get());
     }
-    if (machines.empty() || !budget_.take(1, 0, now)) return;
+    if (machines.empty() || !budget_.tryTake(1, 0, now)) return;
     for (auto* machine : machines) {
         machine->deletionRequested = true;  // no starts from here on
         requests.scaleIn.push_back(machine->id);
@@ -123,12 +123,12 @@
 }
 
 void Autoscaler::requestLists(bool anyTypes, ScalingRequests& requests, Time now) {
-    if (now >= nextList_ && !listing_ && budget_.take(1, 0, now)) {
+    if (now >= nextList_ && !listing_ && budget_.tryTake(1, 0, now)) {
         nextList_ = now + std::clamp(ticks(settings_.cloudListLag / 2), kMinListInterval, kMaxListInterval);
         listing_ = true;
         requests.listMachines = true;
     }
-    if (now >= nextTypes_ && budget_.take(1, 0, now)) {
+    if (now >= nextTypes_ && budget_.tryTake(1, 0, now)) {
         nextTypes_ = now + (anyTypes ? kTypesInterval : kFirstTypesInterval);
         requests.listTypes = true;
     }
--- a/src/coordination/autoscaling/instance_request_queue.cpp
+++ b/src/coordination/autoscaling/instance_request_queue.cpp
@@ -26,7 +26,7 @@
     std::vector<InstanceRequest> due;
     for (auto& pending : pending_) {
         if (pending.underWay || now < pending.nextTry) continue;
-        if (!budget.take(1, 0, now)) break;
+        if (!budget.tryTake(1, 0, now)) break;
         pending.underWay = true;
         pending.sent = true;
         due.push_back(pending.request);
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -6,6 +6,7 @@
 
 namespace burlpoint::coordination {
 
+using storage::LeaseStatus;
 using storage::TransactionResult;
 using storage::TransactionStatus;
 
@@ -100,9 +101,9 @@
 void Election::attempt(Time now) {
     trying_ = true;
     const auto round = ++round_;
-    state_.makeLease(life_, [this, round, sent = now](int status, std::uint64_t lease) {
+    state_.makeLease(life_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
         if (round != round_) return;
-        if (status != 200) return fail(0);
+        if (status != LeaseStatus::active) return fail(0);
         takeOver(lease, sent);
     });
 }
@@ -165,11 +166,11 @@
     renewing_ = true;
     nextRenewal_ = now + life_ / kRenewalsInALife;
     const auto round = round_;
-    state_.extendLease(lease_, [this, round, sent = now](int status, std::uint64_t) {
+    state_.extendLease(lease_, [this, round, sent = now](LeaseStatus status, std::uint64_t) {
         if (round != round_) return;
         renewing_ = false;
-        if (status == 200) return leaderLease_.renewed(sent);
-        if (status == 404) {
+        if (status == LeaseStatus::active) return leaderLease_.renewed(sent);
+        if (status == LeaseStatus::expired) {
             spdlog::error("the leadership's lease has ended");
             return lose();
         }
--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -89,7 +89,7 @@
 
 void StateWatcher::poll() {
     if (polling_ || loading_) return;
-    if (!state_.requests().take(0, kReserve, Clock::now()))
+    if (!state_.requests().tryTake(0, kReserve, Clock::now()))
         return later(pollTimer_, spacing_ * 2, &StateWatcher::poll);
     polling_ = true;
     state_.watch(storage::keys::kAll, replica_.revision, kWatch, kWatchTimeout,
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -80,7 +80,7 @@
     putRegistryRemovals(draft);
 
     if (draft.state.writes.empty()) return std::nullopt;
-    budget_.force(static_cast<double>(draft.state.writes.size()), now);
+    budget_.takeUnconditionally(static_cast<double>(draft.state.writes.size()), now);
     for (const auto& write : draft.state.writes) draft.contents.keys.push_back(write.key);
     underWay_ = std::move(draft.contents);
     return std::move(draft.state);
@@ -193,7 +193,7 @@
             shrink(transaction, now);
             return outcome;
         case TransactionStatus::tooMany:
-            budget_.refused(now);
+            budget_.recordRefusal(now);
             nextWrite_ = now + kPauseAfterRefusal;
             return outcome;
         case TransactionStatus::refused:
--- a/src/storage/token_bucket.cpp
+++ b/src/storage/token_bucket.cpp
@@ -5,34 +5,44 @@
 namespace burlpoint::storage {
 
 namespace {
-constexpr double kSlower = 0.7;                     // of the rate, after a refusal
-constexpr double kFaster = 0.02;                    // of the highest rate, a second
-constexpr auto kOneSign = std::chrono::seconds(1);  // refusals within this are one and the same excess
+
+/// A refusal multiplies the rate by this.
+constexpr double kDecreaseFactor = 0.7;
+/// The rate grows by this share of the highest rate each second.
+constexpr double kIncreasePerSecond = 0.02;
+/// Refusals within this time of each other have the same cause and lower the rate only once.
+constexpr auto kRefusalWindow = std::chrono::seconds(1);
+/// The bucket can always fill up to one whole token. With less, a rate below one a second would never let
+/// anything through.
+constexpr double kMinCapacity = 1.0;
+
 }  // namespace
 
 void TokenBucket::refill(Time now) {
-    if (now > at_) {
-        const auto seconds = std::chrono::duration<double>(now - at_).count();
-        rate_ =
-            std::min(lowered_ ? std::min(maxRate_, next_) : maxRate_, rate_ + maxRate_ * kFaster * seconds);
-        // Room for one change at least: below that a low rate would never let anything through.
-        level_ = std::min(std::max(1.0, rate_), level_ + rate_ * seconds);
-        at_ = now;
-    }
+    if (now <= refilledAt_) return;
+    const auto elapsedSeconds = std::chrono::duration<double>(now - refilledAt_).count();
+    const auto ceiling =
+        loweredAt_ ? std::min(maxRatePerSecond_, announcedRatePerSecond_) : maxRatePerSecond_;
+    ratePerSecond_ =
+        std::min(ceiling, ratePerSecond_ + maxRatePerSecond_ * kIncreasePerSecond * elapsedSeconds);
+    const auto capacity = std::max(kMinCapacity, ratePerSecond_);
+    tokens_ = std::min(capacity, tokens_ + ratePerSecond_ * elapsedSeconds);
+    refilledAt_ = now;
 }
 
-void TokenBucket::refused(Time now) {
+void TokenBucket::recordRefusal(Time now) {
     refill(now);
-    level_ = std::min(level_, 0.0);  // the service has nothing saved up
-    if (lowered_ && now - *lowered_ < kOneSign) return;
-    lowered_ = now;
-    rate_ = std::max(minRate_, std::min(rate_, next_) * kSlower);
+    tokens_ = std::min(tokens_, 0.0);  // the service's own bucket is empty
+    if (loweredAt_ && now - *loweredAt_ < kRefusalWindow) return;
+    loweredAt_ = now;
+    const auto lowered = std::min(ratePerSecond_, announcedRatePerSecond_) * kDecreaseFactor;
+    ratePerSecond_ = std::max(minRatePerSecond_, lowered);
 }
 
-bool TokenBucket::take(double n, double reserve, Time now) {
+bool TokenBucket::tryTake(double tokens, double reserve, Time now) {
     refill(now);
-    if (level_ < n + reserve) return false;
-    level_ -= n;
+    if (tokens_ < tokens + reserve) return false;
+    tokens_ -= tokens;
     return true;
 }
 
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -1,39 +1,59 @@
 #pragma once
 
+// A rate limit that a controller imposes on its own requests to a service, or on its own writes to the
+// key-value store. It keeps to the service's limit where that is known and adapts to refusals where it is
+// not. Owns the current rate and the tokens saved up; does no I/O and reads no clock.
+
 #include <optional>
 
 #include "base/clock.h"
 
 namespace burlpoint::storage {
 
-/// A bucket of requests or changes: `rate` a second, at most a second's worth saved up. Where the service's
-/// limit is not known for sure, the rate follows what is answered: down by a share with each refusal, slowly
-/// up again by steady steps, so that users of one limit settle around it without knowing of each other.
+/// A token bucket with an adaptive rate. It holds at most one second's worth of tokens. A refusal multiplies
+/// the rate by a constant below one; afterwards the rate grows back linearly (additive increase,
+/// multiplicative decrease), so that several controllers that share one limit converge to it without knowing
+/// of each other.
 class TokenBucket {
   public:
-    /// `next`: the limit that the service announces for later. From the first refusal on it is the highest
-    /// rate gone back to: either the lower limit is in force, or the higher one is shared by too many
-    /// already.
-    TokenBucket(double rate, Time now, double next = 1e9)
-        : maxRate_(rate), next_(next), minRate_(rate / 8), rate_(rate), level_(rate), at_(now) {}
-    /// Takes `n` if at least `reserve` remains afterwards for what matters more.
-    bool take(double n, double reserve, Time now);
-    double available(Time now) { return refill(now), level_; }
-    /// For what must not wait: taken in any case, later callers wait the longer.
-    void force(double n, Time now) { refill(now), level_ -= n; }
-    /// The service refused changes as too many.
-    void refused(Time now);
-    double rate(Time now) { return refill(now), rate_; }
+    /// `ratePerSecond`: the highest rate, and the one to begin with.
+    /// `announcedRatePerSecond`: a limit that the service has announced to come into force at some later
+    /// time. From the first refusal on it caps the rate: either the lower limit is in force by then, or too
+    /// many share the higher one.
+    TokenBucket(double ratePerSecond, Time now, double announcedRatePerSecond = kNoAnnouncedRate)
+        : maxRatePerSecond_(ratePerSecond),
+          announcedRatePerSecond_(announcedRatePerSecond),
+          minRatePerSecond_(ratePerSecond * kLowestShareOfRate),
+          ratePerSecond_(ratePerSecond),
+          tokens_(ratePerSecond),
+          refilledAt_(now) {}
+
+    /// Takes `tokens` if at least `reserve` tokens are left afterwards for more important requests. Returns
+    /// whether they were taken.
+    bool tryTake(double tokens, double reserve, Time now);
+    /// Takes `tokens` in any case, for a request that must not wait. The bucket may go below zero, so that
+    /// later requests wait longer.
+    void takeUnconditionally(double tokens, Time now) { refill(now), tokens_ -= tokens; }
+    /// The service has refused a request because of its rate limit: lowers the rate and empties the bucket.
+    void recordRefusal(Time now);
+
+    /// Tokens saved up; below zero after `takeUnconditionally`.
+    double available(Time now) { return refill(now), tokens_; }
+    double ratePerSecond(Time now) { return refill(now), ratePerSecond_; }
 
   private:
+    static constexpr double kNoAnnouncedRate = 1e9;  // a second; above every limit in use
+    static constexpr double kLowestShareOfRate = 1.0 / 8;
+
     void refill(Time now);
-    double maxRate_;
-    double next_;
-    double minRate_;
-    double rate_;
-    double level_;
-    Time at_;
-    std::optional<Time> lowered_;
+
+    double maxRatePerSecond_;
+    double announcedRatePerSecond_;
+    double minRatePerSecond_;
+    double ratePerSecond_;
+    double tokens_;
+    Time refilledAt_;
+    std::optional<Time> loweredAt_;  // when a refusal lowered the rate last
 };
 
 }  // namespace burlpoint::storage
