--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,3 +1,5 @@
+// Encoding and decoding of all messages and records: what is encoded is decoded as the same, and decoders of
+// untrusted bytes throw nothing but `MalformedMessage`.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -72,7 +74,7 @@
     return r;
 }
 
-/// Runs a decoder on damaged bytes: it may only decode them or throw Malformed.
+/// Runs a decoder on damaged bytes: it may only decode them or throw `MalformedMessage`.
 template <typename Decode>
 void survives(std::string bytes, Decode decode) {
     const int damage = *rc::gen::inRange(0, 6);
@@ -178,7 +180,7 @@
     survives(bytes, [](const std::string& b) { decodePeerStatus(b); });
 }
 
-RC_GTEST_PROP(Codec, HostileBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(Codec, ArbitraryBytesThrowNothingButMalformedMessage, (const std::string& bytes)) {
     const auto tryAll = [&](auto decode) {
         try {
             decode();
@@ -206,7 +208,7 @@
 /// The job that a submission's body describes.
 static JobSpec specOf(const std::string& body) { return decodeSpec(unpackBody(body).get()); }
 
-TEST(Codec, SpecRefusesWhatTheProtocolDoes) {
+TEST(Codec, SpecWithInvalidFieldIsRefused) {
     JobSpec good;
     good.id = "wk-000412";
     good.jobClass = good.team = good.image = "x";
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -1,17 +1,24 @@
-
+// The HTTP server and client over loopback: limits, shared connections, and input that is not HTTP.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include <array>
 #include <asio/buffer.hpp>
 #include <asio/write.hpp>
+#include <chrono>
+#include <functional>
+#include <memory>
 #include <optional>
+#include <stdexcept>
+#include <string>
+#include <vector>
 
 #include "transport/endpoint.h"
 #include "transport/executor.h"
 #include "transport/http_client.h"
+#include "transport/http_message.h"
 #include "transport/http_server.h"
 
-using namespace burlpoint;
 using namespace burlpoint::transport;
 using namespace std::chrono_literals;
 
@@ -69,21 +76,21 @@
     }
 };
 
-/// So many clients with one connection each.
+/// `count` clients with one connection each.
 std::vector<std::unique_ptr<HttpClient>> makeClients(Echo& echo, std::size_t count) {
     std::vector<std::unique_ptr<HttpClient>> clients(count);
     for (auto& client : clients) client = std::make_unique<HttpClient>(echo.io, 1);
     return clients;
 }
 
-/// Each client has to get its answer, one after the other.
+/// Sends a request from each client, one after the other. Each has to be answered.
 void askAll(Echo& echo, const std::vector<std::unique_ptr<HttpClient>>& clients) {
     for (const auto& client : clients) ASSERT_EQ(echo.ask(*client, "GET", "/").status, 200);
 }
 
 }  // namespace
 
-TEST(Http, RequestsShareAConnection) {
+TEST(Http, ConsecutiveRequestsShareOneConnection) {
     Echo echo;
     HttpClient client(echo.io, 10);
     EXPECT_EQ(echo.ask(client, "GET", "/a/b?c=1").body, "GET /a/b?c=1 0");
@@ -91,26 +98,26 @@
     EXPECT_EQ(echo.server->connections(), 1u);
 }
 
-TEST(Http, OversizeBodiesAreAnsweredAtOnce) {
+TEST(Http, OversizedRequestGets413AndTheNextOneIsServed) {
     Echo echo;
     HttpClient client(echo.io, 10);
     EXPECT_EQ(echo.ask(client, "POST", "/x", std::string(70'000, 'y')).status, 413);
     EXPECT_EQ(echo.ask(client, "GET", "/after").status, 200);
 }
 
-TEST(Http, AFullTableFailsAtOnceAndRefusalsAreNoResponse) {
+TEST(Http, RequestThatCannotBeSentHasNoResponse) {
     Echo echo;
     HttpClient client(echo.io, 0);
-    EXPECT_EQ(echo.ask(client, "GET", "/").status, 0);
+    EXPECT_FALSE(echo.ask(client, "GET", "/").answered());
     HttpClient other(echo.io, 1);
     echo.address = "127.0.0.1:1";
-    EXPECT_EQ(echo.ask(other, "GET", "/").status, 0);
+    EXPECT_FALSE(echo.ask(other, "GET", "/").answered());
     echo.address = "nonsense";
-    EXPECT_EQ(echo.ask(other, "GET", "/").status, 0);
+    EXPECT_FALSE(echo.ask(other, "GET", "/").answered());
 }
 
-// A leader of a large fleet found its table full of connections that it only kept for later.
-TEST(Http, AnIdleConnectionGivesWayToOneThatIsNeeded) {
+// A leader of a large fleet once had all its connections open to machines that it had nothing to send to.
+TEST(Http, IdleConnectionIsClosedWhenAnotherIsNeeded) {
     Echo one, other;
     HttpClient client(one.io, 1);
     EXPECT_EQ(one.ask(client, "GET", "/").status, 200);
@@ -123,7 +130,7 @@
     EXPECT_EQ(*status, 200);
 }
 
-TEST(Http, ConnectionsBeyondTheLimitAreClosed) {
+TEST(Http, ConnectionBeyondTheLimitIsClosed) {
     ServerLimits limits;
     limits.connections = 1;
     Echo echo(limits);
@@ -133,8 +140,8 @@
     EXPECT_EQ(echo.ask(client, "GET", "/").status, 200);
 }
 
-// Where more machines run than a controller has sockets, each still gets its answers.
-TEST(Http, MoreClientsThanConnectionsTakeTurns) {
+// With more machines than a controller has sockets, each machine still gets its answers.
+TEST(Http, MoreClientsThanConnectionsAreAllServed) {
     ServerLimits limits;
     limits.connections = 20;
     Echo echo(limits);
@@ -143,7 +150,7 @@
     EXPECT_LE(echo.server->connections(), limits.connections);
 }
 
-TEST(Http, AFewClientsKeepTheirConnections) {
+TEST(Http, ConnectionsStayOpenWhileServerIsNotCrowded) {
     ServerLimits limits;
     limits.connections = 20;
     Echo echo(limits);
@@ -152,7 +159,7 @@
     EXPECT_EQ(echo.server->connections(), 18u);
 }
 
-TEST(Http, AResponseBeyondTheLimitIsToldApart) {
+TEST(Http, OversizedResponseIsReportedAsTooLarge) {
     asio::io_context io{1};
     HttpServer server(io, parseEndpoint("127.0.0.1:0"), {}, [](Request&& request, const Reply& reply) {
         Response response;
@@ -168,22 +175,22 @@
         return *outcome;
     };
     const auto large = ask("/large");
-    EXPECT_EQ(large.status, 0);
+    EXPECT_FALSE(large.answered());
     EXPECT_TRUE(large.tooLarge);
     const auto small = ask("/small");
     EXPECT_EQ(small.status, 200);
     EXPECT_FALSE(small.tooLarge);
 }
 
-TEST(Http, MalformedRequestsAreRefused) {
+TEST(Http, MalformedRequestGets400) {
     Echo echo;
     EXPECT_EQ(echo.raw("nonsense\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
     EXPECT_EQ(echo.raw("GET /" + std::string(5000, 'a') + " HTTP/1.1\r\n\r\n").substr(0, 12), "HTTP/1.1 400");
     EXPECT_EQ(echo.raw("GET / HTTP/1.1\r\nA: " + std::string(20'000, 'a')).substr(0, 12), "HTTP/1.1 400");
 }
 
-// Whatever bytes arrive, in one piece or cut off, the server goes on serving.
-RC_GTEST_PROP(Http, HostileBytesLeaveTheServerServing, (const std::string& tail)) {
+// Whatever bytes arrive, complete or cut off, the server goes on serving.
+RC_GTEST_PROP(Http, ServerKeepsServingAfterArbitraryBytes, (const std::string& tail)) {
     Echo echo;
     const std::string request = "POST /p HTTP/1.1\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello";
     const auto cut = *rc::gen::inRange<std::size_t>(0, request.size() + 1);
@@ -192,7 +199,7 @@
     RC_ASSERT(echo.ask(client, "GET", "/still").status == 200);
 }
 
-TEST(Http, ParsesOnlyAddresses) {
+TEST(Http, ParseEndpointRefusesAllButAddressAndPort) {
     EXPECT_EQ(parseEndpoint("10.0.0.1:80").port(), 80);
     for (const char* bad : {"", "10.0.0.1", "host:80", "10.0.0.1:", "10.0.0.1:80x", "10.0.0.1:70000", "::1"})
         EXPECT_THROW(parseEndpoint(bad), std::invalid_argument) << bad;
--- a/tests/key_value_client_test.cpp
+++ b/tests/key_value_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the key-value store where a response is larger than a node takes.
+// The client of the key-value store where a response is larger than a controller takes.
 #include "storage/key_value_client.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
 namespace {
 
 /// A key-value store whose every response is larger than a client takes.
-struct LargeAnswers {
+struct OversizedResponses {
     asio::io_context io{1};
     transport::HttpServer server{io,
                                  transport::parseEndpoint("127.0.0.1:0"),
@@ -44,16 +44,16 @@
 
 }  // namespace
 
-// A node that was away while many large bitmaps were stored would ask for the same changes for ever.
-TEST(KeyValueClient, ChangesTooLargeForOneResponseAreReadAnew) {
-    LargeAnswers service;
-    EXPECT_EQ(
-        service.awaitRead([&](auto done) { service.state.watch("bp/", 7, 0ms, 5000ms, std::move(done)); }),
-        ReadStatus::tooOld);
+// A controller that was away while many large bitmaps were stored would otherwise ask for the same changes
+// for ever.
+TEST(KeyValueClient, OversizedWatchResponseMeansReadingAllKeysAnew) {
+    OversizedResponses store;
+    EXPECT_EQ(store.awaitRead([&](auto done) { store.state.watch("bp/", 7, 0ms, 5000ms, std::move(done)); }),
+              ReadStatus::tooOld);
 }
 
-TEST(KeyValueClient, APageTooLargeIsAFailedRead) {
-    LargeAnswers service;
-    EXPECT_EQ(service.awaitRead([&](auto done) { service.state.page("bp/", "", std::move(done)); }),
+TEST(KeyValueClient, OversizedPageResponseIsAFailedRead) {
+    OversizedResponses store;
+    EXPECT_EQ(store.awaitRead([&](auto done) { store.state.page("bp/", "", std::move(done)); }),
               ReadStatus::failed);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,3 +1,4 @@
+// The platform's settings (TOML) and the operators' policy (XML): valid files, and the errors for others.
 #include "protocol/settings.h"
 
 #include <gtest/gtest.h>
@@ -82,7 +83,7 @@
 
 }  // namespace
 
-TEST(Settings, ReadsThePlatformsFile) {
+TEST(Settings, ValidFileIsReadAndUnknownTablesAreIgnored) {
     const auto s = parseSettings(kGood + "\n[later]\nunknown = 1\n");
     EXPECT_EQ(s.peers.at(0).address, "10.0.0.2:8081");
     EXPECT_EQ(s.team("t")->maxCpus, 16);
@@ -91,7 +92,7 @@
     EXPECT_EQ(s.workerLease, Seconds(24));
 }
 
-TEST(Settings, NamesTheFieldThatIsWrong) {
+TEST(Settings, ErrorNamesTheInvalidField) {
     EXPECT_TRUE(names(complaint("label = \"one\"", ""), "label"));
     EXPECT_TRUE(names(complaint("bind = \"10.0.0.1:8080\"", "bind = \"here\""), "bind"));
     EXPECT_TRUE(names(complaint("label = \"two\"", "label = \"one\""), "two nodes named one"));
@@ -104,8 +105,8 @@
     EXPECT_TRUE(names(complaint("area = \"north\"", "area = "), "line "));
 }
 
-// The key-value store's next limits may be absent, and each of them too; what is there is checked.
-TEST(Settings, TheStateServicesNextLimits) {
+// The next limits of the key-value store may be absent, all or some of them. Writes keep to the lower ones.
+TEST(Settings, NextStoreLimitsAreOptionalAndChecked) {
     const auto without = parseSettings(kGood);
     EXPECT_FALSE(without.nextStoreLimits);
     EXPECT_EQ(without.minValueKb(), 8);
@@ -139,7 +140,7 @@
     EXPECT_TRUE(names(wrong(table + "txn_ops = nan"), "cluster.state.next.txn_ops: must lie"));
 }
 
-TEST(Settings, OperatorsFileNamesTheElementThatIsWrong) {
+TEST(Policy, ErrorNamesTheInvalidElement) {
     EXPECT_EQ(parsePolicy("<burlpoint/>").idleKeep, Policy{}.idleKeep);
     EXPECT_EQ(parsePolicy("<burlpoint><idle-keep-s>7.5</idle-keep-s></burlpoint>").idleKeep, Seconds(7.5));
     EXPECT_TRUE(names(policyComplaint("<burlpoint><idle-keep>1</idle-keep></burlpoint>"), "<idle-keep>"));
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -1,4 +1,5 @@
-// Submissions where the key-value store takes less than the settings say, or less from some moment on.
+// Submissions where the key-value store takes less than the settings say, or less from some moment on, and
+// how the client tells its refusals apart.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
@@ -18,9 +19,9 @@
 
 }  // namespace
 
-// A record beyond the smaller of both limits is refused before anything is stored, unless the job was
-// accepted under the higher one; and chunks are chosen for the smaller.
-TEST_F(StoreLimits, WhatTheNextLimitsWouldNotTakeIsRefusedAtOnce) {
+// A job whose record is beyond the lower of the present and the next limit is refused before anything is
+// stored, unless it was accepted under the higher one. Bitmap chunks are chosen for the lower limit.
+TEST_F(StoreLimits, SubmissionBeyondTheNextLimitsIsRefused) {
     ServiceNode node(io, stub);
     node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
     node.until([&] { return node.watcher.synced(); });
@@ -57,9 +58,9 @@
     EXPECT_EQ(node.bearing("wk-2"), "cancelled");
 }
 
-// Limits lower than the settings say: nothing that was accepted is lost, and nothing is called accepted
-// that was not stored.
-TEST_F(StoreLimits, LimitsThatNobodyAnnounced) {
+// The store takes less than the settings say: no accepted job is lost, and none is accepted that was not
+// stored.
+TEST_F(StoreLimits, UnannouncedLowerLimitLosesNoAcceptedJob) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     auto spec = protocol::JobSpec{};
@@ -85,8 +86,9 @@
     EXPECT_EQ(node.bearing("wk-1"), "cancelled");
 }
 
-// Changes beyond the rate are told from other refusals; the user comes back, and then it is stored.
-TEST_F(StoreLimits, ChangesBeyondTheRateAreTriedAgain) {
+// A write refused for the rate limit is tried again a few times, then the user is asked to come back later.
+// Then it is stored.
+TEST_F(StoreLimits, RateLimitedSubmissionIsRetriedBeforeItIsRefused) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
@@ -100,19 +102,19 @@
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
 }
 
-// The service's refusals of a transaction, told apart.
-TEST_F(StoreLimits, RefusalsOfATransactionAreToldApart) {
+// Each reason for which the store refuses a transaction has a status of its own, and two are logged once.
+TEST_F(StoreLimits, EachRefusalOfATransactionHasItsOwnStatus) {
     ServiceNode node(io, stub);
     std::ostringstream log;
     const auto before = spdlog::default_logger();
     const auto listening =
         std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::ostream_sink_mt>(log));
     spdlog::set_default_logger(listening);
-    const auto lines = [&](const std::string& text) {
-        std::size_t count = 0;
+    const auto count = [&](const std::string& text) {
+        std::size_t found = 0;
         for (auto at = log.str().find(text); at != std::string::npos; at = log.str().find(text, at + 1))
-            ++count;
-        return count;
+            ++found;
+        return found;
     };
     const auto status = [&](const protocol::KeyWrite& write) {
         std::optional<storage::TransactionStatus> out;
@@ -134,8 +136,8 @@
     stub.outage = true;
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::refused);
     // The first of each is logged, once.
-    EXPECT_EQ(lines("[error] the state service does not take 1 changes"), 1u);
-    EXPECT_EQ(lines("too large"), 1u);
-    EXPECT_EQ(lines("[info] the state service refuses changes as too many"), 1u);
+    EXPECT_EQ(count("[error] key-value store refuses a transaction for its size writes=1 bytes="), 1u);
+    EXPECT_EQ(count("too large"), 1u);
+    EXPECT_EQ(count("[info] key-value store refuses writes over its rate limit"), 1u);
     spdlog::set_default_logger(before);
 }
--- a/tests/store_stub.h
+++ b/tests/store_stub.h
@@ -1,12 +1,19 @@
 #pragma once
 
+// A stand-in for the key-value store, written from the protocol's description: `Store` holds keys, versions
+// and leases, `StoreStub` serves one by HTTP and fails in the ways that tests ask for. It spells out the
+// wire's words rather than using the protocol layer's names, so that an error in the client's encoding shows.
+
 #include <algorithm>
 #include <charconv>
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <span>
 #include <string>
+#include <string_view>
+#include <utility>
 #include <vector>
 
 #include "base/clock.h"
@@ -20,29 +27,28 @@
 
 namespace burlpoint::tests {
 
-/// What the stand-in takes, until a test lowers it. Changes are counted per step of the test, which sets
-/// `changes` anew; there is no clock in it.
+/// What the store accepts, until a test lowers it.
 struct StubLimits {
-    std::size_t ops = 1'000'000, maxValueBytes = std::size_t{64} * 1024;
-    double changes = 1e9;
+    std::size_t ops = 1'000'000;                         // writes in one transaction
+    std::size_t maxValueBytes = std::size_t{64} * 1024;  // of a value as JSON
+    double changes = 1e9;  // writes until the test sets this again; the store has no clock of its own
 };
 
-/// A small stand-in for the key-value store, from PROTOCOL: keys with versions, conditional transactions, a
-/// log of changes. Leases are ended by the test. The history test uses the store alone; others talk to it by
-/// HTTP.
+/// Keys with versions, conditional transactions and a log of changes. Leases are ended by the test.
 class Store {
   public:
     struct Value {
-        std::string data;
+        std::string data;  // packed
         std::uint64_t version = 0, lease = 0;
     };
+    /// A key written or, without data, deleted.
     struct Event {
         std::string key;
         std::optional<std::string> data;
         std::uint64_t version = 0;
     };
 
-    /// 0 if a condition failed (the keys are in `failed`), else the new revision.
+    /// The new revision; 0 if a condition does not hold, with the keys in `failed`.
     std::uint64_t transact(const std::vector<protocol::KeyCondition>& conditions,
                            const std::vector<protocol::KeyWrite>& writes, std::vector<std::string>& failed) {
         for (const auto& c : conditions) {
@@ -55,7 +61,8 @@
         for (const auto& w : writes) change(w.key, w.value, w.lease);
         return revision;
     }
-    /// Why a transaction is not even looked at, if so: its size first, then the rate.
+    /// Why a transaction is refused before its conditions are looked at, if it is: for its size, or for the
+    /// rate.
     std::optional<storage::TransactionStatus> refusal(const std::vector<protocol::KeyCondition>& conditions,
                                                       const std::vector<protocol::KeyWrite>& writes) {
         bool large =
@@ -68,6 +75,7 @@
         limits.changes -= count;
         return std::nullopt;
     }
+    /// Deletes the keys attached to the lease.
     void endLease(std::uint64_t lease) {
         leases.erase(lease);
         std::vector<std::string> keys;
@@ -95,17 +103,18 @@
     }
 };
 
+/// Serves a `Store` by HTTP on loopback.
 class StoreStub {
   public:
-    /// With `first`, one more way to what that one stores, which may fail for itself.
+    /// With `first`, a second endpoint for the same store, which may fail independently of the first.
     explicit StoreStub(asio::io_context& io, StoreStub* first = nullptr)
         : store(first ? first->store : own_),
           server_(io, transport::parseEndpoint("127.0.0.1:0"), {},
                   [this](transport::Request&& r, const transport::Reply& reply) { serve(r, reply); }),
           first_(first ? *first : *this) {
-        first_.ways_.push_back(this);
+        first_.endpoints_.push_back(this);
     }
-    ~StoreStub() { std::erase(first_.ways_, this); }
+    ~StoreStub() { std::erase(first_.endpoints_, this); }
     StoreStub(const StoreStub&) = delete;
     StoreStub& operator=(const StoreStub&) = delete;
 
@@ -116,11 +125,11 @@
 
   public:
     Store& store;
-    bool outage = false;         // answers 503
-    bool readsFail = false;      // and this to reads alone
-    bool holdWatches = false;    // open watches see nothing of what changes
-    bool swallowWrites = false;  // carries transactions out and answers none of them
-    bool holdLeases = false;     // makes leases and does not answer until release()
+    bool outage = false;         // answers all requests with 503
+    bool readsFail = false;      // answers reads with 503
+    bool holdWatches = false;    // open watches are not told of changes
+    bool swallowWrites = false;  // carries transactions out without an answer
+    bool holdLeases = false;     // makes leases, and answers at release()
     unsigned pageEntries = 1000;
 
     void release() {
@@ -128,12 +137,12 @@
         for (auto& made : std::exchange(held_, {})) made();
     }
 
-    /// Lets open watches see what has changed; during an outage they stay open.
+    /// Answers the open watches of all endpoints that have changes to tell; during an outage they stay open.
     void wake() {
-        for (auto* way : first_.ways_) way->wakeOwn();
+        for (auto* endpoint : first_.endpoints_) endpoint->wakeOwn();
     }
-    /// For tests with a clock: ends the leases and the watches of all ways whose time is over. Without a call
-    /// of this, leases are ended by the test and watches wait for a change.
+    /// For tests with a clock: ends the leases and, at all endpoints, the watches whose time is over. Without
+    /// a call, the test ends leases, and watches wait for a change.
     void passTime(Time now) {
         auto& deadlines = first_.leaseDeadlines_;
         std::vector<std::uint64_t> over;
@@ -144,9 +153,9 @@
             store.endLease(lease);
         }
         if (!over.empty()) wake();
-        for (auto* way : first_.ways_) way->endWatches(now);
+        for (auto* endpoint : first_.endpoints_) endpoint->endWatches(now);
     }
-    /// An outage is over: all leases have their full time again.
+    /// At the end of an outage, all leases have their full time again.
     void restartLeases(Time now) {
         for (auto& [lease, deadline] : first_.leaseDeadlines_) deadline.at = now + deadline.life;
     }
@@ -154,6 +163,7 @@
   private:
     using MessagePacker = protocol::MessagePacker;
     using Answer = std::function<void(int, std::string)>;
+    static constexpr std::string_view kLeasePrefix = "/holds/";
 
     struct Watch {
         std::string query;
@@ -204,33 +214,38 @@
             const Duration wait(number(parameter(r.query, "blockMs")));
             return watch({r.query, answer, Clock::now() + wait});
         }
-        if (r.path == "/holds") {
-            store.leases[++store.nextLease] = true;
-            const Duration life(protocol::MapReader(protocol::unpackBody(r.body).get()).integer("lifeMs"));
-            first_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
-            const auto made = [answer, lease = store.nextLease] {
-                answer(200, MessagePacker().map(1).field("mooring", lease).take());
-            };
-            if (!holdLeases) return made();
-            held_.push_back(made);
-            return;
-        }
-        if (r.path.starts_with("/holds/")) {
-            const auto lease = number(r.path.substr(7, r.path.find('/', 7) - 7));
-            if (!store.leases.contains(lease)) return answer(404, MessagePacker().map(0).take());
-            auto& deadlines = first_.leaseDeadlines_;
-            if (r.method == "DELETE") {
-                deadlines.erase(lease);
-                store.endLease(lease);
-                wake();
-            } else if (const auto found = deadlines.find(lease); found != deadlines.end()) {
-                found->second.at = Clock::now() + found->second.life;
-            }
-            return answer(200, MessagePacker().map(0).take());
-        }
+        if (r.path == "/holds") return makeLease(r, answer);
+        if (r.path.starts_with(kLeasePrefix)) return changeLease(r, answer);
         answer(400, "");
     }
 
+    void makeLease(const transport::Request& r, const Answer& answer) {
+        store.leases[++store.nextLease] = true;
+        const Duration life(protocol::MapReader(protocol::unpackBody(r.body).get()).integer("lifeMs"));
+        first_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
+        const auto made = [answer, lease = store.nextLease] {
+            answer(200, MessagePacker().map(1).field("mooring", lease).take());
+        };
+        if (!holdLeases) return made();
+        held_.push_back(made);
+    }
+
+    /// Ends or extends a lease.
+    void changeLease(const transport::Request& r, const Answer& answer) {
+        const auto idAt = kLeasePrefix.size();
+        const auto lease = number(r.path.substr(idAt, r.path.find('/', idAt) - idAt));
+        if (!store.leases.contains(lease)) return answer(404, MessagePacker().map(0).take());
+        auto& deadlines = first_.leaseDeadlines_;
+        if (r.method == "DELETE") {
+            deadlines.erase(lease);
+            store.endLease(lease);
+            wake();
+        } else if (const auto found = deadlines.find(lease); found != deadlines.end()) {
+            found->second.at = Clock::now() + found->second.life;
+        }
+        answer(200, MessagePacker().map(0).take());
+    }
+
     void transaction(const transport::Request& r, const Answer& answer) {
         const auto handle = protocol::unpackBody(r.body);
         const protocol::MapReader f(handle.get());
@@ -250,14 +265,14 @@
                 writes.push_back({w.text("write"), p.take(), w.integerOr("mooring", 0)});
             }
         });
-        const auto noteRefusal = [&](int status, const char* why) {
+        const auto refuse = [&](int status, const char* why) {
             answer(status, MessagePacker().map(1).field("error", why).take());
         };
         for (const auto& w : writes)
-            if (w.lease && !store.leases.contains(w.lease)) return noteRefusal(400, "no such lease");
+            if (w.lease && !store.leases.contains(w.lease)) return refuse(400, "no such lease");
         if (const auto refusal = store.refusal(conditions, writes))
-            return *refusal == storage::TransactionStatus::tooLarge ? noteRefusal(400, "too large")
-                                                                    : noteRefusal(429, "too many changes");
+            return *refusal == storage::TransactionStatus::tooLarge ? refuse(400, "too large")
+                                                                    : refuse(429, "too many changes");
         std::vector<std::string> failed;
         const auto revision = store.transact(conditions, writes, failed);
         wake();
@@ -316,8 +331,8 @@
     transport::HttpServer server_;
     std::vector<Watch> watches_;
     std::vector<std::function<void()>> held_;
-    StoreStub& first_;              // the way that was made first; the others' lists are unused
-    std::vector<StoreStub*> ways_;  // to the same store, this one included
+    StoreStub& first_;                   // the endpoint made first; only its lists below are in use
+    std::vector<StoreStub*> endpoints_;  // all endpoints of the store, this one included
     std::map<std::uint64_t, Deadline> leaseDeadlines_;
 };
 
