--- a/src/protocol/policy.cpp
+++ b/src/protocol/policy.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kDayS = 86'400;
 
-std::string tagOf(const pugi::xml_node& node) { return "<" + std::string(node.name()) + ">"; }
+std::string tagOf(const pugi::xml_node& node) { return std::string("<").append(node.name()).append(">"); }
 
 /// The element's text as a number from `least` to `most`.
 double number(const pugi::xml_node& node, double least, double most) {
