--- a/tests/lowered_limits_fixture.h
+++ b/tests/lowered_limits_fixture.h
@@ -27,8 +27,8 @@
 inline protocol::JobSpec arrayOf(const std::string& id, std::uint32_t tasks) {
     protocol::JobSpec s;
     s.id = id;
-    s.jobClass = s.image = "c";
-    s.team = "t";
+    s.jobClass = s.image = std::string("c");
+    s.team = std::string("t");
     s.tasks = tasks;
     s.cpus = 1;
     return s;
