--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -6,6 +6,7 @@
 
 namespace burlpoint::coordination {
 
+using storage::LeaseStatus;
 using storage::TransactionResult;
 using storage::TransactionStatus;
 
@@ -110,7 +111,7 @@
 void Election::attempt(Time now) {
     role_ = Role::candidate;
     const auto round = ++round_;
-    state_.makeLease(life_, [this, round, sent = now](int status, std::uint64_t lease) {
+    state_.makeLease(life_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
         if (round != round_) return;
         if (status != 200) return fail(0);
         acquire(lease, sent);
@@ -178,7 +179,7 @@
     renewalUnderWay_ = true;
     nextRenewal_ = now + life_ / kRenewalsPerLife;
     const auto round = round_;
-    state_.extendLease(lease_, [this, round, sent = now](int status, std::uint64_t) {
+    state_.extendLease(lease_, [this, round, sent = now](LeaseStatus status, std::uint64_t) {
         if (round != round_) return;
         renewalUnderWay_ = false;
         if (status == 200) return leaderLease_.renewed(sent);
