--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -25,9 +25,9 @@
 #include "coordination/scheduling/image_locality.h"
 #include "coordination/scheduling/job_activator.h"
 #include "coordination/scheduling/job_queue.h"
+#include "coordination/scheduling/placement_constraints.h"
 #include "coordination/scheduling/preemption.h"
 #include "coordination/scheduling/scan_counter.h"
-#include "coordination/scheduling/start_constraints.h"
 #include "coordination/scheduling/task_terminator.h"
 #include "coordination/scheduling/zone_reservations.h"
 #include "coordination/state/machine_registry.h"
@@ -150,7 +150,7 @@
     JobActivator activator_;
     ZoneReservations zoneReservations_;
     AcceleratorPolicy accelerators_;
-    StartConstraints constraints_;
+    PlacementConstraints constraints_;
     ImageLocality imageLocality_;
     TaskTerminator terminator_;
     GangPlanner gangPlanner_;
--- a/src/coordination/scheduling/degraded_first_scheduler.h
+++ b/src/coordination/scheduling/degraded_first_scheduler.h
@@ -15,7 +15,7 @@
 #include "coordination/scheduling/fetch_pacing.h"
 #include "coordination/scheduling/image_locality.h"
 #include "coordination/scheduling/job_queue.h"
-#include "coordination/scheduling/start_constraints.h"
+#include "coordination/scheduling/placement_constraints.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
@@ -27,7 +27,7 @@
     const MachineTypes& types;
     JobQueue& jobQueue;
     FetchPacing& pacing;
-    const StartConstraints& rules;
+    const PlacementConstraints& rules;
     ImageLocality& images;
     AttemptIdGenerator& attempts;
 };
--- a/src/coordination/scheduling/gang_capacity.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -23,7 +23,7 @@
     return (bookkeeping::sizeOf(*machine.typeInfo) - machine.plainUse[bookkeeping::kReplicaUse]).times(need);
 }
 
-void addMachine(Machine& machine, const Job& job, const StartConstraints& rules, Time now,
+void addMachine(Machine& machine, const Job& job, const PlacementConstraints& rules, Time now,
                 GangCapacity& room) {
     const auto need = bookkeeping::needOf(job.spec);
     if (bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot))
@@ -39,7 +39,7 @@
 
 /// What machines in the zone, in all zones if it is empty, offer the gang.
 GangCapacity gangCapacityIn(const std::string& zone, const Job& job, const Fleet& fleet,
-                            const StartConstraints& rules, ScanCounter& scans, Time now) {
+                            const PlacementConstraints& rules, ScanCounter& scans, Time now) {
     GangCapacity room;
     room.zone = zone;
     for (const auto& [id, machine] : fleet.machines()) {
@@ -56,7 +56,7 @@
 }  // namespace
 
 GangCapacity bestGangCapacity(const Job& job, const Fleet& fleet, const std::vector<std::string>& zones,
-                              const StartConstraints& rules, ScanCounter& scans, Time now) {
+                              const PlacementConstraints& rules, ScanCounter& scans, Time now) {
     if (!job.spec.singleZone) return gangCapacityIn("", job, fleet, rules, scans, now);
     GangCapacity best;
     for (const auto& zone : zones) {
--- a/src/coordination/scheduling/gang_capacity.h
+++ b/src/coordination/scheduling/gang_capacity.h
@@ -10,8 +10,8 @@
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
+#include "coordination/scheduling/placement_constraints.h"
 #include "coordination/scheduling/scan_counter.h"
-#include "coordination/scheduling/start_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -35,7 +35,7 @@
 /// The zone that offers the gang most, or what all zones offer together if it need not be in one. It walks
 /// over all machines for each zone.
 GangCapacity bestGangCapacity(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet,
-                              const std::vector<std::string>& zones, const StartConstraints& rules,
+                              const std::vector<std::string>& zones, const PlacementConstraints& rules,
                               ScanCounter& scans, Time now);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -30,7 +30,7 @@
 }  // namespace
 
 GangPlanner::GangPlanner(const Settings& settings, Fleet& fleet, const MachineTypes& types,
-                         const StartConstraints& rules, JobQueue& jobQueue,
+                         const PlacementConstraints& rules, JobQueue& jobQueue,
                          ZoneReservations& zoneReservations, AttemptIdGenerator& attempts)
     : settings_(settings),
       fleet_(fleet),
--- a/src/coordination/scheduling/gang_planner.h
+++ b/src/coordination/scheduling/gang_planner.h
@@ -14,7 +14,7 @@
 #include "coordination/autoscaling/instance_selection.h"
 #include "coordination/scheduling/attempt_id_generator.h"
 #include "coordination/scheduling/job_queue.h"
-#include "coordination/scheduling/start_constraints.h"
+#include "coordination/scheduling/placement_constraints.h"
 #include "coordination/scheduling/zone_reservations.h"
 #include "protocol/settings.h"
 
@@ -24,7 +24,7 @@
   public:
     /// All are kept by reference and have to outlive this.
     GangPlanner(const protocol::Settings& settings, bookkeeping::Fleet& fleet, const MachineTypes& types,
-                const StartConstraints& rules, JobQueue& jobQueue, ZoneReservations& zoneReservations,
+                const PlacementConstraints& rules, JobQueue& jobQueue, ZoneReservations& zoneReservations,
                 AttemptIdGenerator& attempts);
 
     /// Plans the waiting gangs that find room now, in order. It walks over all machines, so it does so five
@@ -57,7 +57,7 @@
     const protocol::Settings& settings_;
     bookkeeping::Fleet& fleet_;
     const MachineTypes& types_;
-    const StartConstraints& constraints_;
+    const PlacementConstraints& constraints_;
     JobQueue& jobQueue_;
     ZoneReservations& zoneReservations_;
     AttemptIdGenerator& attemptIds_;
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 ImageLocality::ImageLocality(const Settings& settings, const Policy& policy, const Fleet& fleet,
-                             const FetchPacing& pacing, const StartConstraints& rules, ScanCounter& scans)
+                             const FetchPacing& pacing, const PlacementConstraints& rules, ScanCounter& scans)
     : settings_(settings),
       policy_(policy),
       fleet_(fleet),
--- a/src/coordination/scheduling/image_locality.h
+++ b/src/coordination/scheduling/image_locality.h
@@ -8,8 +8,8 @@
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "coordination/scheduling/fetch_pacing.h"
+#include "coordination/scheduling/placement_constraints.h"
 #include "coordination/scheduling/scan_counter.h"
-#include "coordination/scheduling/start_constraints.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
@@ -18,8 +18,8 @@
   public:
     /// All are kept by reference and have to outlive this.
     ImageLocality(const protocol::Settings& settings, const protocol::Policy& policy,
-                  const bookkeeping::Fleet& fleet, const FetchPacing& pacing, const StartConstraints& rules,
-                  ScanCounter& scans);
+                  const bookkeeping::Fleet& fleet, const FetchPacing& pacing,
+                  const PlacementConstraints& rules, ScanCounter& scans);
 
     /// How many of the job's waiting tasks fit on machines that have its image and report soon.
     std::uint32_t roomWithImage(bookkeeping::Job& job, Time now);
@@ -35,7 +35,7 @@
     const protocol::Policy& policy_;
     const bookkeeping::Fleet& fleet_;
     const FetchPacing& pacing_;
-    const StartConstraints& constraints_;
+    const PlacementConstraints& constraints_;
     ScanCounter& scans_;
 };
 
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -13,6 +13,7 @@
 using bookkeeping::Placement;
 using bookkeeping::RegistrationState;
 using bookkeeping::Resources;
+using storage::TerminalState;
 
 namespace {
 
@@ -30,6 +31,16 @@
     return !machine.holding && holder.priority() >= job.priority();
 }
 
+constexpr auto kErrorMemory = kMaxHeldBack;     // a task's failure on a machine keeps its job away from it
+constexpr std::size_t kMaxAvoidedMachines = 3;  // a job that failed on so many is itself at fault
+
+bool avoidsAfterFailure(const Job& job, const Machine& machine, Time now) {
+    const auto& failures = job.run->errorMachines;
+    const auto failed = failures.find(machine.id);
+    if (failed == failures.end() || failures.size() >= kMaxAvoidedMachines) return false;
+    return now - failed->second < kErrorMemory;
+}
+
 }  // namespace
 
 bool usable(const Machine& machine, Time now) {
@@ -112,4 +123,20 @@
     return placement.job->run->firstOverdueTask == placement.task && startedRecently(placement, now);
 }
 
+PlacementConstraints::PlacementConstraints(const AcceleratorPolicy& accelerators,
+                                           const ZoneReservations& zoneReservations)
+    : accelerators_(accelerators), zoneReservations_(zoneReservations) {}
+
+bool PlacementConstraints::mayStart(const Job& job, const Machine& machine, Time now) const {
+    const auto& run = *job.run;
+    if (job.terminalState != TerminalState::none || !job.ready() || run.waiting == 0 ||
+        run.backoffUntil > now)
+        return false;
+    if (!bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot)) return false;
+    if (!zoneAllows(job, machine.zone)) return false;
+    if (!accelerators_.allows(job, machine, now)) return false;
+    if (zoneReservations_.keepsOut(job, machine, now)) return false;
+    return !avoidsAfterFailure(job, machine, now);
+}
+
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -10,6 +10,8 @@
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/machine_types.h"
 #include "coordination/autoscaling/instance_selection.h"
+#include "coordination/scheduling/accelerator_policy.h"
+#include "coordination/scheduling/zone_reservations.h"
 
 namespace burlpoint::coordination {
 
@@ -56,4 +58,18 @@
 /// least of all, so that it would be stopped each time and the job would never begin.
 bool isProtectedStart(const bookkeeping::Placement& placement, Time now);
 
+class PlacementConstraints {
+  public:
+    /// Both are kept by reference and have to outlive this.
+    PlacementConstraints(const AcceleratorPolicy& accelerators, const ZoneReservations& zoneReservations);
+
+    /// May one more task of the job start on the machine, as far as all but room and the team's limit go?
+    /// The job must have a run.
+    bool mayStart(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
+
+  private:
+    const AcceleratorPolicy& accelerators_;
+    const ZoneReservations& zoneReservations_;
+};
+
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -17,9 +17,9 @@
 #include "coordination/scheduling/gang_capacity.h"
 #include "coordination/scheduling/image_locality.h"
 #include "coordination/scheduling/job_queue.h"
+#include "coordination/scheduling/placement_constraints.h"
 #include "coordination/scheduling/preemption_plan.h"
 #include "coordination/scheduling/scan_counter.h"
-#include "coordination/scheduling/start_constraints.h"
 #include "coordination/scheduling/task_terminator.h"
 #include "coordination/scheduling/zone_reservations.h"
 #include "protocol/settings.h"
@@ -32,7 +32,7 @@
     bookkeeping::Fleet& fleet;
     const MachineTypes& types;
     const JobQueue& jobQueue;
-    const StartConstraints& rules;
+    const PlacementConstraints& rules;
     ImageLocality& images;
     ZoneReservations& zoneReservations;
     TaskTerminator& terminator;
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -137,7 +137,7 @@
     coordination::ZoneReservations zones{policy};
     coordination::CapacityErrors capacityErrors;
     coordination::AcceleratorPolicy accelerators{types, capacityErrors};
-    coordination::StartConstraints rules{accelerators, zones};
+    coordination::PlacementConstraints rules{accelerators, zones};
     coordination::ImageLocality images{settings, policy, fleet, pacing, rules, scans};
     coordination::TaskTerminator terminator{settings, fleet, jobQueue};
     coordination::GangPlanner gangs{settings, fleet, types, rules, jobQueue, zones, attempts};
