--- a/src/coordination/scheduling/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -28,14 +28,14 @@
 AcceleratorPolicy::AcceleratorPolicy(const MachineTypes& types, const CapacityErrors& capacityErrors)
     : types_(types), capacityErrors_(capacityErrors) {}
 
-void AcceleratorPolicy::recordNeed(const Job& job) {
+void AcceleratorPolicy::recordDemand(const Job& job) {
     if (job.spec.gpus <= 0) return;
     const auto need = bookkeeping::needOf(job.spec);
     const auto& allowed = job.spec.types;
     for (const auto& [name, type] : types_) {
         if (!bookkeeping::sizeOf(type).covers(need)) continue;
         if (allowed && std::find(allowed->begin(), allowed->end(), name) == allowed->end()) continue;
-        auto& known = needs_.try_emplace(name, Need{need, job.priority()}).first->second;
+        auto& known = demands_.try_emplace(name, Demand{need, job.priority()}).first->second;
         known.most = {std::max(known.most.cpus, need.cpus), std::max(known.most.gpus, need.gpus),
                       std::max(known.most.memoryGb, need.memoryGb)};
         known.lowest = std::min(known.lowest, job.priority());
@@ -54,7 +54,7 @@
             for (const auto& stoppable : machine->stoppable) room += stoppable.cpus;
             room -= machine->stoppable.back().cpus;  // production is not stopped
         }
-        if (const auto need = needs_.find(machine->type); need != needs_.end()) {
+        if (const auto need = demands_.find(machine->type); need != demands_.end()) {
             auto& shared = shared_[machine->type];
             ++shared.all;
             const auto left = bookkeeping::sizeOf(*type) - machine->plainUse[bookkeeping::kReplicaUse];
@@ -71,8 +71,8 @@
     // A replica stays for as long as its service does, and would hold the dear machine for all that time.
     const bool waitsForPlain = service && now - job.run->waitingSince < kPlainMachinesOnly;
     if (waitsForPlain && plainMachineObtainable(job.spec, types_, capacityErrors_, now)) return false;
-    const auto found = needs_.find(machine.type);
-    if (found == needs_.end())
+    const auto found = demands_.find(machine.type);
+    if (found == demands_.end())
         return job.priority() < Priority::high || service || needsAcceleratorMachine(job.spec, types_);
     const auto& need = found->second;
     // It yields to those that need the machine.
--- a/src/coordination/scheduling/accelerator_policy.h
+++ b/src/coordination/scheduling/accelerator_policy.h
@@ -25,7 +25,7 @@
 
     /// Room is left for the job from now on, on all types of machines that it may use. Does nothing for a job
     /// without accelerators.
-    void recordNeed(const bookkeeping::Job& job);
+    void recordDemand(const bookkeeping::Job& job);
 
     /// Counts anew what room there is. `up`: the machines whose workers report to this leader, each once. It
     /// walks over them, so it is not for each heartbeat.
@@ -38,7 +38,7 @@
 
   private:
     /// What jobs with accelerators have asked of a machine type.
-    struct Need {
+    struct Demand {
         bookkeeping::Resources most;  // of each resource by itself
         protocol::Priority lowest;    // of their priorities
     };
@@ -58,7 +58,7 @@
 
     const MachineTypes& types_;
     const CapacityErrors& capacityErrors_;
-    std::map<std::string, Need> needs_;        // by type
+    std::map<std::string, Demand> demands_;        // by type
     std::map<std::string, Shared> shared_;     // by type
     std::map<ZoneAndKind, double> plainRoom_;  // processors that replicas could have without accelerators
 };
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -66,8 +66,8 @@
 void DegradedFirstScheduler::startCachedAndPaced(Turn& turn, JobSpan jobs) {
     auto& machine = turn.machine;
     for (auto* job : jobs) {
-        if (job->run->waiting == 0 || !hasFreeRoom(machine, *job)) continue;
-        if (!context_.rules.mayStart(*job, machine, turn.now)) continue;
+        if (job->run->waiting == 0 || !hasFreeCapacity(machine, *job)) continue;
+        if (!context_.constraints.mayStart(*job, machine, turn.now)) continue;
         if (machine.hasImage(job->image())) {
             while (startOne(turn, *job)) {
             }
@@ -76,7 +76,7 @@
         if (context_.images.waitsForImage(*job, turn.now) || turn.fetchPlaced) continue;
         if (machine.isFetching(job->image())) continue;
         if (!context_.pacing.allows(*job, machine, turn.now)) continue;
-        if (context_.images.roomWithImage(*job, turn.now) >= job->run->waiting) continue;
+        if (context_.images.capacityWithImage(*job, turn.now) >= job->run->waiting) continue;
         if (!startOne(turn, *job)) continue;
         turn.fetchPlaced = true;
         context_.pacing.recordFetch(*job, machine.zone, turn.now);
@@ -87,12 +87,12 @@
 void DegradedFirstScheduler::fillLeftoverRoom(Turn& turn, JobSpan jobs) {
     auto& machine = turn.machine;
     for (auto* job : jobs) {
-        if (job->run->waiting == 0 || !hasFreeRoom(machine, *job)) continue;
+        if (job->run->waiting == 0 || !hasFreeCapacity(machine, *job)) continue;
         if (machine.hasImage(job->image())) continue;
-        if (!context_.rules.mayStart(*job, machine, turn.now)) continue;
+        if (!context_.constraints.mayStart(*job, machine, turn.now)) continue;
         if (context_.images.waitsForImage(*job, turn.now)) continue;
         const auto waiting = job->run->waiting;
-        const auto elsewhere = context_.images.roomWithImage(*job, turn.now);
+        const auto elsewhere = context_.images.capacityWithImage(*job, turn.now);
         bool fetching = machine.isFetching(job->image());
         for (std::uint32_t n = elsewhere; n < waiting && startOne(turn, *job); ++n) {
             if (!fetching) context_.pacing.recordFetch(*job, machine.zone, turn.now);
@@ -102,14 +102,14 @@
 }
 
 bool DegradedFirstScheduler::mayStartOne(const Turn& turn, const Job& job) const {
-    if (turn.commands.size() >= kMaxStarts || !context_.rules.mayStart(job, turn.machine, turn.now))
+    if (turn.commands.size() >= kMaxStarts || !context_.constraints.mayStart(job, turn.machine, turn.now))
         return false;
     if (blockedByUnreconciled(job, context_.fleet)) return false;
     // A gang of one task, too, has one attempt at a time.
     const bool gang = job.spec.kind == JobKind::gang;
     if (gang && (job.spec.tasks > 1 || job.run->placedTotal > 0)) return false;
-    if (!withinTeamLimit(job, 1, context_.fleet, context_.types)) return false;
-    return availableRoom(turn.machine, job, turn.now).covers(bookkeeping::needOf(job.spec));
+    if (!withinTeamQuota(job, 1, context_.fleet, context_.types)) return false;
+    return availableCapacity(turn.machine, job, turn.now).covers(bookkeeping::needOf(job.spec));
 }
 
 /// Starts a waiting task of the job on the machine, image or not. False if none may start there.
@@ -140,12 +140,12 @@
     const auto& run = *job.run;
     if (run.waiting == 0 || machine.isReserved(now) || bookkeeping::isLargeGang(job.spec)) return;
     const auto need = bookkeeping::needOf(job.spec);
-    if (availableRoom(machine, job, now).covers(need) || !maxRoom(machine, job, now).covers(need)) return;
-    if (!context_.rules.mayStart(job, machine, now) || blockedByUnreconciled(job, context_.fleet)) return;
-    if (!withinTeamLimit(job, 1, context_.fleet, context_.types)) return;
+    if (availableCapacity(machine, job, now).covers(need) || !capacityWithPreemption(machine, job, now).covers(need)) return;
+    if (!context_.constraints.mayStart(job, machine, now) || blockedByUnreconciled(job, context_.fleet)) return;
+    if (!withinTeamQuota(job, 1, context_.fleet, context_.types)) return;
     if (context_.fleet.reservations(job, now) >= run.waiting) return;
     const auto time =
-        std::chrono::duration_cast<Clock::duration>(context_.settings.heartbeatInterval * kHeartbeatsKept);
+        toClockDuration(context_.settings.heartbeatInterval * kHeartbeatsKept);
     context_.fleet.reserve(machine, &job, now + time, true);
 }
 
--- a/src/coordination/scheduling/degraded_first_scheduler.h
+++ b/src/coordination/scheduling/degraded_first_scheduler.h
@@ -27,7 +27,7 @@
     const MachineTypes& types;
     JobQueue& jobQueue;
     FetchPacing& pacing;
-    const PlacementConstraints& rules;
+    const PlacementConstraints& constraints;
     ImageLocality& images;
     AttemptIdGenerator& attempts;
 };
--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -42,7 +42,7 @@
     machinesUp_ = up.size();
     reportingZones_.clear();
     const auto heardWithin =
-        std::chrono::duration_cast<Clock::duration>(settings_.heartbeatInterval * kZoneHeartbeatsMissed);
+        toClockDuration(settings_.heartbeatInterval * kZoneHeartbeatsMissed);
     double sum = 0;
     for (const auto* machine : up) {
         sum += cachedTaskTime(*machine);
@@ -68,12 +68,12 @@
 }
 
 bool FetchPacing::allows(const Job& job, const Machine& machine, Time now) const {
-    return keepsEvenShare(job) && hasTimeToSpare(machine) && zoneHasRested(machine.zone, now);
+    return withinFetchShare(job) && hasSpareTime(machine) && zoneMayFetch(machine.zone, now);
 }
 
 /// m/M >= md/Md, without the divisions: the fetches are spread evenly over the job's starts. A job without
 /// expected fetches (Md = 0) has nothing to spread.
-bool FetchPacing::keepsEvenShare(const Job& job) const {
+bool FetchPacing::withinFetchShare(const Job& job) const {
     const auto& run = *job.run;
     const double allTasks = job.spec.tasks;                   // M
     const double expectedFetches = run.expectedPacedFetches;  // Md
@@ -82,7 +82,7 @@
 }
 
 /// ts <= E[ts]: a machine with more cached work than the mean is left to that work.
-bool FetchPacing::hasTimeToSpare(const Machine& machine) const {
+bool FetchPacing::hasSpareTime(const Machine& machine) const {
     return cachedTaskTime(machine) <= meanCachedTaskTime_ + kTimeSlack;
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// tr >= min(E[tr], threshold). A zone that never fetched has rested for ever.
-bool FetchPacing::zoneHasRested(const std::string& zone, Time now) const {
+bool FetchPacing::zoneMayFetch(const std::string& zone, Time now) const {
     const auto last = lastFetch_.find(zone);
     if (last == lastFetch_.end()) return true;
     const Seconds sinceFetch = now - last->second;  // tr
--- a/src/coordination/scheduling/fetch_pacing.h
+++ b/src/coordination/scheduling/fetch_pacing.h
@@ -52,9 +52,9 @@
     Seconds expectedFetchTime() const;
 
   private:
-    bool keepsEvenShare(const bookkeeping::Job& job) const;
-    bool hasTimeToSpare(const bookkeeping::Machine& machine) const;
-    bool zoneHasRested(const std::string& zone, Time now) const;
+    bool withinFetchShare(const bookkeeping::Job& job) const;
+    bool hasSpareTime(const bookkeeping::Machine& machine) const;
+    bool zoneMayFetch(const std::string& zone, Time now) const;
     double cachedTaskTime(const bookkeeping::Machine& machine) const;
     Seconds meanTimeSinceFetch(Time now) const;
     void refreshImageWork(const std::vector<bookkeeping::Job*>& waiting, const bookkeeping::Fleet& fleet);
--- a/src/coordination/scheduling/gang_capacity.h
+++ b/src/coordination/scheduling/gang_capacity.h
@@ -23,19 +23,19 @@
     };
 
     std::string zone;             // empty: all zones together
-    std::uint32_t yielding = 0;   // fit if all that may yield did; at most the gang's size
+    std::uint32_t withPreemption = 0;   // fit if all that may yield did; at most the gang's size
     std::uint32_t possible = 0;   // would fit beside nothing but replicas; at most the gang's size
     std::uint32_t free = 0;       // fit at once
     std::vector<Share> machines;  // those with any room
 
     /// The room with the greater merit is the better one.
-    auto merit() const { return std::tuple(yielding, possible, free); }
+    auto merit() const { return std::tuple(withPreemption, possible, free); }
 };
 
 /// The zone that offers the gang most, or what all zones offer together if it need not be in one. It walks
 /// over all machines for each zone.
 GangCapacity bestGangCapacity(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet,
-                              const std::vector<std::string>& zones, const PlacementConstraints& rules,
+                              const std::vector<std::string>& zones, const PlacementConstraints& constraints,
                               ScanCounter& scans, Time now);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -30,12 +30,12 @@
 }  // namespace
 
 GangPlanner::GangPlanner(const Settings& settings, Fleet& fleet, const MachineTypes& types,
-                         const PlacementConstraints& rules, JobQueue& jobQueue,
+                         const PlacementConstraints& constraints, JobQueue& jobQueue,
                          ZoneReservations& zoneReservations, AttemptIdGenerator& attempts)
     : settings_(settings),
       fleet_(fleet),
       types_(types),
-      constraints_(rules),
+      constraints_(constraints),
       jobQueue_(jobQueue),
       zoneReservations_(zoneReservations),
       attemptIds_(attempts) {}
@@ -68,7 +68,7 @@
 bool GangPlanner::isDue(const Job& job, Time now) const {
     if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return false;
     if (job.run->waiting == 0 || job.run->backoffUntil > now || !mayComplete(job, now)) return false;
-    return !blockedByUnreconciled(job, fleet_) && withinTeamLimit(job, job.run->waiting, fleet_, types_);
+    return !blockedByUnreconciled(job, fleet_) && withinTeamQuota(job, job.run->waiting, fleet_, types_);
 }
 
 bool GangPlanner::mayComplete(const Job& job, Time now) const {
@@ -116,7 +116,7 @@
         if (machine->typeInfo->cpus - machine->used.cpus < need.cpus - kSlack) continue;
         if (!constraints_.mayStart(job, *machine, now)) continue;
         if (job.run->placedTotal > 0 && job.run->machinesLeft.contains(machine->id)) continue;
-        const auto room = availableRoom(*machine, job, now).times(need);
+        const auto room = availableCapacity(*machine, job, now).times(need);
         if (room == 0) continue;
         const bool cached = machine->hasImage(job.image());
         const int merit = (machine->reservedFor == &job ? kKeptForGang : 0) +
--- a/src/coordination/scheduling/gang_planner.h
+++ b/src/coordination/scheduling/gang_planner.h
@@ -24,7 +24,7 @@
   public:
     /// All are kept by reference and have to outlive this.
     GangPlanner(const protocol::Settings& settings, bookkeeping::Fleet& fleet, const MachineTypes& types,
-                const PlacementConstraints& rules, JobQueue& jobQueue, ZoneReservations& zoneReservations,
+                const PlacementConstraints& constraints, JobQueue& jobQueue, ZoneReservations& zoneReservations,
                 AttemptIdGenerator& attempts);
 
     /// Plans the waiting gangs that find room now, in order. It walks over all machines, so it does so five
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -25,26 +25,26 @@
 }  // namespace
 
 ImageLocality::ImageLocality(const Settings& settings, const Policy& policy, const Fleet& fleet,
-                             const FetchPacing& pacing, const PlacementConstraints& rules, ScanCounter& scans)
+                             const FetchPacing& pacing, const PlacementConstraints& constraints, ScanCounter& scans)
     : settings_(settings),
       policy_(policy),
       fleet_(fleet),
       pacing_(pacing),
-      constraints_(rules),
+      constraints_(constraints),
       scans_(scans) {}
 
-std::uint32_t ImageLocality::roomWithImage(Job& job, Time now) {
+std::uint32_t ImageLocality::capacityWithImage(Job& job, Time now) {
     auto& run = *job.run;
     if (now < run.cachedRoomUntil) return run.roomWithImage;
     run.cachedRoomUntil = now + kLookupInterval;
     run.roomWithImage = 0;
-    const auto soon = std::chrono::duration_cast<Clock::duration>(settings_.heartbeatInterval * kSoon);
+    const auto soon = toClockDuration(settings_.heartbeatInterval * kSoon);
     const auto need = bookkeeping::needOf(job.spec);
     for (const auto* machine : fleet_.withImage(job.image())) {
         scans_.add();
         if (!hasFreeProcessors(*machine, need.cpus) || !usable(*machine, now)) continue;
         if (now - machine->lastHeartbeat > soon || !constraints_.mayStart(job, *machine, now)) continue;
-        run.roomWithImage += availableRoom(*machine, job, now).times(need);
+        run.roomWithImage += availableCapacity(*machine, job, now).times(need);
         if (run.roomWithImage >= run.waiting) break;
     }
     return run.roomWithImage;
@@ -67,7 +67,7 @@
     run.imageWait = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         scans_.add();
         return usable(*machine, now) && constraints_.mayStart(job, *machine, now) &&
-               maxRoom(*machine, job, now).covers(need);
+               capacityWithPreemption(*machine, job, now).covers(need);
     });
     return run.imageWait;
 }
--- a/src/coordination/scheduling/image_locality.h
+++ b/src/coordination/scheduling/image_locality.h
@@ -19,10 +19,10 @@
     /// All are kept by reference and have to outlive this.
     ImageLocality(const protocol::Settings& settings, const protocol::Policy& policy,
                   const bookkeeping::Fleet& fleet, const FetchPacing& pacing,
-                  const PlacementConstraints& rules, ScanCounter& scans);
+                  const PlacementConstraints& constraints, ScanCounter& scans);
 
     /// How many of the job's waiting tasks fit on machines that have its image and report soon.
-    std::uint32_t roomWithImage(bookkeeping::Job& job, Time now);
+    std::uint32_t capacityWithImage(bookkeeping::Job& job, Time now);
 
     /// Would fetching its image make the job miss its class's wait aim, while a machine that has it could
     /// take it, by preemption if need be? Never true where the operators switched preemption off.
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -56,7 +56,7 @@
     for (auto* job : open_) {
         auto& run = *job->run;
         fleet.setPriority(*job, job->effectivePriority);
-        run.guaranteed = withinGuarantee(*job, demand);
+        run.guaranteed = withinGuaranteedQuota(*job, demand);
         run.rank = static_cast<int>(run.priority);
         if (run.guaranteed) run.rank = kGuaranteedRank;
         if (run.priority == Priority::production) run.rank = kProductionRank;
@@ -74,7 +74,7 @@
 
 /// Does what the team has asked for so far, this job included, stay within its guarantee? To be asked once
 /// for each open job, in order of arrival.
-bool JobQueue::withinGuarantee(const Job& job, TeamDemand& demand) {
+bool JobQueue::withinGuaranteedQuota(const Job& job, TeamDemand& demand) {
     const auto& spec = job.spec;
     auto& asked = demand[spec.team];
     const auto unfinished = spec.tasks - job.doneCount;
@@ -90,7 +90,7 @@
 /// Sets the job's place within its rank, and for one that is overdue and has not begun its rank.
 void JobQueue::place(Job& job, const WallClock& clock, Time now) const {
     auto& run = *job.run;
-    run.positionInRank = job.dueAtMs ? placeByDueTime(job, clock, now) : kArrivalPlace;
+    run.positionInRank = job.dueAtMs ? positionByDeadline(job, clock, now) : kArrivalPlace;
     // But nothing is passed over for ever: what has waited for long goes first, by arrival.
     const Seconds age = now - run.readyAt;
     run.overdue = age > policy_.longestPassedOver;
@@ -101,7 +101,7 @@
 
 /// Where deadlines count, what is soonest through goes first, so that as many jobs as possible meet theirs,
 /// and what can no longer meet its own goes last.
-double JobQueue::placeByDueTime(const Job& job, const WallClock& clock, Time now) {
+double JobQueue::positionByDeadline(const Job& job, const WallClock& clock, Time now) {
     const auto& spec = job.spec;
     const Seconds left = clock.steadyAt(*job.dueAtMs) - now;
     // A deadline handed down by a job that needs this one is never past saving: more than this job hangs on
--- a/src/coordination/scheduling/job_queue.h
+++ b/src/coordination/scheduling/job_queue.h
@@ -58,8 +58,8 @@
   private:
     using TeamDemand = std::unordered_map<std::string_view, bookkeeping::Resources>;
 
-    static bool withinGuarantee(const bookkeeping::Job& job, TeamDemand& demand);
-    static double placeByDueTime(const bookkeeping::Job& job, const WallClock& clock, Time now);
+    static bool withinGuaranteedQuota(const bookkeeping::Job& job, TeamDemand& demand);
+    static double positionByDeadline(const bookkeeping::Job& job, const WallClock& clock, Time now);
     void place(bookkeeping::Job& job, const WallClock& clock, Time now) const;
 
     const protocol::Policy& policy_;
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -74,7 +74,7 @@
     });
 }
 
-bool withinTeamLimit(const Job& job, std::uint32_t tasks, const Fleet& fleet, const MachineTypes& types) {
+bool withinTeamQuota(const Job& job, std::uint32_t tasks, const Fleet& fleet, const MachineTypes& types) {
     const auto* team = job.run->team;
     if (!team) return false;
     if (team->maxCpus <= 0 && team->maxGpus <= 0) return true;
@@ -92,12 +92,12 @@
     return fits(use.cpus, job.spec.cpus, team->maxCpus) && fits(use.gpus, job.spec.gpus, team->maxGpus);
 }
 
-bool hasFreeRoom(const Machine& machine, const Job& job) {
+bool hasFreeCapacity(const Machine& machine, const Job& job) {
     if (!machine.typeInfo) return false;
     return (bookkeeping::sizeOf(*machine.typeInfo) - machine.used).covers(bookkeeping::needOf(job.spec));
 }
 
-Resources availableRoom(const Machine& machine, const Job& job, Time now) {
+Resources availableCapacity(const Machine& machine, const Job& job, Time now) {
     if (!machine.typeInfo) return {};
     auto room = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
     const auto* holder = machine.reservedFor;
@@ -106,8 +106,8 @@
     return room;
 }
 
-Resources maxRoom(const Machine& machine, const Job& job, Time now) {
-    auto room = availableRoom(machine, job, now);
+Resources capacityWithPreemption(const Machine& machine, const Job& job, Time now) {
+    auto room = availableCapacity(machine, job, now);
     // A guarantee may be given back by work of any priority.
     const auto below =
         job.run->guaranteed ? machine.stoppable.size() : static_cast<std::size_t>(job.priority());
@@ -135,7 +135,7 @@
     if (!bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot)) return false;
     if (!zoneAllows(job, machine.zone)) return false;
     if (!accelerators_.allows(job, machine, now)) return false;
-    if (zoneReservations_.keepsOut(job, machine, now)) return false;
+    if (zoneReservations_.excludes(job, machine, now)) return false;
     return !avoidsAfterFailure(job, machine, now);
 }
 
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -36,20 +36,20 @@
 
 /// Would the job's team stay within its limits with so many more tasks of the job? Machines that have not
 /// been heard count as full of the team's tasks. False for a team that the settings do not know.
-bool withinTeamLimit(const bookkeeping::Job& job, std::uint32_t tasks, const bookkeeping::Fleet& fleet,
+bool withinTeamQuota(const bookkeeping::Job& job, std::uint32_t tasks, const bookkeeping::Fleet& fleet,
                      const MachineTypes& types);
 
 /// Is there room for one of the job's tasks beside what is on the machine, whatever is kept there for others?
-/// It costs less than all other rules, so it is asked first.
-bool hasFreeRoom(const bookkeeping::Machine& machine, const bookkeeping::Job& job);
+/// It costs less than all other constraints, so it is asked first.
+bool hasFreeCapacity(const bookkeeping::Machine& machine, const bookkeeping::Job& job);
 
 /// The machine's unused room, less what is kept there for another job that the job has to leave it to. May be
 /// negative; nothing for a machine of an unknown type.
-bookkeeping::Resources availableRoom(const bookkeeping::Machine& machine, const bookkeeping::Job& job,
+bookkeeping::Resources availableCapacity(const bookkeeping::Machine& machine, const bookkeeping::Job& job,
                                      Time now);
 
 /// The room that the job could have on the machine if everything that might yield to it did.
-bookkeeping::Resources maxRoom(const bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
+bookkeeping::Resources capacityWithPreemption(const bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
 
 /// Has the task not run for long enough to count as started for its users?
 bool startedRecently(const bookkeeping::Placement& placement, Time now);
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -72,14 +72,14 @@
     const auto& run = *job.run;
     if (job.priority() <= Priority::normal && !run.guaranteed) return false;
     if (job.terminalState != TerminalState::none || run.waiting == 0 || run.backoffUntil > now) return false;
-    if (Seconds(now - run.waitingSince) < patienceOf(job)) return false;
+    if (Seconds(now - run.waitingSince) < maxWaitBeforePreemption(job)) return false;
     const auto tasks = bookkeeping::isLargeGang(job.spec) ? run.waiting : 1;
     return !blockedByUnreconciled(job, context_.fleet) &&
-           withinTeamLimit(job, tasks, context_.fleet, context_.types);
+           withinTeamQuota(job, tasks, context_.fleet, context_.types);
 }
 
 /// How long a job may wait for room to come free by itself: a small part of what its users expect.
-Seconds Preemption::patienceOf(const Job& job) const {
+Seconds Preemption::maxWaitBeforePreemption(const Job& job) const {
     const auto heartbeat = context_.settings.heartbeatInterval;
     // Neither replicas' room nor whole machines come free by waiting.
     const bool hurried = job.priority() == Priority::production || job.spec.gpus > 0;
@@ -92,7 +92,7 @@
 
 Time Preemption::keptUntil(const Job& job, int heartbeats, Time now) const {
     const Seconds time = context_.settings.heartbeatInterval * heartbeats + job.spec.saveTime;
-    return now + std::chrono::duration_cast<Clock::duration>(time);
+    return now + toClockDuration(time);
 }
 
 std::optional<PreemptionPlan> Preemption::planOn(Machine& machine, const Job& job, std::uint32_t tasks,
@@ -154,14 +154,14 @@
     if (!machine.typeInfo || !usable(machine, now)) return;
     const bool made = machine.isReserved(now) && !machine.holding;
     if (made && machine.reservedFor != &job) return;
-    if (!context_.rules.mayStart(job, machine, now)) return;
+    if (!context_.constraints.mayStart(job, machine, now)) return;
     const auto need = bookkeeping::needOf(job.spec);
     if (made) {
         ++survey.zones[machine.zone];
         ++survey.coming;
-    } else if (const auto room = availableRoom(machine, job, now).times(need); room > 0) {
+    } else if (const auto room = availableCapacity(machine, job, now).times(need); room > 0) {
         survey.coming += room;  // it will be placed with that machine's heartbeat
-    } else if (maxRoom(machine, job, now).covers(need)) {
+    } else if (capacityWithPreemption(machine, job, now).covers(need)) {
         survey.candidates.push_back(&machine);
     }
 }
@@ -191,8 +191,8 @@
     if (job.run->placedTotal > 0) return 0;
     const auto size = job.spec.tasks;
     const auto room =
-        bestGangCapacity(job, context_.fleet, context_.settings.zones, context_.rules, context_.scans, now);
-    if (room.yielding < size) {
+        bestGangCapacity(job, context_.fleet, context_.settings.zones, context_.constraints, context_.scans, now);
+    if (room.withPreemption < size) {
         // Unless more machines have to come first.
         if (room.possible >= size) context_.zoneReservations.reserve(job, room.zone, now);
         return 0;
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -32,7 +32,7 @@
     bookkeeping::Fleet& fleet;
     const MachineTypes& types;
     const JobQueue& jobQueue;
-    const PlacementConstraints& rules;
+    const PlacementConstraints& constraints;
     ImageLocality& images;
     ZoneReservations& zoneReservations;
     TaskTerminator& terminator;
@@ -57,7 +57,7 @@
     };
 
     bool isDue(const bookkeeping::Job& job, Time now) const;
-    Seconds patienceOf(const bookkeeping::Job& job) const;
+    Seconds maxWaitBeforePreemption(const bookkeeping::Job& job) const;
 
     int preemptFor(bookkeeping::Job& job, Time now);
     RoomSurvey surveyRoom(bookkeeping::Job& job, Time now);
--- a/src/coordination/scheduling/preemption_plan.cpp
+++ b/src/coordination/scheduling/preemption_plan.cpp
@@ -66,7 +66,7 @@
                                              const Fleet& fleet, const Settings& settings, Time now) {
     const auto need = bookkeeping::needOf(job.spec, tasks);
     PreemptionPlan plan{&machine, {}, machine.hasImage(job.image()) ? 0.0 : kFetchLoss, tasks};
-    auto room = availableRoom(machine, job, now);
+    auto room = availableCapacity(machine, job, now);
     std::vector<Victim> victims;
     for (auto& [key, placement] : machine.placements) {
         if (placement.stopping)
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -45,7 +45,7 @@
     if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return;
     if (machine.isReserved(now) || machine.interruptionAt) return;
     const Seconds time = grace + settings_.heartbeatInterval * kHeartbeatsUntilFree + kGangReservation;
-    const auto until = now + std::chrono::duration_cast<Clock::duration>(time);
+    const auto until = now + toClockDuration(time);
     fleet_.reserve(machine, &job, until, false, job.run->machines.at(machine.id));
 }
 
--- a/src/coordination/scheduling/zone_reservations.cpp
+++ b/src/coordination/scheduling/zone_reservations.cpp
@@ -49,7 +49,7 @@
     std::erase_if(byZone_, [&](const auto& entry) { return entry.second.gang == &gang; });
 }
 
-bool ZoneReservations::keepsOut(const Job& job, const Machine& machine, Time now) const {
+bool ZoneReservations::excludes(const Job& job, const Machine& machine, Time now) const {
     if (byZone_.empty() || !machine.typeInfo || job.priority() == Priority::production) return false;
     return std::any_of(byZone_.begin(), byZone_.end(), [&](const auto& entry) {
         const auto& [zone, reservation] = entry;
--- a/src/coordination/scheduling/zone_reservations.h
+++ b/src/coordination/scheduling/zone_reservations.h
@@ -30,7 +30,7 @@
 
     /// Must the job stay off the machine, as a gang that waits for machines like this one has its zone? Never
     /// true for the gang itself, for production, and for work that the gang could not replace.
-    bool keepsOut(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
+    bool excludes(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
   private:
     struct Reservation {
--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -55,7 +55,7 @@
         return job;
     }
     /// A job with accelerators that leaves six processors of each machine.
-    void need(Priority priority) { policy.recordNeed(job(JobKind::array, priority, 2, 10)); }
+    void need(Priority priority) { policy.recordDemand(job(JobKind::array, priority, 2, 10)); }
     Job& array(Priority priority) { return job(JobKind::array, priority); }
     /// A service that has waited for plain machines for long enough.
     Job& service() {
@@ -115,19 +115,19 @@
 
 TEST_F(Accelerators, TheLargestNeedAndTheLowestPriorityCount) {
     need(Priority::high);
-    policy.recordNeed(job(JobKind::array, Priority::low, 1, 15));
+    policy.recordDemand(job(JobKind::array, Priority::low, 1, 15));
     EXPECT_FALSE(allows(array(Priority::low), machine("g", "gpu")));
 }
 
 TEST_F(Accelerators, ANeedCountsOnlyWhereItsOwnerAllowsIt) {
     auto& elsewhere = job(JobKind::array, Priority::low, 2, 16);
     elsewhere.spec.types = std::vector<std::string>{"other"};
-    policy.recordNeed(elsewhere);
+    policy.recordDemand(elsewhere);
     EXPECT_TRUE(allows(array(Priority::normal), machine("g", "gpu")));
 }
 
 TEST_F(Accelerators, NothingIsHeldBackForLong) {
-    policy.recordNeed(job(JobKind::array, Priority::low, 2, 16));
+    policy.recordDemand(job(JobKind::array, Priority::low, 2, 16));
     auto& gpu = machine("g", "gpu");
     auto& waits = array(Priority::normal);
     now += 59s;
@@ -153,7 +153,7 @@
 }
 
 TEST_F(Accelerators, AReplicaTakesTheNeedsRoomOnlyWhereNoPlainMachineIsLeft) {
-    policy.recordNeed(job(JobKind::array, Priority::normal, 2, 16));
+    policy.recordDemand(job(JobKind::array, Priority::normal, 2, 16));
     auto& gpu = machine("g", "gpu");
     auto& plain = machine("p", "plain");
     refresh();
@@ -167,7 +167,7 @@
 }
 
 TEST_F(Accelerators, ReplicasShareAnEighthWhereTheCloudHasNoMore) {
-    policy.recordNeed(job(JobKind::array, Priority::normal, 2, 16));
+    policy.recordDemand(job(JobKind::array, Priority::normal, 2, 16));
     refusePlain();
     auto& given = machine("g0", "gpu");
     place(given, service(), 1);
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -55,7 +55,7 @@
     void place(Machine& machine, Job& job, std::uint32_t task) {
         fleet.place(machine, job, task, task + 1, PlacementState::running, now);
     }
-    double room(const Machine& machine, const Job& job) { return availableRoom(machine, job, now).cpus; }
+    double room(const Machine& machine, const Job& job) { return availableCapacity(machine, job, now).cpus; }
 };
 
 }  // namespace
@@ -146,30 +146,30 @@
 TEST_F(Rules, ATeamStaysWithinItsLimits) {
     team.maxCpus = 6;
     auto& limited = job();
-    EXPECT_TRUE(withinTeamLimit(limited, 3, fleet, types));
-    EXPECT_FALSE(withinTeamLimit(limited, 4, fleet, types));
+    EXPECT_TRUE(withinTeamQuota(limited, 3, fleet, types));
+    EXPECT_FALSE(withinTeamQuota(limited, 4, fleet, types));
     place(machine("m"), limited, 0);
-    EXPECT_TRUE(withinTeamLimit(limited, 2, fleet, types));
-    EXPECT_FALSE(withinTeamLimit(limited, 3, fleet, types));
+    EXPECT_TRUE(withinTeamQuota(limited, 2, fleet, types));
+    EXPECT_FALSE(withinTeamQuota(limited, 3, fleet, types));
     limited.spec.gpus = 1;
     team.maxGpus = 1;
-    EXPECT_FALSE(withinTeamLimit(limited, 2, fleet, types));
+    EXPECT_FALSE(withinTeamQuota(limited, 2, fleet, types));
 }
 
 TEST_F(Rules, AMachineNotHeardCountsAsFullOfTheTeamsTasks) {
     team.maxCpus = 9;
     auto& limited = job();
-    EXPECT_TRUE(withinTeamLimit(limited, 1, fleet, types));
+    EXPECT_TRUE(withinTeamQuota(limited, 1, fleet, types));
     fleet.setReconciled(machine("m"), false);  // eight processors
-    EXPECT_FALSE(withinTeamLimit(limited, 1, fleet, types));
+    EXPECT_FALSE(withinTeamQuota(limited, 1, fleet, types));
     team.maxCpus = 0;  // no limit
-    EXPECT_TRUE(withinTeamLimit(limited, 1, fleet, types));
+    EXPECT_TRUE(withinTeamQuota(limited, 1, fleet, types));
 }
 
 TEST_F(Rules, AnUnknownTeamMayStartNothing) {
     auto& strange = job();
     strange.run->team = nullptr;
-    EXPECT_FALSE(withinTeamLimit(strange, 1, fleet, types));
+    EXPECT_FALSE(withinTeamQuota(strange, 1, fleet, types));
 }
 
 TEST_F(Rules, RoomIsWhatIsNotUsed) {
@@ -190,7 +190,7 @@
     EXPECT_DOUBLE_EQ(room(here, job(Priority::high)), 4);
     EXPECT_DOUBLE_EQ(room(here, job(Priority::low)), 4);
     EXPECT_DOUBLE_EQ(room(here, job(Priority::production)), 8);
-    EXPECT_DOUBLE_EQ(availableRoom(here, job(Priority::low), now + 5s).cpus, 8);  // lapsed
+    EXPECT_DOUBLE_EQ(availableCapacity(here, job(Priority::low), now + 5s).cpus, 8);  // lapsed
     holder.run->waiting = 0;
     EXPECT_DOUBLE_EQ(room(here, job(Priority::low)), 8);  // nothing of it waits
 }
@@ -213,7 +213,7 @@
     place(here, job(Priority::normal), 0);
     place(here, job(Priority::high), 0);
     auto& asking = job(Priority::normal);
-    EXPECT_DOUBLE_EQ(maxRoom(here, asking, now).cpus, 4);  // 2 free, 2 of low work
+    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, asking, now).cpus, 4);  // 2 free, 2 of low work
     asking.run->guaranteed = true;
-    EXPECT_DOUBLE_EQ(maxRoom(here, asking, now).cpus, 8);
+    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, asking, now).cpus, 8);
 }
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -137,14 +137,14 @@
     coordination::ZoneReservations zones{policy};
     coordination::CapacityErrors capacityErrors;
     coordination::AcceleratorPolicy accelerators{types, capacityErrors};
-    coordination::PlacementConstraints rules{accelerators, zones};
-    coordination::ImageLocality images{settings, policy, fleet, pacing, rules, scans};
+    coordination::PlacementConstraints constraints{accelerators, zones};
+    coordination::ImageLocality images{settings, policy, fleet, pacing, constraints, scans};
     coordination::TaskTerminator terminator{settings, fleet, jobQueue};
-    coordination::GangPlanner gangs{settings, fleet, types, rules, jobQueue, zones, attempts};
+    coordination::GangPlanner gangs{settings, fleet, types, constraints, jobQueue, zones, attempts};
     coordination::DegradedFirstScheduler scheduler{
-        {settings, fleet, types, jobQueue, pacing, rules, images, attempts}};
+        {settings, fleet, types, jobQueue, pacing, constraints, images, attempts}};
     coordination::Preemption preemption{
-        {settings, fleet, types, jobQueue, rules, images, zones, terminator, scans}};
+        {settings, fleet, types, jobQueue, constraints, images, zones, terminator, scans}};
     coordination::AttemptCompletion ends{fleet, gangs, jobQueue, terminator};
     coordination::HeartbeatReconciler reconciler{
         {kToken, replica, fleet, jobQueue, runs, writer, pacing, terminator, ends}};
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -168,12 +168,12 @@
     machine("m1", "a");
     auto& full = machine("m2", "b");
     fill(full, "wk-2");
-    const auto offered = [&] { return bestGangCapacity(job, fleet, settings.zones, rules, scans, now); };
+    const auto offered = [&] { return bestGangCapacity(job, fleet, settings.zones, constraints, scans, now); };
     EXPECT_EQ(offered().zone, "a");
     EXPECT_EQ(offered().free, 4u);
-    EXPECT_EQ(offered().yielding, 4u);
+    EXPECT_EQ(offered().withPreemption, 4u);
     fill(*fleet.find("m1"), "wk-3");
-    EXPECT_EQ(offered().yielding, 4u);  // the low work yields
+    EXPECT_EQ(offered().withPreemption, 4u);  // the low work yields
     EXPECT_EQ(offered().free, 0u);
     EXPECT_EQ(offered().possible, 4u);
 }
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,4 +1,4 @@
-// What a heartbeat is answered with: the rules for starts, the design's three steps, and what other machines
+// What a heartbeat is answered with: the constraints for starts, the design's three steps, and what other machines
 // offer.
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
 class SchedulerTest : public PlacementFixture {};
 class StartRulesTest : public PlacementFixture {
   protected:
-    bool mayStart(const Job& job, const Machine& on) const { return rules.mayStart(job, on, now); }
+    bool mayStart(const Job& job, const Machine& on) const { return constraints.mayStart(job, on, now); }
 };
 class CachedImageLookupTest : public PlacementFixture {};
 
@@ -114,7 +114,7 @@
     EXPECT_TRUE(on.holding);
 }
 
-// --- the rules for starts ---------------------------------------------------------------------------------
+// --- the constraints for starts ---------------------------------------------------------------------------------
 
 TEST_F(StartRulesTest, OwnersConstraintsAreKept) {
     auto bound = spec("wk-1");
@@ -169,20 +169,20 @@
     auto& cached = machine("cached");
     giveImage(cached, job);
     machine("without");
-    EXPECT_EQ(images.roomWithImage(job, now), 4u);
+    EXPECT_EQ(images.capacityWithImage(job, now), 4u);
     now += 250ms;  // the answer is kept for so long
     cached.lastHeartbeat = now - 4s;
-    EXPECT_EQ(images.roomWithImage(job, now), 0u);
+    EXPECT_EQ(images.capacityWithImage(job, now), 0u);
 }
 
 TEST_F(CachedImageLookupTest, AnAnswerServesForAMoment) {
     auto& job = accept(spec("wk-1"));
     giveImage(machine("m1"), job);
-    images.roomWithImage(job, now);
+    images.capacityWithImage(job, now);
     const auto looked = scans.total();
-    images.roomWithImage(job, now + 249ms);
+    images.capacityWithImage(job, now + 249ms);
     EXPECT_EQ(scans.total(), looked);
-    images.roomWithImage(job, now + 250ms);
+    images.capacityWithImage(job, now + 250ms);
     EXPECT_GT(scans.total(), looked);
 }
 
--- a/tests/zone_reservations_test.cpp
+++ b/tests/zone_reservations_test.cpp
@@ -56,50 +56,50 @@
         return job(JobKind::gang, gpus, Priority::normal, age);
     }
     Job& rival() { return job(JobKind::array, 1, Priority::normal, 0s); }
-    bool keepsOut(const Job& job, const Machine& machine) { return zones.keepsOut(job, machine, now); }
+    bool excludes(const Job& job, const Machine& machine) { return zones.excludes(job, machine, now); }
 };
 
 }  // namespace
 
-TEST_F(Zones, WithoutAReservationNobodyIsKeptOut) { EXPECT_FALSE(keepsOut(rival(), gpuA)); }
+TEST_F(Zones, WithoutAReservationNobodyIsKeptOut) { EXPECT_FALSE(excludes(rival(), gpuA)); }
 
 TEST_F(Zones, AZoneIsKeptForAGangThatWaitedLong) {
     auto& large = gang();
     auto& other = rival();
     zones.reserve(large, "a", now);
-    EXPECT_TRUE(keepsOut(other, gpuA));
-    EXPECT_FALSE(keepsOut(other, gpuB));  // it has another zone to go to
-    EXPECT_FALSE(keepsOut(large, gpuA));
+    EXPECT_TRUE(excludes(other, gpuA));
+    EXPECT_FALSE(excludes(other, gpuB));  // it has another zone to go to
+    EXPECT_FALSE(excludes(large, gpuA));
 }
 
 TEST_F(Zones, AYoungGangGetsNone) {
     zones.reserve(gang(40s), "a", now);
-    EXPECT_FALSE(keepsOut(rival(), gpuA));
+    EXPECT_FALSE(excludes(rival(), gpuA));
 }
 
 TEST_F(Zones, AGangThatMaySpreadHasAllZones) {
     zones.reserve(gang(), "", now);
-    EXPECT_TRUE(keepsOut(rival(), gpuA));
-    EXPECT_TRUE(keepsOut(rival(), gpuB));
+    EXPECT_TRUE(excludes(rival(), gpuA));
+    EXPECT_TRUE(excludes(rival(), gpuB));
 }
 
 TEST_F(Zones, ProductionAndLowerWorkGoOn) {
     zones.reserve(gang(), "a", now);
-    EXPECT_FALSE(keepsOut(job(JobKind::array, 1, Priority::production, 0s), gpuA));
-    EXPECT_FALSE(keepsOut(job(JobKind::array, 1, Priority::low, 0s), gpuA));  // it yields anyway
-    EXPECT_TRUE(keepsOut(job(JobKind::array, 1, Priority::high, 0s), gpuA));
+    EXPECT_FALSE(excludes(job(JobKind::array, 1, Priority::production, 0s), gpuA));
+    EXPECT_FALSE(excludes(job(JobKind::array, 1, Priority::low, 0s), gpuA));  // it yields anyway
+    EXPECT_TRUE(excludes(job(JobKind::array, 1, Priority::high, 0s), gpuA));
 }
 
 TEST_F(Zones, WorkWithoutAcceleratorsIsNotKeptOutForAGangWithThem) {
     zones.reserve(gang(), "a", now);
-    EXPECT_FALSE(keepsOut(job(JobKind::array, 0, Priority::normal, 0s), gpuA));
-    EXPECT_FALSE(keepsOut(rival(), plainA));  // the gang does not fit there
+    EXPECT_FALSE(excludes(job(JobKind::array, 0, Priority::normal, 0s), gpuA));
+    EXPECT_FALSE(excludes(rival(), plainA));  // the gang does not fit there
 }
 
 TEST_F(Zones, AGangWithoutAcceleratorsKeepsOutGangsOnly) {
     zones.reserve(gang(kLongWait, 0), "a", now);
-    EXPECT_FALSE(keepsOut(job(JobKind::array, 0, Priority::normal, 0s), plainA));
-    EXPECT_TRUE(keepsOut(gang(0s, 0), plainA));
+    EXPECT_FALSE(excludes(job(JobKind::array, 0, Priority::normal, 0s), plainA));
+    EXPECT_TRUE(excludes(gang(0s, 0), plainA));
 }
 
 TEST_F(Zones, AReservationLapsesUnlessRenewed) {
@@ -107,29 +107,29 @@
     auto& other = rival();
     zones.reserve(large, "a", now);
     now += 9900ms;
-    EXPECT_TRUE(keepsOut(other, gpuA));
+    EXPECT_TRUE(excludes(other, gpuA));
     zones.reserve(large, "a", now);
     now += 9900ms;
-    EXPECT_TRUE(keepsOut(other, gpuA));
+    EXPECT_TRUE(excludes(other, gpuA));
     now += 100ms;
-    EXPECT_FALSE(keepsOut(other, gpuA));
+    EXPECT_FALSE(excludes(other, gpuA));
 }
 
 TEST_F(Zones, AGangStaysInTheZoneWhereItBegan) {
     auto& large = gang();
     zones.reserve(large, "a", now);
     zones.reserve(large, "b", now);
-    EXPECT_TRUE(keepsOut(rival(), gpuA));
-    EXPECT_FALSE(keepsOut(rival(), gpuB));
+    EXPECT_TRUE(excludes(rival(), gpuA));
+    EXPECT_FALSE(excludes(rival(), gpuB));
 }
 
 TEST_F(Zones, AReleasedZoneIsFree) {
     auto& large = gang();
     zones.reserve(large, "a", now);
     zones.release(gang());  // another one
-    EXPECT_TRUE(keepsOut(rival(), gpuA));
+    EXPECT_TRUE(excludes(rival(), gpuA));
     zones.release(large);
-    EXPECT_FALSE(keepsOut(rival(), gpuA));
+    EXPECT_FALSE(excludes(rival(), gpuA));
 }
 
 TEST_F(Zones, OneZoneAtATime) {
@@ -137,8 +137,8 @@
     auto& second = gang();
     zones.reserve(first, "a", now);
     zones.reserve(second, "b", now);
-    EXPECT_FALSE(keepsOut(rival(), gpuB));
-    EXPECT_TRUE(keepsOut(second, gpuA));
+    EXPECT_FALSE(excludes(rival(), gpuB));
+    EXPECT_TRUE(excludes(second, gpuA));
 }
 
 TEST_F(Zones, AnOverdueGangMayHaveAFurtherZoneButNotAnotherOnes) {
@@ -147,9 +147,9 @@
     second.run->overdue = true;
     zones.reserve(first, "a", now);
     zones.reserve(second, "a", now);
-    EXPECT_TRUE(keepsOut(second, gpuA));
+    EXPECT_TRUE(excludes(second, gpuA));
     zones.reserve(second, "b", now);
-    EXPECT_TRUE(keepsOut(first, gpuB));
+    EXPECT_TRUE(excludes(first, gpuB));
 }
 
 TEST_F(Zones, TheOldestGangTakesTheZoneOver) {
@@ -157,10 +157,10 @@
     auto& older = gang(60s);
     zones.reserve(younger, "a", now);
     zones.reserve(older, "a", now);
-    EXPECT_FALSE(keepsOut(older, gpuA));
-    EXPECT_TRUE(keepsOut(younger, gpuA));
+    EXPECT_FALSE(excludes(older, gpuA));
+    EXPECT_TRUE(excludes(younger, gpuA));
     zones.reserve(younger, "a", now);
-    EXPECT_FALSE(keepsOut(older, gpuA));
+    EXPECT_FALSE(excludes(older, gpuA));
 }
 
 // A minute for the gang, then half a minute in which what has waited for 20 s starts there, and so on.
@@ -175,15 +175,15 @@
     };
     zones.reserve(large, "a", now);
     goOn(59);
-    EXPECT_TRUE(keepsOut(waited, gpuA));
+    EXPECT_TRUE(excludes(waited, gpuA));
     goOn(1);
-    EXPECT_FALSE(keepsOut(waited, gpuA));
-    EXPECT_TRUE(keepsOut(rival(), gpuA));  // has not waited
+    EXPECT_FALSE(excludes(waited, gpuA));
+    EXPECT_TRUE(excludes(rival(), gpuA));  // has not waited
     waited.run->placedTotal = 1;
-    EXPECT_TRUE(keepsOut(waited, gpuA));  // runs already
+    EXPECT_TRUE(excludes(waited, gpuA));  // runs already
     waited.run->placedTotal = 0;
     goOn(29);
-    EXPECT_FALSE(keepsOut(waited, gpuA));
+    EXPECT_FALSE(excludes(waited, gpuA));
     goOn(1);
-    EXPECT_TRUE(keepsOut(waited, gpuA));
+    EXPECT_TRUE(excludes(waited, gpuA));
 }
