--- a/src/coordination/scheduling/zone_reservations.cpp
+++ b/src/coordination/scheduling/zone_reservations.cpp
@@ -13,15 +13,16 @@
 
 namespace {
 
-// A waiting gang has its turn, and renews its zone, every few seconds at most.
-constexpr auto kRenewedFor = 10s;
-// A zone is kept for a gang for so long, then what has waited has its turn there, and so on.
-constexpr auto kGangsTurn = 60s;
-constexpr auto kOthersTurn = 30s;
-// How long other work must have waited without any task on a machine to use its turn.
-constexpr auto kOthersMinWait = 20s;
-// The share of the longest time to be passed over that a gang waits before it has a zone kept.
-constexpr double kPatienceDivisor = 3;
+// A reservation lapses after this unless renewed. The rounds of preemption, which renew it, reach each
+// waiting gang every few seconds at most.
+constexpr auto kRenewalTimeout = 10s;
+// A zone alternates between an interval for its gang alone and one that is open to jobs that have waited too.
+constexpr auto kExclusiveInterval = 60s;
+constexpr auto kOpenInterval = 30s;
+// A job may start in the open interval if it has waited for so long without any task on a machine.
+constexpr auto kMinWaitOfOthers = 20s;
+// A gang has to wait for the policy's `longestPassedOver` divided by this before it has a zone reserved.
+constexpr double kMinAgeDivisor = 3;
 
 }  // namespace
 
@@ -31,18 +32,19 @@
     std::erase_if(byZone_, [&](const auto& entry) { return entry.second.until <= now; });
     const auto own = std::find_if(byZone_.begin(), byZone_.end(),
                                   [&](const auto& entry) { return entry.second.gang == &gang; });
-    if (own != byZone_.end()) {  // it stays where it began
-        own->second.until = now + kRenewedFor;
+    if (own != byZone_.end()) {
+        own->second.until = now + kRenewalTimeout;
         return;
     }
     const auto readyAt = gang.run->readyAt;
-    if (now - readyAt <= policy_.longestPassedOver / kPatienceDivisor) return;
+    if (now - readyAt <= policy_.longestPassedOver / kMinAgeDivisor) return;
     const auto holder = byZone_.find(zone);
     const bool taken = holder != byZone_.end();
-    // The oldest goes first, or one after the other might be younger.
+    // The oldest goes first; otherwise one younger gang after the other could go before it.
     const bool olderThanHolder = taken && readyAt < holder->second.gang->run->readyAt;
-    const bool mayHaveAnother = gang.run->overdue && !taken;
-    if (olderThanHolder || byZone_.empty() || mayHaveAnother) byZone_[zone] = {&gang, now + kRenewedFor, now};
+    const bool mayHaveFurtherZone = gang.run->overdue && !taken;
+    if (olderThanHolder || byZone_.empty() || mayHaveFurtherZone)
+        byZone_[zone] = {&gang, now + kRenewalTimeout, now};
 }
 
 void ZoneReservations::release(const Job& gang) {
@@ -54,24 +56,24 @@
     return std::any_of(byZone_.begin(), byZone_.end(), [&](const auto& entry) {
         const auto& [zone, reservation] = entry;
         if (reservation.until <= now || reservation.gang == &job) return false;
-        if (!zone.empty() && machine.zone != zone) return false;
-        if (isOthersTurn(reservation, now) && job.run->hasWaitedUnstarted(kOthersMinWait, now)) return false;
-        return reaches(reservation, job, machine);
+        if (zone != kAllZones && machine.zone != zone) return false;
+        if (inOpenInterval(reservation, now) && job.run->hasWaitedUnstarted(kMinWaitOfOthers, now))
+            return false;
+        return competes(job, *reservation.gang, machine);
     });
 }
 
-bool ZoneReservations::isOthersTurn(const Reservation& reservation, Time now) {
-    return (now - reservation.since) % (kGangsTurn + kOthersTurn) >= kGangsTurn;
+bool ZoneReservations::inOpenInterval(const Reservation& reservation, Time now) {
+    return (now - reservation.since) % (kExclusiveInterval + kOpenInterval) >= kExclusiveInterval;
 }
 
-/// Is the machine one that the gang waits for, and the job one that would take it from the gang? Lower work
-/// would not, as it yields.
-bool ZoneReservations::reaches(const Reservation& reservation, const Job& job, const Machine& machine) {
-    const auto& gang = reservation.gang->spec;
-    if (job.priority() < reservation.gang->priority()) return false;
-    const bool needsTheSame = gang.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == JobKind::gang;
+/// Does the gang wait for machines like this one, and would the job take it from the gang? Jobs of lower
+/// priority would not, as the gang may preempt them.
+bool ZoneReservations::competes(const Job& job, const Job& gang, const Machine& machine) {
+    if (job.priority() < gang.priority()) return false;
+    const bool needsTheSame = gang.spec.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == JobKind::gang;
     if (!needsTheSame) return false;
-    return bookkeeping::sizeOf(*machine.typeInfo).covers(bookkeeping::needOf(gang));
+    return bookkeeping::sizeOf(*machine.typeInfo).covers(bookkeeping::needOf(gang.spec));
 }
 
 }  // namespace burlpoint::coordination
