--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-// The mean fetch time moves by a tenth of each difference, so that it follows a change of the images within
-// some tens of fetches and no single one moves it far.
+// How far one fetch moves the mean fetch time towards its own. So the mean follows a change of the images
+// within some tens of fetches, and no single one moves it far.
 constexpr double kFetchTimeWeight = 0.1;
-// A zone counts for E[tr] while one of its machines was heard within so many report intervals.
-constexpr double kZoneHeartbeatsMissed = 3;
-// Seconds that a ts may exceed E[ts] by the rounding of the sums.
-constexpr double kTimeSlack = 1e-9;
+// A zone counts for E[tr] while one of its machines sent a heartbeat within so many heartbeat intervals.
+constexpr double kZoneHeartbeatIntervals = 3;
+// Seconds by which rounding of the sums may let ts exceed E[ts].
+constexpr double kTimeTolerance = 1e-9;
 
 }  // namespace
 
@@ -26,33 +26,32 @@
 
 void FetchPacing::admit(Job& job, const Fleet& fleet) const {
     if (job.run->admitted || machinesUp_ == 0) return;
-    const auto& having = fleet.withImage(job.image());
-    const auto upAndHaving = std::count_if(
-        having.begin(), having.end(), [](const auto* m) { return m->sendsHeartbeats && m->acknowledged; });
-    // A machine that came up since the last refresh counts among those that have the image only.
-    const double share = std::min(1.0, static_cast<double>(upAndHaving) / static_cast<double>(machinesUp_));
-    const double lacking = 1 - share;
+    const auto& withImage = fleet.withImage(job.image());
+    const auto upWithImage = std::count_if(withImage.begin(), withImage.end(), [](const auto* machine) {
+        return machine->sendsHeartbeats && machine->acknowledged;
+    });
+    // At most 1: machines that came up since the last refresh are in the first count only.
+    const double share = std::min(1.0, static_cast<double>(upWithImage) / static_cast<double>(machinesUp_));
     job.run->admitted = true;
-    job.run->expectedPacedFetches = job.spec.tasks * lacking;
+    job.run->expectedPacedFetches = job.spec.tasks * (1 - share);  // Md
 }
 
 void FetchPacing::refresh(const std::vector<Job*>& waiting, const std::vector<const Machine*>& up,
                           const Fleet& fleet, Time now) {
     refreshImageWork(waiting, fleet);
     machinesUp_ = up.size();
-    reportingZones_.clear();
-    const auto heardWithin =
-        toClockDuration(settings_.heartbeatInterval * kZoneHeartbeatsMissed);
+    zonesWithHeartbeats_.clear();
+    const auto recent = toClockDuration(settings_.heartbeatInterval * kZoneHeartbeatIntervals);
     double sum = 0;
     for (const auto* machine : up) {
         sum += cachedTaskTime(*machine);
-        // Only zones that heartbeat count: one that is cut off would raise the mean for all others.
-        if (now - machine->lastHeartbeat < heardWithin) reportingZones_.insert(machine->zone);
+        // A zone that is cut off would raise E[tr] for all others.
+        if (now - machine->lastHeartbeat < recent) zonesWithHeartbeats_.insert(machine->zone);
     }
     meanCachedTaskTime_ = up.empty() ? 0 : sum / static_cast<double>(up.size());
 }
 
-/// Each image's waiting work is shared by the processors of all machines that have it.
+/// The waiting tasks of an image are taken to be shared by the processors of all machines that have it.
 void FetchPacing::refreshImageWork(const std::vector<Job*>& waiting, const Fleet& fleet) {
     imageWork_.clear();
     for (const auto* job : waiting) {
@@ -71,22 +70,22 @@
     return withinFetchShare(job) && hasSpareTime(machine) && zoneMayFetch(machine.zone, now);
 }
 
-/// m/M >= md/Md, without the divisions: the fetches are spread evenly over the job's starts. A job without
-/// expected fetches (Md = 0) has nothing to spread.
+/// m/M >= md/Md, without the divisions: the degraded tasks are spread evenly over the job's launches. A job
+/// without expected ones (Md = 0) has nothing to spread.
 bool FetchPacing::withinFetchShare(const Job& job) const {
     const auto& run = *job.run;
-    const double allTasks = job.spec.tasks;                   // M
+    const double tasks = job.spec.tasks;                      // M
     const double expectedFetches = run.expectedPacedFetches;  // Md
     if (expectedFetches <= 0) return true;
-    return run.launchedTasks * expectedFetches >= run.pacedFetches * allTasks;  // m * Md >= md * M
+    return run.launchedTasks * expectedFetches >= run.pacedFetches * tasks;  // m * Md >= md * M
 }
 
-/// ts <= E[ts]: a machine with more cached work than the mean is left to that work.
+/// ts <= E[ts] (the paper's ASSIGNTOSLAVE): a machine with more cached tasks than the mean is left to these.
 bool FetchPacing::hasSpareTime(const Machine& machine) const {
-    return cachedTaskTime(machine) <= meanCachedTaskTime_ + kTimeSlack;
+    return cachedTaskTime(machine) <= meanCachedTaskTime_ + kTimeTolerance;
 }
 
-/// ts: seconds that the work waiting for the machine's images would keep it busy.
+/// ts, in seconds.
 double FetchPacing::cachedTaskTime(const Machine& machine) const {
     double seconds = 0;
     for (const auto& [image, gb] : machine.images) {
@@ -96,7 +95,7 @@
     return seconds;
 }
 
-/// tr >= min(E[tr], threshold). A zone that never fetched has rested for ever.
+/// tr >= min(E[tr], threshold) (the paper's ASSIGNTORACK). A zone that never fetched may do so at once.
 bool FetchPacing::zoneMayFetch(const std::string& zone, Time now) const {
     const auto last = lastFetch_.find(zone);
     if (last == lastFetch_.end()) return true;
@@ -104,17 +103,17 @@
     return sinceFetch >= std::min(meanTimeSinceFetch(now), expectedFetchTime());
 }
 
-/// E[tr] over the zones that heartbeat and have fetched; 0 without any.
+/// E[tr] over the zones that have fetched and send heartbeats; 0 without any.
 Seconds FetchPacing::meanTimeSinceFetch(Time now) const {
     Seconds sum{0};
     std::size_t count = 0;
-    for (const auto& zone : reportingZones_) {
+    for (const auto& zone : zonesWithHeartbeats_) {
         const auto last = lastFetch_.find(zone);
         if (last == lastFetch_.end()) continue;
         sum += Seconds(now - last->second);
         ++count;
     }
-    return count ? sum / static_cast<double>(count) : Seconds(0);
+    return count > 0 ? sum / static_cast<double>(count) : Seconds(0);
 }
 
 void FetchPacing::recordFetch(Job& job, const std::string& zone, Time now) {
@@ -123,13 +122,13 @@
 }
 
 void FetchPacing::recordFetchTime(Seconds took) {
-    meanFetchTime_ =
-        fetchTimesSeen_ == 0 ? took : meanFetchTime_ + (took - meanFetchTime_) * kFetchTimeWeight;
-    ++fetchTimesSeen_;
+    const bool first = recordedFetchTimes_ == 0;
+    meanFetchTime_ = first ? took : meanFetchTime_ + (took - meanFetchTime_) * kFetchTimeWeight;
+    ++recordedFetchTimes_;
 }
 
 Seconds FetchPacing::expectedFetchTime() const {
-    return fetchTimesSeen_ ? meanFetchTime_ : policy_.fetchStart;
+    return recordedFetchTimes_ > 0 ? meanFetchTime_ : policy_.fetchStart;
 }
 
 }  // namespace burlpoint::coordination
