--- a/src/coordination/scheduling/attempt_id_generator.h
+++ b/src/coordination/scheduling/attempt_id_generator.h
@@ -1,13 +1,13 @@
 #pragma once
 
-// Numbers of attempts. Owns the counter of one leadership.
+// Generates attempt numbers. Owns the counter of one leader. Used on the leader's thread.
 
 #include <cstdint>
 
 namespace burlpoint::coordination {
 
-/// Numbers that no attempt had before: the leadership's fencing token, which no other leadership has, times
-/// 2^32, plus a counter.
+/// Generates numbers that no attempt had before: the leader's fencing token, which no other leader has, in
+/// the upper 32 bits and a counter in the lower 32.
 class AttemptIdGenerator {
   public:
     explicit AttemptIdGenerator(std::uint64_t fencingToken) : last_(fencingToken << kCounterBits) {}
--- a/src/coordination/scheduling/scan_counter.h
+++ b/src/coordination/scheduling/scan_counter.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// How much of the fleet was looked at on behalf of jobs. Owns the count.
+// Counts how many machines were looked at on behalf of waiting jobs. Owns the count. Used on the leader's
+// thread.
 
 #include <cstdint>
 
 namespace burlpoint::coordination {
 
-/// Counts the machines that were looked at for waiting jobs. Rounds over the waiting jobs are bounded by it,
-/// so that their cost does not grow with the number of jobs times that of machines.
+/// Preemption rounds end when this count has grown by their budget, so that their cost does not grow with the
+/// number of jobs times the number of machines.
 class ScanCounter {
   public:
     void add(std::uint64_t machines = 1) { total_ += machines; }
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -14,8 +14,10 @@
 
 namespace {
 
-constexpr Seconds kGangReservation{5};   // machines of a stopped gang, beyond its save and reports
-constexpr int kHeartbeatsUntilFree = 3;  // until a machine has shown that its tasks are gone
+// A machine shows within so many heartbeat intervals that its stopped tasks are gone.
+constexpr int kIntervalsUntilFree = 3;
+// Machines of a stopped gang are reserved for this much longer than it takes to stop its tasks.
+constexpr Seconds kGangReservation{5};
 
 }  // namespace
 
@@ -30,23 +32,24 @@
 }
 
 void TaskTerminator::stopJob(Job& job, Seconds grace, Time now) {
+    const bool openGang = bookkeeping::isLargeGang(job.spec) && job.terminalState == TerminalState::none;
     for (auto [machine, placement] : fleet_.placementsOf(job)) {
         if (placement->state == PlacementState::planned) {
             fleet_.remove(*machine, machine->placements.find({&job, placement->task, placement->attempt}));
             jobQueue_.markStale();
-        } else {
-            stop(*machine, *placement, grace);
-            keepForGang(*machine, job, grace, now);
+            continue;
         }
+        stop(*machine, *placement, grace);
+        if (openGang) reserveForGang(*machine, job, grace, now);
     }
 }
 
-void TaskTerminator::keepForGang(Machine& machine, const Job& job, Seconds grace, Time now) {
-    if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return;
+void TaskTerminator::reserveForGang(Machine& machine, const Job& gang, Seconds grace, Time now) {
     if (machine.isReserved(now) || machine.interruptionAt) return;
-    const Seconds time = grace + settings_.heartbeatInterval * kHeartbeatsUntilFree + kGangReservation;
-    const auto until = now + toClockDuration(time);
-    fleet_.reserve(machine, &job, until, false, job.run->machines.at(machine.id));
+    const auto untilFree = grace + settings_.heartbeatInterval * kIntervalsUntilFree;
+    const auto until = now + toClockDuration(untilFree + kGangReservation);
+    constexpr bool kFreedCapacityOnly = false;  // tasks are stopped for it
+    fleet_.reserve(machine, &gang, until, kFreedCapacityOnly, gang.run->machines.at(machine.id));
 }
 
 std::set<std::string> TaskTerminator::takeUrgent() { return std::exchange(urgent_, {}); }
