--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -74,7 +74,8 @@
 void Leader::takeOverJobs() {
     for (const auto& [id, job] : replica_.jobs()) {
         job->run.reset();
-        if (job->terminalState == TerminalState::none && job->ready()) activator_.begin(*job, true, now_);
+        if (job->terminalState == TerminalState::none && job->ready())
+            activator_.begin(*job, JobOrigin::inherited, now_);
     }
 }
 
@@ -310,7 +311,7 @@
     if (job.terminalState == TerminalState::none) {
         // One that waited for others cannot be on a machine: an earlier leader would have seen them stored as
         // done, and so would this one as it began.
-        if (!job.run && job.ready()) activator_.begin(job, false, now_);
+        if (!job.run && job.ready()) activator_.begin(job, JobOrigin::accepted, now_);
         return;
     }
     jobQueue_.remove(job);
@@ -398,7 +399,7 @@
     }
     for (const auto* job : jobQueue_.waiting())
         spdlog::debug("job {} {} rank {} waits: {} of {} tasks, {} possible, for {:.1f} s", job->spec.id,
-                      job->spec.jobClass, rankOf(*job), job->run->waiting, job->spec.tasks,
+                      job->spec.jobClass, static_cast<int>(rankOf(*job)), job->run->waiting, job->spec.tasks,
                       job->run->placedTotal, Seconds(now_ - job->run->waitingSince).count());
     for (const auto& offering : autoscaler_.capacityErrors().unavailableNow(now_))
         spdlog::debug("refused: {} {} spot {}", offering.type, offering.zone, offering.spot);
--- a/src/coordination/scheduling/job_activator.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <optional>
+#include <string_view>
 
 namespace burlpoint::coordination {
 
@@ -12,12 +13,17 @@
 
 namespace {
 
-/// The shortest time within which users want tasks of the class to start, if they said so.
-std::optional<Seconds> shortestWaitAim(const Settings& settings, const std::string& jobClass) {
+// The kind of objective that bounds the time until a task starts, as the settings write it.
+constexpr std::string_view kWaitObjective = "wait";
+
+/// The shortest time within which tasks of the class should start, by the service-level objectives; none if
+/// no objective says so.
+std::optional<Seconds> shortestWaitObjective(const Settings& settings, const std::string& jobClass) {
     std::optional<Seconds> shortest;
-    for (const auto& objective : settings.objectives)
-        if (objective.kind == "wait" && objective.jobClass == jobClass)
-            shortest = std::min(shortest.value_or(objective.within), objective.within);
+    for (const auto& objective : settings.objectives) {
+        if (objective.kind != kWaitObjective || objective.jobClass != jobClass) continue;
+        shortest = std::min(shortest.value_or(objective.within), objective.within);
+    }
     return shortest;
 }
 
@@ -27,15 +33,15 @@
                            StateWriter& writer)
     : settings_(settings), wallClock_(wallClock), jobQueue_(jobQueue), writer_(writer) {}
 
-void JobActivator::begin(Job& job, bool inherited, Time now) {
-    job.beginRun(inherited, now);
+void JobActivator::begin(Job& job, JobOrigin origin, Time now) {
+    job.beginRun(origin == JobOrigin::inherited, now);
     auto& run = *job.run;
     run.team = settings_.team(job.spec.team);
-    run.shortestWaitObjective = shortestWaitAim(settings_, job.spec.jobClass);
+    run.shortestWaitObjective = shortestWaitObjective(settings_, job.spec.jobClass);
     run.readyAt = std::min(now, wallClock_.steadyAt(job.readyMs));
-    spdlog::debug("job {} {} of {} tasks, ready for {:.3f} s", job.spec.id, job.spec.jobClass, job.spec.tasks,
-                  Seconds(now - run.readyAt).count());
-    // An earlier leader may have stored the last bits and not the end of the job.
+    spdlog::debug("job run began job={} class={} tasks={} ready_for_s={:.3f}", job.spec.id, job.spec.jobClass,
+                  job.spec.tasks, Seconds(now - run.readyAt).count());
+    // An earlier leader may have stored the last finished tasks, but not yet the end of the job.
     if (job.doneCount == job.spec.tasks) writer_.noteUnstored(job);
     jobQueue_.add(job);
 }
--- a/src/coordination/scheduling/job_activator.h
+++ b/src/coordination/scheduling/job_activator.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Begins the run of a job: from then on this leader places its tasks. The runs themselves are owned by the
-// jobs.
+// Begins the run of a job: from then on this leader places its tasks. Owns no state; the runs belong to the
+// jobs. Used on the leader's thread.
 
 #include "base/clock.h"
 #include "base/wall_clock.h"
@@ -12,15 +12,20 @@
 
 namespace burlpoint::coordination {
 
+/// Under which leader a job was accepted.
+enum class JobOrigin {
+    inherited,  // an earlier leader may have started some of its tasks
+    accepted    // this leader is the first that may start its tasks
+};
+
 class JobActivator {
   public:
     /// All are kept by reference and have to outlive this.
     JobActivator(const protocol::Settings& settings, const WallClock& wallClock, JobQueue& jobQueue,
                  StateWriter& writer);
 
-    /// Begins the run of a job that has none. `inherited`: it was accepted, and may have been started, before
-    /// this leader began.
-    void begin(bookkeeping::Job& job, bool inherited, Time now);
+    /// Begins the run of a job that has none and adds it to the job queue.
+    void begin(bookkeeping::Job& job, JobOrigin origin, Time now);
 
   private:
     const protocol::Settings& settings_;
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -129,7 +129,7 @@
 /// An attempt that an earlier leader started.
 Placement& HeartbeatReconciler::adopt(Machine& machine, Job& job, const AttemptKey& key, PlacementState state,
                                       Time now) {
-    if (!job.run) context_.runs.begin(job, true, now);
+    if (!job.run) context_.runs.begin(job, JobOrigin::inherited, now);
     auto& placement = context_.fleet.place(machine, job, key.task, key.attempt, state, now);
     if (job.spec.kind == JobKind::gang) job.run->gangAttempt = std::max(job.run->gangAttempt, key.attempt);
     context_.jobQueue.markStale();
@@ -154,7 +154,7 @@
 /// The task is done, whichever attempt did it. Its bit is to be stored before anybody hears of it.
 void HeartbeatReconciler::noteTaskDone(Job& job, std::uint32_t task, Time now) {
     if (job.terminalState != TerminalState::none || job.spec.kind == JobKind::service) return;
-    if (!job.run) context_.runs.begin(job, true, now);
+    if (!job.run) context_.runs.begin(job, JobOrigin::inherited, now);
     bool fresh = false;
     if (job.spec.kind == JobKind::gang) {
         // They complete together: when one is done, all are.
