--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -4,8 +4,6 @@
 
 #include <algorithm>
 
-#include "coordination/scheduling/placement_constraints.h"
-
 namespace burlpoint::coordination {
 
 using bookkeeping::Fleet;
@@ -14,139 +12,164 @@
 using bookkeeping::PlacementState;
 using protocol::CommandKind;
 using protocol::JobKind;
-using protocol::Priority;
 using protocol::WorkerCommand;
 
 namespace {
 
-constexpr std::size_t kMaxStarts = 250;  // in a response, with stops and the rest of it
-constexpr int kHeartbeatsKept = 3;       // freed room is kept for so many report intervals
-constexpr double kSlack = 1e-6;          // processors that a sum of decimals may be off by
+// Commands in a response up to which starts are added; it leaves space for others below the protocol's limit.
+constexpr std::size_t kMaxCommandsForStart = 250;
+// Freed capacity is reserved for so many heartbeat intervals.
+constexpr int kReservedIntervals = 3;
 
-WorkerCommand startOf(const Job& job, std::uint32_t task, std::uint64_t attempt) {
+WorkerCommand startCommand(const Job& job, std::uint32_t task, std::uint64_t attempt) {
     return {CommandKind::start, {job.spec.id, task, attempt}, Seconds(0)};
 }
 
+/// The first of the waiting jobs from `first` on that has another rank than it.
+auto endOfRank(std::vector<Job*>::const_iterator first, std::vector<Job*>::const_iterator end) {
+    const auto rank = rankOf(**first);
+    return std::find_if(first, end, [&](const Job* job) { return rankOf(*job) != rank; });
+}
+
+/// Could a waiting task of the job fit on the machine? The cheapest check, so it is made first.
+bool mightFit(const Job& job, const Machine& machine) {
+    return job.run->waiting > 0 && hasFreeCapacity(machine, job);
+}
+
 }  // namespace
 
 DegradedFirstScheduler::DegradedFirstScheduler(const SchedulerContext& context) : context_(context) {}
 
 void DegradedFirstScheduler::schedule(Machine& machine, std::vector<WorkerCommand>& commands, Time now) {
-    Turn turn{machine, commands, now};
-    startPlanned(turn, context_.fleet);
-    const bool full = !machine.typeInfo ||
-                      machine.typeInfo->cpus - machine.used.cpus < context_.jobQueue.minCpus() - kSlack;
+    HeartbeatHandling heartbeat{machine, commands, now};
+    startPlannedTasks(heartbeat, context_.fleet);
+    const bool hasCapacity = hasFreeCpus(machine, context_.jobQueue.minCpus());
     const auto& jobs = context_.jobQueue.waiting();
     for (auto first = jobs.begin(); first != jobs.end();) {
-        const int rank = rankOf(**first);
-        const auto last =
-            std::find_if(first, jobs.end(), [&](const Job* job) { return rankOf(*job) != rank; });
+        const auto last = endOfRank(first, jobs.end());
         const JobSpan ofRank(first, last);
-        if (!full) startCachedAndPaced(turn, ofRank);
-        if (rank >= static_cast<int>(Priority::high))
-            for (const auto* job : ofRank) reserveFreedRoom(machine, *job, now);
-        if (!full) fillLeftoverRoom(turn, ofRank);
+        if (hasCapacity) startCachedAndPaced(heartbeat, ofRank);
+        if (rankOf(**first) >= Rank::high)
+            for (const auto* job : ofRank) reserveForLater(machine, *job, now);
+        if (hasCapacity) fillLeftoverCapacity(heartbeat, ofRank);
         first = last;
     }
 }
 
-/// Gang tasks planned for this machine start: their room is kept already.
-void DegradedFirstScheduler::startPlanned(Turn& turn, Fleet& fleet) {
-    for (auto& [key, placement] : turn.machine.placements) {
-        if (placement.state != PlacementState::planned || turn.commands.size() >= kMaxStarts) continue;
-        placement.sentSequence = turn.machine.sequence;
-        fleet.setState(placement, PlacementState::sent, turn.now);
+/// Starts the gang tasks that are planned on the machine. Their capacity is accounted for already.
+void DegradedFirstScheduler::startPlannedTasks(HeartbeatHandling& heartbeat, Fleet& fleet) {
+    for (auto& [key, placement] : heartbeat.machine.placements) {
+        if (placement.state != PlacementState::planned) continue;
+        if (heartbeat.commands.size() >= kMaxCommandsForStart) continue;
+        placement.sentSequence = heartbeat.machine.sequence;
+        fleet.setState(placement, PlacementState::sent, heartbeat.now);
         ++placement.job->run->launchedTasks;
-        turn.commands.push_back(startOf(*placement.job, placement.task, placement.attempt));
+        heartbeat.commands.push_back(startCommand(*placement.job, placement.task, placement.attempt));
     }
 }
 
-/// The design's walk over jobs of one rank: all cached tasks that fit, and one paced fetch for the whole
-/// report.
-void DegradedFirstScheduler::startCachedAndPaced(Turn& turn, JobSpan jobs) {
-    auto& machine = turn.machine;
+/// For the jobs of one rank: all cached tasks that fit, and a paced fetch unless the heartbeat has one.
+void DegradedFirstScheduler::startCachedAndPaced(HeartbeatHandling& heartbeat, JobSpan jobs) {
+    auto& machine = heartbeat.machine;
     for (auto* job : jobs) {
-        if (job->run->waiting == 0 || !hasFreeCapacity(machine, *job)) continue;
-        if (!context_.constraints.mayStart(*job, machine, turn.now)) continue;
+        if (!mightFit(*job, machine)) continue;
+        if (!context_.constraints.mayStart(*job, machine, heartbeat.now)) continue;
         if (machine.hasImage(job->image())) {
-            while (startOne(turn, *job)) {
+            while (startOneTask(heartbeat, *job)) {
             }
             continue;
         }
-        if (context_.images.waitsForImage(*job, turn.now) || turn.fetchPlaced) continue;
-        if (machine.isFetching(job->image())) continue;
-        if (!context_.pacing.allows(*job, machine, turn.now)) continue;
-        if (context_.images.capacityWithImage(*job, turn.now) >= job->run->waiting) continue;
-        if (!startOne(turn, *job)) continue;
-        turn.fetchPlaced = true;
-        context_.pacing.recordFetch(*job, machine.zone, turn.now);
+        if (!mayStartPacedFetch(heartbeat, *job) || !startOneTask(heartbeat, *job)) continue;
+        heartbeat.pacedFetchStarted = true;
+        context_.pacing.recordFetch(*job, machine.zone, heartbeat.now);
     }
 }
 
-/// What room is left takes any waiting task, unless machines that have its image report soon.
-void DegradedFirstScheduler::fillLeftoverRoom(Turn& turn, JobSpan jobs) {
-    auto& machine = turn.machine;
+bool DegradedFirstScheduler::mayStartPacedFetch(const HeartbeatHandling& heartbeat, Job& job) {
+    const auto now = heartbeat.now;
+    if (context_.images.waitsForImage(job, now) || heartbeat.pacedFetchStarted) return false;
+    if (heartbeat.machine.isFetching(job.image())) return false;
+    if (!context_.pacing.allows(job, heartbeat.machine, now)) return false;
+    return context_.images.capacityWithImage(job, now) < job.run->waiting;
+}
+
+/// For the jobs of one rank: the capacity left over takes any waiting tasks, also such that fetch.
+void DegradedFirstScheduler::fillLeftoverCapacity(HeartbeatHandling& heartbeat, JobSpan jobs) {
+    auto& machine = heartbeat.machine;
     for (auto* job : jobs) {
-        if (job->run->waiting == 0 || !hasFreeCapacity(machine, *job)) continue;
-        if (machine.hasImage(job->image())) continue;
-        if (!context_.constraints.mayStart(*job, machine, turn.now)) continue;
-        if (context_.images.waitsForImage(*job, turn.now)) continue;
-        const auto waiting = job->run->waiting;
-        const auto elsewhere = context_.images.capacityWithImage(*job, turn.now);
-        bool fetching = machine.isFetching(job->image());
-        for (std::uint32_t n = elsewhere; n < waiting && startOne(turn, *job); ++n) {
-            if (!fetching) context_.pacing.recordFetch(*job, machine.zone, turn.now);
-            fetching = true;
-        }
+        if (!mightFit(*job, machine) || machine.hasImage(job->image())) continue;
+        if (!context_.constraints.mayStart(*job, machine, heartbeat.now)) continue;
+        if (context_.images.waitsForImage(*job, heartbeat.now)) continue;
+        startFetchingTasks(heartbeat, *job);
     }
 }
 
-bool DegradedFirstScheduler::mayStartOne(const Turn& turn, const Job& job) const {
-    if (turn.commands.size() >= kMaxStarts || !context_.constraints.mayStart(job, turn.machine, turn.now))
-        return false;
-    if (blockedByUnreconciled(job, context_.fleet)) return false;
-    // A gang of one task, too, has one attempt at a time.
-    const bool gang = job.spec.kind == JobKind::gang;
-    if (gang && (job.spec.tasks > 1 || job.run->placedTotal > 0)) return false;
-    if (!withinTeamQuota(job, 1, context_.fleet, context_.types)) return false;
-    return availableCapacity(turn.machine, job, turn.now).covers(bookkeeping::needOf(job.spec));
+/// Starts the waiting tasks that do not fit on machines with the image. They share one fetch.
+void DegradedFirstScheduler::startFetchingTasks(HeartbeatHandling& heartbeat, Job& job) {
+    auto& machine = heartbeat.machine;
+    const auto waiting = job.run->waiting;
+    const auto fitElsewhere = context_.images.capacityWithImage(job, heartbeat.now);
+    bool fetching = machine.isFetching(job.image());
+    for (auto left = fitElsewhere; left < waiting && startOneTask(heartbeat, job); ++left) {
+        if (!fetching) context_.pacing.recordFetch(job, machine.zone, heartbeat.now);
+        fetching = true;
+    }
 }
 
-/// Starts a waiting task of the job on the machine, image or not. False if none may start there.
-bool DegradedFirstScheduler::startOne(Turn& turn, Job& job) {
-    if (!mayStartOne(turn, job)) return false;
+/// Starts a waiting task of the job on the machine, whether or not that has the image. False if none may
+/// start there.
+bool DegradedFirstScheduler::startOneTask(HeartbeatHandling& heartbeat, Job& job) {
+    if (!mayStartOneTask(heartbeat, job)) return false;
     const auto task = job.firstWaiting();
     if (!task) return false;
-    auto& machine = turn.machine;
+    auto& machine = heartbeat.machine;
     auto& run = *job.run;
     const auto attempt = context_.attempts.next();
-    auto& placement = context_.fleet.place(machine, job, *task, attempt, PlacementState::sent, turn.now);
+    auto& placement = context_.fleet.place(machine, job, *task, attempt, PlacementState::sent, heartbeat.now);
     placement.sentSequence = machine.sequence;
     if (run.overdue && run.launchedTasks == 0 && job.doneCount == 0) run.firstOverdueTask = *task;
     ++run.launchedTasks;
     if (job.spec.kind == JobKind::gang) run.gangAttempt = attempt;
     if (machine.reservedFor == &job) context_.fleet.reserve(machine, nullptr);
-    machine.lastBusyAt = turn.now;
-    spdlog::debug("start {}/{} attempt {} on {} after report {}.{}", job.spec.id, *task, attempt, machine.id,
-                  machine.incarnation, machine.sequence);
-    turn.commands.push_back(startOf(job, *task, attempt));
+    machine.lastBusyAt = heartbeat.now;
+    spdlog::debug("task started job={} task={} attempt={} machine={} incarnation={} sequence={}", job.spec.id,
+                  *task, attempt, machine.id, machine.incarnation, machine.sequence);
+    heartbeat.commands.push_back(startCommand(job, *task, attempt));
     if (run.waiting == 0) context_.jobQueue.markStale();
     return true;
 }
 
-/// Room that comes free a little at a time would go to small low tasks for ever. One machine per waiting task
-/// of a high job keeps it, which mostly spares stopping anything.
-void DegradedFirstScheduler::reserveFreedRoom(Machine& machine, const Job& job, Time now) {
+bool DegradedFirstScheduler::mayStartOneTask(const HeartbeatHandling& heartbeat, const Job& job) const {
+    if (heartbeat.commands.size() >= kMaxCommandsForStart) return false;
+    // Larger gangs are GangPlanner's. A gang of one task, too, has only one attempt at a time.
+    const bool gang = job.spec.kind == JobKind::gang;
+    if (gang && (job.spec.tasks > 1 || job.run->placedTotal > 0)) return false;
+    if (!mayUse(heartbeat.machine, job, heartbeat.now)) return false;
+    const auto available = availableCapacity(heartbeat.machine, job, heartbeat.now);
+    return available.covers(bookkeeping::needOf(job.spec));
+}
+
+/// Do all constraints but capacity allow one more task of the job on the machine?
+bool DegradedFirstScheduler::mayUse(const Machine& machine, const Job& job, Time now) const {
+    if (!context_.constraints.mayStart(job, machine, now)) return false;
+    if (blockedByUnreconciled(job, context_.fleet)) return false;
+    return withinTeamQuota(job, 1, context_.fleet, context_.types);
+}
+
+/// Reserves the machine for the job if a task of it does not fit yet, but could in time. Otherwise capacity
+/// that is freed bit by bit would always go to small tasks of low priority. Mostly this spares a preemption.
+/// No more machines are reserved than the job has waiting tasks.
+void DegradedFirstScheduler::reserveForLater(Machine& machine, const Job& job, Time now) {
     const auto& run = *job.run;
     if (run.waiting == 0 || machine.isReserved(now) || bookkeeping::isLargeGang(job.spec)) return;
     const auto need = bookkeeping::needOf(job.spec);
-    if (availableCapacity(machine, job, now).covers(need) || !capacityWithPreemption(machine, job, now).covers(need)) return;
-    if (!context_.constraints.mayStart(job, machine, now) || blockedByUnreconciled(job, context_.fleet)) return;
-    if (!withinTeamQuota(job, 1, context_.fleet, context_.types)) return;
+    if (availableCapacity(machine, job, now).covers(need)) return;
+    if (!capacityWithPreemption(machine, job, now).covers(need)) return;
+    if (!mayUse(machine, job, now)) return;
     if (context_.fleet.reservations(job, now) >= run.waiting) return;
-    const auto time =
-        toClockDuration(context_.settings.heartbeatInterval * kHeartbeatsKept);
-    context_.fleet.reserve(machine, &job, now + time, true);
+    const auto until = now + toClockDuration(context_.settings.heartbeatInterval * kReservedIntervals);
+    constexpr bool kFreedCapacityOnly = true;  // no task is preempted for it
+    context_.fleet.reserve(machine, &job, until, kFreedCapacityOnly);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/degraded_first_scheduler.h
+++ b/src/coordination/scheduling/degraded_first_scheduler.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// DESIGN's degraded-first scheduling (the paper's Algorithm 3): what a machine is given to start with its
-// report. Owns no state: placements and reservations are in the fleet, counts in the jobs' runs, the state of
-// the pacing in FetchPacing.
+// Degraded-first scheduling (the paper is cited in fetch_pacing.h): decides which tasks a machine starts with
+// the response to its heartbeat. Owns no state: placements and reservations are in the fleet, counts in the
+// jobs' runs and the state of the pacing in FetchPacing. Used on the leader's thread.
 
 #include <span>
 #include <vector>
@@ -10,13 +10,13 @@
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/machine_types.h"
-#include "coordination/autoscaling/instance_selection.h"
 #include "coordination/scheduling/attempt_id_generator.h"
 #include "coordination/scheduling/fetch_pacing.h"
 #include "coordination/scheduling/image_locality.h"
 #include "coordination/scheduling/job_queue.h"
 #include "coordination/scheduling/placement_constraints.h"
 #include "protocol/settings.h"
+#include "protocol/worker_messages.h"
 
 namespace burlpoint::coordination {
 
@@ -24,7 +24,7 @@
 struct SchedulerContext {
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
-    const MachineTypes& types;
+    const bookkeeping::MachineTypes& types;
     JobQueue& jobQueue;
     FetchPacing& pacing;
     const PlacementConstraints& constraints;
@@ -32,36 +32,40 @@
     AttemptIdGenerator& attempts;
 };
 
-/// On each worker report, for one rank of jobs after the other, in their order: cached tasks that fit, at
-/// most one paced fetch for the whole report, then any waiting task that fits in the room left. Tasks of
-/// gangs start where they were planned. One rank at a time, so that a low job's cached tasks do not take the
-/// room of a high one's fetch.
+/// For each heartbeat, goes through the ranks of the job queue. For each rank it starts, in the queue's
+/// order: first the cached tasks that fit (those whose image the machine has) and at most one paced fetch for
+/// the whole heartbeat, then any waiting task that fits into the capacity left over. It finishes one rank
+/// before the next, so that cached tasks of a lower rank do not take the capacity for a higher one's fetch.
+/// Tasks of larger gangs start where GangPlanner planned them.
 class DegradedFirstScheduler {
   public:
     /// All that the context refers to has to outlive this.
     explicit DegradedFirstScheduler(const SchedulerContext& context);
 
-    /// Adds the starts that go with the response to the machine's heartbeat. The order of jobs and the pacing
-    /// must be up to date, and the machine usable.
+    /// Adds the start commands that go with the response to the machine's heartbeat. The job queue and the
+    /// pacing must be up to date, and the machine usable.
     void schedule(bookkeeping::Machine& machine, std::vector<protocol::WorkerCommand>& commands, Time now);
 
   private:
-    using JobSpan = std::span<bookkeeping::Job* const>;  // some of the waiting jobs, in order
+    using JobSpan = std::span<bookkeeping::Job* const>;  // consecutive waiting jobs, in the queue's order
 
-    /// One heartbeat's handling.
-    struct Turn {
+    /// The handling of one heartbeat.
+    struct HeartbeatHandling {
         bookkeeping::Machine& machine;
-        std::vector<protocol::WorkerCommand>& commands;
+        std::vector<protocol::WorkerCommand>& commands;  // of the response
         Time now;
-        bool fetchPlaced = false;  // the paced fetch of this heartbeat was started
+        bool pacedFetchStarted = false;  // the paper's isDegradedTaskAssigned
     };
 
-    static void startPlanned(Turn& turn, bookkeeping::Fleet& fleet);
-    void startCachedAndPaced(Turn& turn, JobSpan jobs);
-    void fillLeftoverRoom(Turn& turn, JobSpan jobs);
-    bool startOne(Turn& turn, bookkeeping::Job& job);
-    bool mayStartOne(const Turn& turn, const bookkeeping::Job& job) const;
-    void reserveFreedRoom(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
+    static void startPlannedTasks(HeartbeatHandling& heartbeat, bookkeeping::Fleet& fleet);
+    void startCachedAndPaced(HeartbeatHandling& heartbeat, JobSpan jobs);
+    bool mayStartPacedFetch(const HeartbeatHandling& heartbeat, bookkeeping::Job& job);
+    void fillLeftoverCapacity(HeartbeatHandling& heartbeat, JobSpan jobs);
+    void startFetchingTasks(HeartbeatHandling& heartbeat, bookkeeping::Job& job);
+    bool startOneTask(HeartbeatHandling& heartbeat, bookkeeping::Job& job);
+    bool mayStartOneTask(const HeartbeatHandling& heartbeat, const bookkeeping::Job& job) const;
+    bool mayUse(const bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now) const;
+    void reserveForLater(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
 
     const SchedulerContext context_;
 };
--- a/src/coordination/scheduling/gang_capacity.h
+++ b/src/coordination/scheduling/gang_capacity.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What the zones offer a gang of several tasks, counting work that would yield to it. Owns and changes
-// nothing.
+// How much capacity the zones have for a gang of several tasks, counting tasks that it could preempt. Pure
+// functions apart from the scan counter; owns nothing. Used on the leader's thread.
 
 #include <cstdint>
 #include <string>
@@ -15,25 +15,25 @@
 
 namespace burlpoint::coordination {
 
-/// What a zone offers a gang, in tasks of it.
+/// A zone's capacity for a gang, in tasks of the gang.
 struct GangCapacity {
-    struct Share {
+    struct OnMachine {
         bookkeeping::Machine* machine = nullptr;
-        std::uint32_t tasks = 0;  // that fit if all that may yield did
+        std::uint32_t tasks = 0;  // that fit if all that may be preempted were
     };
 
-    std::string zone;             // empty: all zones together
-    std::uint32_t withPreemption = 0;   // fit if all that may yield did; at most the gang's size
-    std::uint32_t possible = 0;   // would fit beside nothing but replicas; at most the gang's size
-    std::uint32_t free = 0;       // fit at once
-    std::vector<Share> machines;  // those with any room
+    std::string zone;                  // or kAllZones
+    std::uint32_t withPreemption = 0;  // if all that may be preempted were; at most the gang's size
+    std::uint32_t besideReplicas = 0;  // if all but service replicas left; at most the gang's size
+    std::uint32_t free = 0;            // at once
+    std::vector<OnMachine> machines;   // those with capacity for at least one task
 
-    /// The room with the greater merit is the better one.
-    auto merit() const { return std::tuple(withPreemption, possible, free); }
+    /// The greater capacity is the better one for the gang.
+    auto comparisonKey() const { return std::tuple(withPreemption, besideReplicas, free); }
 };
 
-/// The zone that offers the gang most, or what all zones offer together if it need not be in one. It walks
-/// over all machines for each zone.
+/// The capacity of the best zone for the gang, or of all zones together if it need not be in one. Walks over
+/// all machines for each zone.
 GangCapacity bestGangCapacity(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet,
                               const std::vector<std::string>& zones, const PlacementConstraints& constraints,
                               ScanCounter& scans, Time now);
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -1,31 +1,44 @@
 #include "coordination/scheduling/gang_planner.h"
 
 #include <algorithm>
+#include <chrono>
 #include <map>
 
-#include "coordination/scheduling/placement_constraints.h"
-
 namespace burlpoint::coordination {
 
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
 using bookkeeping::PlacementState;
 using protocol::Settings;
 using storage::TerminalState;
 
 namespace {
 
+// Bounds the cost of planning, which walks over the fleet.
 constexpr std::chrono::milliseconds kPlanInterval{200};
-constexpr double kSlack = 1e-6;  // processors and accelerators that a sum of decimals may be off by
-// A replacement is worth it only while the tasks that wait for it have this share of their patience left.
-constexpr double kMaxWaitForReplacement = 0.3;
+// The gang's other tasks wait for a lost one's replacement until `gangWaitTimeout`. A replacement is started
+// only within this share of that time, so that it can be fetched and ready before they time out.
+constexpr double kMaxShareOfGangWait = 0.3;
+
+// Scores of a machine; their sum decides. Each one outweighs all smaller ones together.
+constexpr int kAllHaveImageScore = 8;  // no task of the gang has to fetch, and a gang waits for its slowest
+constexpr int kReservedScore = 4;      // reserved for the gang
+constexpr int kOnDemandScore = 2;      // the interruption of a spot machine stops the whole gang
+constexpr int kHasImageScore = 1;
+
+int scoreOf(const Machine& machine, const Job& job) {
+    int score = 0;
+    if (machine.reservedFor == &job) score += kReservedScore;
+    if (!machine.spot) score += kOnDemandScore;
+    if (machine.hasImage(job.image())) score += kHasImageScore;
+    return score;
+}
 
-// How good a machine is for a gang; the sum decides.
-constexpr int kKeptForGang = 4;
-constexpr int kNotTakenBack = 2;  // a spot machine that is taken back stops the whole gang
-constexpr int kHasImage = 1;
-constexpr int kAllHaveImage = 8;
+bool hasFreeGpus(const Machine& machine, double gpus) {
+    return machine.typeInfo->gpus - machine.used.gpus >= gpus - kResourceTolerance;
+}
 
 }  // namespace
 
@@ -43,24 +56,16 @@
 void GangPlanner::plan(Time now) {
     if (now < nextPlan_) return;
     nextPlan_ = now + kPlanInterval;
-    const auto machines = machinesWithRoom(now);
-    for (auto* job : std::vector<Job*>(jobQueue_.waiting())) {
-        if (!isDue(*job, now)) continue;
-        if (!job->spec.singleZone) {
-            planIn(machines, nullptr, *job, now);
-            continue;
-        }
-        for (const auto& zone : settings_.zones)
-            if (zoneAllows(*job, zone) && planIn(machines, &zone, *job, now)) break;
-    }
+    const auto machines = machinesWithCapacity(now);
+    for (auto* job : jobQueue_.waiting())
+        if (isDue(*job, now)) planGang(machines, *job, now);
 }
 
-GangPlanner::Machines GangPlanner::machinesWithRoom(Time now) const {
+GangPlanner::Machines GangPlanner::machinesWithCapacity(Time now) const {
     Machines machines;
     for (const auto& [id, machine] : fleet_.machines()) {
-        if (!machine->typeInfo) continue;
-        const double free = machine->typeInfo->cpus - machine->used.cpus;
-        if (free >= jobQueue_.minCpus() - kSlack && usable(*machine, now)) machines.push_back(machine.get());
+        if (!hasFreeCpus(*machine, jobQueue_.minCpus())) continue;
+        if (usable(*machine, now)) machines.push_back(machine.get());
     }
     return machines;
 }
@@ -68,75 +73,88 @@
 bool GangPlanner::isDue(const Job& job, Time now) const {
     if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return false;
     if (job.run->waiting == 0 || job.run->backoffUntil > now || !mayComplete(job, now)) return false;
-    return !blockedByUnreconciled(job, fleet_) && withinTeamQuota(job, job.run->waiting, fleet_, types_);
+    if (blockedByUnreconciled(job, fleet_)) return false;
+    return withinTeamQuota(job, job.run->waiting, fleet_, types_);
 }
 
 bool GangPlanner::mayComplete(const Job& job, Time now) const {
     const auto& run = *job.run;
     if (run.placedTotal == 0) return true;
     if (run.placedTotal + run.waiting != job.spec.tasks || run.running > 0) return false;
-    const auto patience = settings_.gangWaitTimeout * kMaxWaitForReplacement;
+    const auto maxWait = settings_.gangWaitTimeout * kMaxShareOfGangWait;
     const auto placements = fleet_.placementsOf(job);
     return std::all_of(placements.begin(), placements.end(), [&](const auto& entry) {
         const auto& placement = *entry.second;
         if (placement.stopping || placement.attempt != run.gangAttempt) return false;
         if (placement.state > PlacementState::waiting) return false;
-        return placement.state != PlacementState::waiting || Seconds(now - placement.since) < patience;
+        return placement.state != PlacementState::waiting || Seconds(now - placement.since) < maxWait;
     });
 }
 
-/// Plans the whole gang on machines in the zone, in any if there is none. False: they have too little room.
-bool GangPlanner::planIn(const Machines& machines, const std::string* zone, Job& job, Time now) {
-    auto options = optionsIn(machines, zone, job, now);
-    std::uint32_t room = 0;
-    std::uint32_t cachedRoom = 0;
-    for (const auto& option : options) {
-        room += option.room;
-        if (option.cached) cachedRoom += option.room;
+void GangPlanner::planGang(const Machines& machines, Job& job, Time now) {
+    if (!job.spec.singleZone) {
+        planIn(kAllZones, machines, job, now);
+        return;
     }
-    if (room < job.run->waiting) return false;
-    // A gang waits for its slowest fetch, so the image counts most where none of its tasks has to fetch.
-    if (cachedRoom >= job.run->waiting)
-        for (auto& option : options) option.merit += option.cached ? kAllHaveImage : 0;
-    std::stable_sort(options.begin(), options.end(),
-                     [](const Option& a, const Option& b) { return a.merit > b.merit; });
-    const auto chosen = choose(options, job);
-    if (chosen.size() < job.run->waiting) return false;
+    for (const auto& zone : settings_.zones)
+        if (zoneAllows(job, zone) && planIn(zone, machines, job, now)) return;
+}
+
+/// Plans the whole gang on machines in the zone. False, with nothing planned, if it does not fit there.
+bool GangPlanner::planIn(const std::string& zone, const Machines& machines, Job& job, Time now) {
+    auto candidates = candidatesIn(zone, machines, job, now);
+    const auto waiting = job.run->waiting;
+    std::uint32_t fitting = 0;
+    std::uint32_t fittingWithImage = 0;
+    for (const auto& candidate : candidates) {
+        fitting += candidate.tasks;
+        if (candidate.hasImage) fittingWithImage += candidate.tasks;
+    }
+    if (fitting < waiting) return false;
+    if (fittingWithImage >= waiting)
+        for (auto& candidate : candidates) candidate.score += candidate.hasImage ? kAllHaveImageScore : 0;
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [](const Candidate& a, const Candidate& b) { return a.score > b.score; });
+    const auto chosen = choose(candidates, job);
+    if (chosen.size() < waiting) return false;
     place(chosen, job, now);
     return true;
 }
 
-std::vector<GangPlanner::Option> GangPlanner::optionsIn(const Machines& machines, const std::string* zone,
-                                                        const Job& job, Time now) const {
+std::vector<GangPlanner::Candidate> GangPlanner::candidatesIn(const std::string& zone,
+                                                              const Machines& machines, const Job& job,
+                                                              Time now) const {
     const auto need = bookkeeping::needOf(job.spec);
-    std::vector<Option> options;
+    std::vector<Candidate> candidates;
     for (auto* machine : machines) {
-        if (zone && machine->zone != *zone) continue;
-        if (machine->typeInfo->gpus - machine->used.gpus < need.gpus - kSlack) continue;
-        if (machine->typeInfo->cpus - machine->used.cpus < need.cpus - kSlack) continue;
-        if (!constraints_.mayStart(job, *machine, now)) continue;
-        if (job.run->placedTotal > 0 && job.run->machinesLeft.contains(machine->id)) continue;
-        const auto room = availableCapacity(*machine, job, now).times(need);
-        if (room == 0) continue;
-        const bool cached = machine->hasImage(job.image());
-        const int merit = (machine->reservedFor == &job ? kKeptForGang : 0) +
-                          (machine->spot ? 0 : kNotTakenBack) + (cached ? kHasImage : 0);
-        options.push_back({machine, room, merit, cached});
+        if (zone != kAllZones && machine->zone != zone) continue;
+        if (!isCandidate(*machine, job, now)) continue;
+        const auto tasks = availableCapacity(*machine, job, now).times(need);
+        if (tasks == 0) continue;
+        candidates.push_back({machine, tasks, scoreOf(*machine, job), machine->hasImage(job.image())});
     }
-    return options;
+    return candidates;
+}
+
+bool GangPlanner::isCandidate(const Machine& machine, const Job& job, Time now) const {
+    if (!hasFreeGpus(machine, job.spec.gpus) || !hasFreeCpus(machine, job.spec.cpus)) return false;
+    if (!constraints_.mayStart(job, machine, now)) return false;
+    // A machine that lost a task of this attempt must not get a replacement under the same attempt number.
+    return job.run->placedTotal == 0 || !job.run->machinesLeft.contains(machine.id);
 }
 
-/// A machine for each waiting task, the first options first; fewer if the zones allow no more.
-GangPlanner::Machines GangPlanner::choose(const std::vector<Option>& options, const Job& job) {
+/// A machine for each waiting task, the first candidates first; fewer if the zones allow no more.
+GangPlanner::Machines GangPlanner::choose(const std::vector<Candidate>& candidates, const Job& job) {
     Machines chosen;
-    std::map<std::string, std::uint32_t> perZone = job.run->zones;
-    const auto zoneMost = maxTasksInZone(job.spec);
-    for (const auto& option : options) {
-        auto& there = perZone.try_emplace(option.machine->zone, 0).first->second;
-        const auto left = static_cast<std::uint32_t>(job.run->waiting - chosen.size());
-        const auto count = std::min({option.room, zoneMost - std::min(zoneMost, there), left});
-        there += count;
-        chosen.insert(chosen.end(), count, option.machine);
+    std::map<std::string, std::uint32_t> tasksInZone = job.run->zones;
+    const auto maxInZone = maxTasksInZone(job.spec);
+    for (const auto& candidate : candidates) {
+        auto& inZone = tasksInZone.try_emplace(candidate.machine->zone, 0).first->second;
+        const auto zoneLeft = maxInZone - std::min(maxInZone, inZone);
+        const auto gangLeft = static_cast<std::uint32_t>(job.run->waiting - chosen.size());
+        const auto count = std::min({candidate.tasks, zoneLeft, gangLeft});
+        inZone += count;
+        chosen.insert(chosen.end(), count, candidate.machine);
     }
     return chosen;
 }
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -1,8 +1,7 @@
 #include "coordination/scheduling/image_locality.h"
 
 #include <algorithm>
-
-#include "coordination/scheduling/placement_constraints.h"
+#include <chrono>
 
 namespace burlpoint::coordination {
 
@@ -14,18 +13,17 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kLookupInterval{250};  // how long a look at the fleet serves a job
-constexpr double kSoon = 1.5;                              // report intervals
-constexpr double kSlack = 1e-6;                            // processors that a sum of decimals may be off by
-
-bool hasFreeProcessors(const Machine& machine, double cpus) {
-    return machine.typeInfo && machine.typeInfo->cpus - machine.used.cpus >= cpus - kSlack;
-}
+// How long an answer is kept for a job. Much shorter than the usual heartbeat interval, so that it is little
+// out of date, and long enough for many machines' heartbeats to share it.
+constexpr std::chrono::milliseconds kCacheTime{250};
+// A machine is due to send a heartbeat soon unless the last one is older than so many heartbeat intervals.
+constexpr double kMaxHeartbeatIntervals = 1.5;
 
 }  // namespace
 
 ImageLocality::ImageLocality(const Settings& settings, const Policy& policy, const Fleet& fleet,
-                             const FetchPacing& pacing, const PlacementConstraints& constraints, ScanCounter& scans)
+                             const FetchPacing& pacing, const PlacementConstraints& constraints,
+                             ScanCounter& scans)
     : settings_(settings),
       policy_(policy),
       fleet_(fleet),
@@ -36,38 +34,41 @@
 std::uint32_t ImageLocality::capacityWithImage(Job& job, Time now) {
     auto& run = *job.run;
     if (now < run.cachedRoomUntil) return run.roomWithImage;
-    run.cachedRoomUntil = now + kLookupInterval;
+    run.cachedRoomUntil = now + kCacheTime;
     run.roomWithImage = 0;
-    const auto soon = toClockDuration(settings_.heartbeatInterval * kSoon);
+    const auto maxHeartbeatAge = toClockDuration(settings_.heartbeatInterval * kMaxHeartbeatIntervals);
     const auto need = bookkeeping::needOf(job.spec);
     for (const auto* machine : fleet_.withImage(job.image())) {
         scans_.add();
-        if (!hasFreeProcessors(*machine, need.cpus) || !usable(*machine, now)) continue;
-        if (now - machine->lastHeartbeat > soon || !constraints_.mayStart(job, *machine, now)) continue;
+        if (!hasFreeCpus(*machine, need.cpus) || !usable(*machine, now)) continue;
+        if (now - machine->lastHeartbeat > maxHeartbeatAge) continue;
+        if (!constraints_.mayStart(job, *machine, now)) continue;
         run.roomWithImage += availableCapacity(*machine, job, now).times(need);
         if (run.roomWithImage >= run.waiting) break;
     }
     return run.roomWithImage;
 }
 
-bool ImageLocality::aimAllowsNoFetch(const Job& job, Time now) const {
-    const auto& aim = job.run->shortestWaitObjective;
-    if (!aim || !policy_.preempt) return false;
+/// Would the job miss the wait objective of its class by a fetch, but not without one?
+bool ImageLocality::fetchWouldMissObjective(const Job& job, Time now) const {
+    const auto& objective = job.run->shortestWaitObjective;
+    if (!objective || !policy_.preempt) return false;
     const Seconds waited = now - job.run->waitingSince;
-    return *aim < pacing_.expectedFetchTime() + settings_.heartbeatInterval && waited < *aim;
+    const bool fetchTakesTooLong = *objective < pacing_.expectedFetchTime() + settings_.heartbeatInterval;
+    return fetchTakesTooLong && waited < *objective;
 }
 
 bool ImageLocality::waitsForImage(Job& job, Time now) {
-    if (!aimAllowsNoFetch(job, now)) return false;
+    if (!fetchWouldMissObjective(job, now)) return false;
     auto& run = *job.run;
     if (now < run.imageWaitUntil) return run.imageWait;
-    run.imageWaitUntil = now + kLookupInterval;
+    run.imageWaitUntil = now + kCacheTime;
     const auto need = bookkeeping::needOf(job.spec);
     const auto& machines = fleet_.withImage(job.image());
     run.imageWait = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         scans_.add();
-        return usable(*machine, now) && constraints_.mayStart(job, *machine, now) &&
-               capacityWithPreemption(*machine, job, now).covers(need);
+        if (!usable(*machine, now) || !constraints_.mayStart(job, *machine, now)) return false;
+        return capacityWithPreemption(*machine, job, now).covers(need);
     });
     return run.imageWait;
 }
--- a/src/coordination/scheduling/image_locality.h
+++ b/src/coordination/scheduling/image_locality.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// What machines that already have a job's image offer it, so that its tasks need not fetch. The answers are
-// kept in the job's run for a moment, so that a heartbeat's handling does not ask the fleet each time.
+// Looks up what machines that already have a job's image can offer it, so that its tasks need no fetch. Owns
+// no state of its own: answers are cached in the job's run for a moment, so that handling a heartbeat does
+// not search the fleet each time. Used on the leader's thread.
 
 #include <cstdint>
 
@@ -21,15 +22,17 @@
                   const bookkeeping::Fleet& fleet, const FetchPacing& pacing,
                   const PlacementConstraints& constraints, ScanCounter& scans);
 
-    /// How many of the job's waiting tasks fit on machines that have its image and report soon.
+    /// How many of the job's waiting tasks fit on machines that have its image and are due to send a
+    /// heartbeat soon.
     std::uint32_t capacityWithImage(bookkeeping::Job& job, Time now);
 
-    /// Would fetching its image make the job miss its class's wait aim, while a machine that has it could
-    /// take it, by preemption if need be? Never true where the operators switched preemption off.
+    /// Should the job wait for a machine that has its image? True if a fetch would make it miss the wait
+    /// objective of its class, while such a machine could take it, by preemption if need be. Never true where
+    /// the policy switches preemption off.
     bool waitsForImage(bookkeeping::Job& job, Time now);
 
   private:
-    bool aimAllowsNoFetch(const bookkeeping::Job& job, Time now) const;
+    bool fetchWouldMissObjective(const bookkeeping::Job& job, Time now) const;
 
     const protocol::Settings& settings_;
     const protocol::Policy& policy_;
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -16,21 +16,49 @@
 
 namespace {
 
-constexpr auto kRefreshInterval = 100ms;  // a heartbeat finds the order at most this much out of date
+// The order that a heartbeat meets may be out of date by this.
+constexpr auto kRefreshInterval = 100ms;
 
-// Places within a rank, the lower the sooner. Between the first two are those of jobs with a time due: the
-// processor seconds that they still need.
-constexpr double kOverduePlace = -1;
-constexpr double kPastSavingPlace = 1e18;
-constexpr double kArrivalPlace = kPastSavingPlace / 2;
+// Positions within a rank, the lower the sooner. A job with a deadline that can still be met has the
+// processor seconds that it still needs, which lie between the first two.
+constexpr double kOverduePosition = -1;
+constexpr double kMissedDeadlinePosition = 1e18;
+constexpr double kArrivalPosition = kMissedDeadlinePosition / 2;
 
-// A job is past saving once less than this share of one task's estimate is left of its deadline.
-constexpr double kLeastOfEstimate = 0.8;
-// Processors and accelerators that a sum of decimals may be off by.
-constexpr double kSlack = 1e-6;
+// A deadline can't be met once less than this share of one task's estimated run time is left. Below 1, since
+// estimates are rough.
+constexpr double kMinShareOfEstimate = 0.8;
+
+void setRank(Job& job, Rank rank) { job.run->rank = static_cast<int>(rank); }
+
+Rank rankByQuotaAndPriority(const Job& job) {
+    const auto rank = rankOfPriority(job.run->priority);
+    return job.run->guaranteed ? std::max(rank, Rank::guaranteed) : rank;
+}
+
+bool arrivedBefore(const Job* a, const Job* b) { return a->accepted < b->accepted; }
+
+bool servedBefore(const Job* a, const Job* b) {
+    if (rankOf(*a) != rankOf(*b)) return rankOf(*a) > rankOf(*b);
+    return a->run->positionInRank < b->run->positionInRank;
+}
 
 }  // namespace
 
+Rank rankOfPriority(Priority priority) {
+    switch (priority) {
+        case Priority::low:
+            return Rank::low;
+        case Priority::normal:
+            return Rank::normal;
+        case Priority::high:
+            return Rank::high;
+        case Priority::production:
+            return Rank::production;
+    }
+    return Rank::low;
+}
+
 JobQueue::JobQueue(const protocol::Policy& policy) : policy_(policy) {}
 
 void JobQueue::add(Job& job) {
@@ -48,66 +76,64 @@
     stale_ = false;
     nextRefresh_ = now + kRefreshInterval;
     replica.updateEffectivePriorities();
-    std::sort(open_.begin(), open_.end(),
-              [](const Job* a, const Job* b) { return a->accepted < b->accepted; });
+    std::sort(open_.begin(), open_.end(), arrivedBefore);
+    collectWaiting(fleet, clock, now);
+    std::stable_sort(waiting_.begin(), waiting_.end(), servedBefore);
+    return true;
+}
+
+/// Brings the open jobs' priorities and ranks up to date and collects those with waiting tasks, by arrival.
+void JobQueue::collectWaiting(Fleet& fleet, const WallClock& clock, Time now) {
     waiting_.clear();
     minCpus_ = std::numeric_limits<double>::max();
     TeamDemand demand;
     for (auto* job : open_) {
-        auto& run = *job->run;
         fleet.setPriority(*job, job->effectivePriority);
-        run.guaranteed = withinGuaranteedQuota(*job, demand);
-        run.rank = static_cast<int>(run.priority);
-        if (run.guaranteed) run.rank = kGuaranteedRank;
-        if (run.priority == Priority::production) run.rank = kProductionRank;
-        if (run.waiting == 0) continue;
+        job->run->guaranteed = withinGuaranteedQuota(*job, demand);
+        setRank(*job, rankByQuotaAndPriority(*job));
+        if (job->run->waiting == 0) continue;
         waiting_.push_back(job);
         minCpus_ = std::min(minCpus_, job->spec.cpus);
-        place(*job, clock, now);
+        setPosition(*job, clock, now);
     }
-    std::stable_sort(waiting_.begin(), waiting_.end(), [](const Job* a, const Job* b) {
-        return std::pair(-a->run->rank, a->run->positionInRank) <
-               std::pair(-b->run->rank, b->run->positionInRank);
-    });
-    return true;
 }
 
-/// Does what the team has asked for so far, this job included, stay within its guarantee? To be asked once
-/// for each open job, in order of arrival.
+/// Does the demand of the team's jobs up to and including this one stay within its guaranteed quota? Must be
+/// called once for each open job, in order of arrival.
 bool JobQueue::withinGuaranteedQuota(const Job& job, TeamDemand& demand) {
     const auto& spec = job.spec;
-    auto& asked = demand[spec.team];
     const auto unfinished = spec.tasks - job.doneCount;
-    asked += {spec.cpus * unfinished, spec.gpus * unfinished, 0};
+    auto& teamDemand = demand[spec.team];
+    teamDemand += {spec.cpus * unfinished, spec.gpus * unfinished, 0};
     const auto* team = job.run->team;
     if (!team) return false;
-    // "A value of 0 means none": with no guarantee of accelerators, work that needs them has none.
-    const bool hasGuarantee = team->guaranteedCpus > 0 || team->guaranteedGpus > 0;
-    return hasGuarantee && asked.cpus <= team->guaranteedCpus + kSlack &&
-           asked.gpus <= team->guaranteedGpus + kSlack;
+    // The protocol's "a value of 0 means none": without guaranteed accelerators, jobs that need some are not
+    // within the quota.
+    const bool hasQuota = team->guaranteedCpus > 0 || team->guaranteedGpus > 0;
+    const Resources quota{team->guaranteedCpus, team->guaranteedGpus, 0};
+    return hasQuota && quota.covers(teamDemand);
 }
 
-/// Sets the job's place within its rank, and for one that is overdue and has not begun its rank.
-void JobQueue::place(Job& job, const WallClock& clock, Time now) const {
+/// Sets the job's position within its rank, and the rank of one that is overdue and has not begun.
+void JobQueue::setPosition(Job& job, const WallClock& clock, Time now) const {
     auto& run = *job.run;
-    run.positionInRank = job.dueAtMs ? positionByDeadline(job, clock, now) : kArrivalPlace;
-    // But nothing is passed over for ever: what has waited for long goes first, by arrival.
+    run.positionInRank = job.dueAtMs ? positionByDeadline(job, clock, now) : kArrivalPosition;
+    // Overdue jobs go first, by arrival, so that none starves.
     const Seconds age = now - run.readyAt;
     run.overdue = age > policy_.longestPassedOver;
     if (!run.overdue) return;
-    run.positionInRank = kOverduePlace;
-    if (!run.began() && job.doneCount == 0) run.rank = std::max(run.rank, kOverdueRank);
+    run.positionInRank = kOverduePosition;
+    if (!run.began() && job.doneCount == 0) setRank(job, std::max(rankOf(job), Rank::overdue));
 }
 
-/// Where deadlines count, what is soonest through goes first, so that as many jobs as possible meet theirs,
-/// and what can no longer meet its own goes last.
+/// Shortest remaining work first, so that as many jobs as possible meet their deadlines. Jobs that can no
+/// longer meet theirs go last.
 double JobQueue::positionByDeadline(const Job& job, const WallClock& clock, Time now) {
     const auto& spec = job.spec;
     const Seconds left = clock.steadyAt(*job.dueAtMs) - now;
-    // A deadline handed down by a job that needs this one is never past saving: more than this job hangs on
-    // it.
+    // A deadline inherited from a dependent job never counts as missed, since the dependent still has to run.
     const bool ownDeadline = spec.deadline.has_value();
-    if (ownDeadline && left < spec.estimatedRunTime * kLeastOfEstimate) return kPastSavingPlace;
+    if (ownDeadline && left < spec.estimatedRunTime * kMinShareOfEstimate) return kMissedDeadlinePosition;
     return job.run->waiting * spec.cpus * spec.estimatedRunTime.count();
 }
 
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -10,6 +10,7 @@
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
 using bookkeeping::Placement;
 using bookkeeping::RegistrationState;
 using bookkeeping::Resources;
@@ -17,23 +18,22 @@
 
 namespace {
 
-// Processors and accelerators that a sum of decimals may be off by.
-constexpr double kSlack = 1e-6;
-// A start that is stopped sooner is none to its users.
-constexpr std::chrono::seconds kMinCountedStart{30};
+// A task that is stopped sooner counts as never started for its users.
+constexpr std::chrono::seconds kMinCountedRunTime{30};
+// For so long a job avoids a machine on which one of its tasks failed.
+constexpr auto kErrorMemory = kMaxSoftConstraintTime;
+// A job that failed on so many machines is itself the likely cause, so it avoids none of them.
+constexpr std::size_t kMaxAvoidedMachines = 3;
 
-/// Must the job leave alone what the machine keeps for `holder`?
-bool isKeptFrom(const Job& job, const Machine& machine, const Job& holder) {
+/// Does the job have to leave alone what is reserved for `holder` on the machine?
+bool mustLeaveReservation(const Job& job, const Machine& machine, const Job& holder) {
     if (!holder.run || holder.run->waiting == 0) return false;
     if (rankOf(holder) >= rankOf(job)) return true;
-    // Room that work was stopped for is not for other work of no higher priority, whatever its rank:
-    // guaranteed tasks would fill it again and again, to be stopped once more.
+    // Capacity that preemption freed is not for other jobs of no higher priority, whatever their rank.
+    // Otherwise tasks within a guaranteed quota would take it and be preempted again and again.
     return !machine.holding && holder.priority() >= job.priority();
 }
 
-constexpr auto kErrorMemory = kMaxHeldBack;     // a task's failure on a machine keeps its job away from it
-constexpr std::size_t kMaxAvoidedMachines = 3;  // a job that failed on so many is itself at fault
-
 bool avoidsAfterFailure(const Job& job, const Machine& machine, Time now) {
     const auto& failures = job.run->errorMachines;
     const auto failed = failures.find(machine.id);
@@ -41,18 +41,34 @@
     return now - failed->second < kErrorMemory;
 }
 
+/// What the team uses, with machines that are not reconciled counted as full of its tasks: an earlier leader
+/// may have filled them.
+Resources maxTeamUse(const std::string& team, const Fleet& fleet, const MachineTypes& types) {
+    auto use = fleet.teamUse(team);
+    for (const auto& [offering, count] : fleet.unreconciled()) {
+        const auto* type = bookkeeping::findType(types, offering.type);
+        if (!type) continue;
+        use += {type->cpus * count, type->gpus * count, type->memoryGb * count};
+    }
+    return use;
+}
+
 }  // namespace
 
 bool usable(const Machine& machine, Time now) {
     const bool leaving =
         machine.draining || machine.deletionRequested || machine.failed || machine.interruptionAt;
     if (leaving || machine.unreachableSince || machine.startBackoffUntil > now) return false;
-    // A machine without a stored machine registry entry would be unknown to the next leader, tasks and all.
+    // The next leader would not know of a machine outside the stored registry, nor of its tasks.
     const bool known =
         machine.acknowledged && machine.sendsHeartbeats && machine.registration == RegistrationState::stored;
     return known && !isFaulty(machine) && machine.typeInfo;
 }
 
+bool hasFreeCpus(const Machine& machine, double cpus) {
+    return machine.typeInfo && machine.typeInfo->cpus - machine.used.cpus >= cpus - kResourceTolerance;
+}
+
 std::uint32_t maxTasksInZone(const bookkeeping::JobSpec& spec) {
     return spec.spreadZones ? (spec.tasks + 1) / 2 : spec.tasks;
 }
@@ -70,7 +86,8 @@
     if (!job.run->inherited) return false;
     const auto& offerings = fleet.unreconciled();
     return std::any_of(offerings.begin(), offerings.end(), [&](const auto& entry) {
-        return bookkeeping::ownerAllows(job.spec, entry.first.type, entry.first.zone, entry.first.spot);
+        const auto& offering = entry.first;
+        return bookkeeping::ownerAllows(job.spec, offering.type, offering.zone, offering.spot);
     });
 }
 
@@ -78,45 +95,43 @@
     const auto* team = job.run->team;
     if (!team) return false;
     if (team->maxCpus <= 0 && team->maxGpus <= 0) return true;
-    auto use = fleet.teamUse(team->name);
-    // Until a machine has been heard, it may be full of this team's tasks.
-    for (const auto& [offering, count] : fleet.unreconciled()) {
-        const auto found = types.find(offering.type);
-        if (found == types.end()) continue;
-        const auto& type = found->second;
-        use += {type.cpus * count, type.gpus * count, type.memoryGb * count};
-    }
-    const auto fits = [&](double used, double need, double most) {
-        return most <= 0 || used + need * tasks <= most + kSlack;
+    const auto use = maxTeamUse(team->name, fleet, types);
+    const auto fits = [&](double used, double perTask, double quota) {
+        return quota <= 0 || used + perTask * tasks <= quota + kResourceTolerance;
     };
     return fits(use.cpus, job.spec.cpus, team->maxCpus) && fits(use.gpus, job.spec.gpus, team->maxGpus);
 }
 
 bool hasFreeCapacity(const Machine& machine, const Job& job) {
     if (!machine.typeInfo) return false;
-    return (bookkeeping::sizeOf(*machine.typeInfo) - machine.used).covers(bookkeeping::needOf(job.spec));
+    const auto unused = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
+    return unused.covers(bookkeeping::needOf(job.spec));
 }
 
 Resources availableCapacity(const Machine& machine, const Job& job, Time now) {
     if (!machine.typeInfo) return {};
-    auto room = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
+    auto available = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
     const auto* holder = machine.reservedFor;
-    if (holder != &job && machine.isReserved(now) && isKeptFrom(job, machine, *holder))
-        room -= bookkeeping::needOf(holder->spec, machine.reserved);
-    return room;
+    if (holder != &job && machine.isReserved(now) && mustLeaveReservation(job, machine, *holder))
+        available -= bookkeeping::needOf(holder->spec, machine.reserved);
+    return available;
 }
 
 Resources capacityWithPreemption(const Machine& machine, const Job& job, Time now) {
-    auto room = availableCapacity(machine, job, now);
-    // A guarantee may be given back by work of any priority.
-    const auto below =
+    auto capacity = availableCapacity(machine, job, now);
+    // A job within its team's guaranteed quota may preempt tasks of any priority.
+    const auto priorities =
         job.run->guaranteed ? machine.stoppable.size() : static_cast<std::size_t>(job.priority());
-    for (std::size_t priority = 0; priority < below; ++priority) room += machine.stoppable[priority];
-    return room;
+    for (std::size_t priority = 0; priority < priorities; ++priority) capacity += machine.stoppable[priority];
+    return capacity;
+}
+
+bool isReservedByPreemption(const Machine& machine, Time now) {
+    return machine.isReserved(now) && !machine.holding;
 }
 
 bool startedRecently(const Placement& placement, Time now) {
-    return placement.runningSince == Time{} || now - placement.runningSince < kMinCountedStart;
+    return placement.runningSince == Time{} || now - placement.runningSince < kMinCountedRunTime;
 }
 
 bool isProtectedStart(const Placement& placement, Time now) {
@@ -128,10 +143,8 @@
     : accelerators_(accelerators), zoneReservations_(zoneReservations) {}
 
 bool PlacementConstraints::mayStart(const Job& job, const Machine& machine, Time now) const {
-    const auto& run = *job.run;
-    if (job.terminalState != TerminalState::none || !job.ready() || run.waiting == 0 ||
-        run.backoffUntil > now)
-        return false;
+    if (job.terminalState != TerminalState::none || !job.ready()) return false;
+    if (job.run->waiting == 0 || job.run->backoffUntil > now) return false;
     if (!bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot)) return false;
     if (!zoneAllows(job, machine.zone)) return false;
     if (!accelerators_.allows(job, machine, now)) return false;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -3,9 +3,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <utility>
-
-#include "coordination/scheduling/placement_constraints.h"
 
 namespace burlpoint::coordination {
 
@@ -16,56 +13,74 @@
 
 namespace {
 
-constexpr int kMaxJobsAtOnce = 12;
-// Machines to look at in a round. Enough for some jobs in any fleet: a round over all that wait must take a
-// few seconds at most, or what is kept for one of them would lapse before its next turn.
-constexpr std::uint64_t kMinLookups = 6000;
-constexpr std::uint64_t kLookupsPerMachine = 12;
-constexpr std::uint64_t kLookupsPerPlan = 10;  // a plan on one machine costs as much as looking at so many
-
-constexpr std::size_t kMaxPlansWeighed = 40;
-constexpr std::size_t kMaxTasksAtOnce = 6;
-constexpr int kHeartbeatsKept = 4;  // room made for a task is kept for so many report intervals
-constexpr int kHeartbeatsKeptForGang = 3;
-
-constexpr double kHeartbeatsUntilFree = 1.5;  // room that comes free by itself shows within so many intervals
-constexpr Seconds kHurry{0.2};
-constexpr double kHurriedShareOfAim = 0.1;
-constexpr double kShareOfAim = 0.35;
-constexpr double kShortAim = 3;  // report intervals
-
-// When a gang's machines are chosen, in processor seconds.
-constexpr double kReservedBonus = 1e6;
-constexpr double kSpotLoss = 100;  // a spot machine that is taken back would stop the whole gang
+// Bounds on the work of one round. Tasks and gangs that get capacity:
+constexpr std::size_t kMaxPreemptionsPerRound = 12;
+// Machines to look at: so many, or more in a larger fleet. Enough for some jobs in any fleet, as rounds have
+// to reach all waiting jobs within a few seconds. Otherwise a job's reservations would lapse before its next
+// turn.
+constexpr std::uint64_t kMinScans = 6000;
+constexpr std::uint64_t kScansPerMachine = 12;
+// A plan on one machine costs as much as looking at so many machines.
+constexpr std::uint64_t kScansPerPlan = 10;
+
+// Bounds for one job in one round.
+constexpr std::size_t kMaxPlans = 40;
+constexpr std::size_t kMaxTasks = 6;
+
+// Heartbeat intervals for which freed capacity is reserved, beyond the time in which the job's own tasks
+// save.
+constexpr int kReservedIntervals = 4;
+constexpr int kReservedIntervalsForGang = 3;
+
+// How long a job waits for capacity to become free by itself, which shows within 1.5 heartbeat intervals.
+constexpr double kIntervalsUntilFree = 1.5;
+constexpr double kShareOfObjective = 0.35;
+// The same for jobs in a hurry.
+constexpr Seconds kHurriedWait{0.2};
+constexpr double kHurriedShareOfObjective = 0.1;
+// A wait objective below so many heartbeat intervals is short: such jobs are in a hurry, too.
+constexpr double kShortObjectiveIntervals = 3;
+
+// Losses that count when a gang's machines are chosen, in processor seconds for a task.
+constexpr double kSpotLoss = 100;  // the interruption of a spot machine would stop the whole gang
 constexpr double kFetchLoss = 150;
+// Larger than any sum of losses, so that machines reserved for the gang come first.
+constexpr double kReservedBonus = 1e6;
 
 }  // namespace
 
 Preemption::Preemption(const PreemptionContext& context) : context_(context) {}
 
+// Production jobs have their turn in each round. The others go on where the last round ended.
 void Preemption::preemptForWaitingJobs(Time now) {
-    const auto& scans = context_.scans;
-    const auto budget =
-        std::max<std::uint64_t>(kMinLookups, context_.fleet.machines().size() * kLookupsPerMachine);
-    const auto lookupsBefore = scans.total();
-    const auto jobs = context_.jobQueue.waiting();
-    // Production has its turn each time; the others go on where the last round ended.
-    const auto firstOther =
-        std::find_if(jobs.begin(), jobs.end(), [](const Job* job) { return rankOf(*job) < kProductionRank; });
+    const auto& jobs = context_.jobQueue.waiting();
+    const auto firstOther = std::find_if(jobs.begin(), jobs.end(),
+                                         [](const Job* job) { return rankOf(*job) < Rank::production; });
     const auto production = static_cast<std::size_t>(firstOther - jobs.begin());
     if (nextJob_ >= jobs.size()) nextJob_ = 0;
-    const auto resume = std::max(production, std::exchange(nextJob_, 0));
-    int made = 0;
-    for (std::size_t turn = 0; turn < production + jobs.size() - resume; ++turn) {
-        const auto at = turn < production ? turn : resume + turn - production;
-        if (made >= kMaxJobsAtOnce || scans.total() - lookupsBefore > budget) {
-            nextJob_ = std::max(at, resume);
+    nextJob_ = std::max(nextJob_, production);
+    const auto maxScans = context_.scans.total() + scanBudget();
+    const auto turns = production + jobs.size() - nextJob_;
+    std::size_t preemptions = 0;
+    for (std::size_t turn = 0; turn < turns; ++turn) {
+        const auto index = turn < production ? turn : nextJob_ + turn - production;
+        if (preemptions >= kMaxPreemptionsPerRound || context_.scans.total() > maxScans) {
+            nextJob_ = std::max(nextJob_, index);
             return;
         }
-        auto& job = *jobs[at];
+        auto& job = *jobs[index];
         if (!isDue(job, now)) continue;
-        made += bookkeeping::isLargeGang(job.spec) ? preemptForGang(job, now) : preemptFor(job, now);
+        if (!bookkeeping::isLargeGang(job.spec))
+            preemptions += preemptForTasks(job, now);
+        else if (preemptForGang(job, now))
+            ++preemptions;
     }
+    nextJob_ = 0;
+}
+
+/// How many machines a round may look at.
+std::uint64_t Preemption::scanBudget() const {
+    return std::max<std::uint64_t>(kMinScans, context_.fleet.machines().size() * kScansPerMachine);
 }
 
 bool Preemption::isDue(const Job& job, Time now) const {
@@ -73,107 +88,113 @@
     if (job.priority() <= Priority::normal && !run.guaranteed) return false;
     if (job.terminalState != TerminalState::none || run.waiting == 0 || run.backoffUntil > now) return false;
     if (Seconds(now - run.waitingSince) < maxWaitBeforePreemption(job)) return false;
+    if (blockedByUnreconciled(job, context_.fleet)) return false;
     const auto tasks = bookkeeping::isLargeGang(job.spec) ? run.waiting : 1;
-    return !blockedByUnreconciled(job, context_.fleet) &&
-           withinTeamQuota(job, tasks, context_.fleet, context_.types);
+    return withinTeamQuota(job, tasks, context_.fleet, context_.types);
 }
 
-/// How long a job may wait for room to come free by itself: a small part of what its users expect.
+/// How long a job waits for capacity to become free by itself: a small part of its wait objective, if it has
+/// one.
 Seconds Preemption::maxWaitBeforePreemption(const Job& job) const {
     const auto heartbeat = context_.settings.heartbeatInterval;
-    // Neither replicas' room nor whole machines come free by waiting.
+    // The capacity of replicas and whole accelerator machines rarely become free by waiting.
     const bool hurried = job.priority() == Priority::production || job.spec.gpus > 0;
-    const Seconds patience = hurried ? kHurry : heartbeat * kHeartbeatsUntilFree;
-    const auto& aim = job.run->shortestWaitObjective;
-    if (!aim) return patience;
-    const bool shortAim = hurried || *aim < heartbeat * kShortAim;
-    return shortAim ? std::min(patience, *aim * kHurriedShareOfAim) : *aim * kShareOfAim;
+    const Seconds wait = hurried ? kHurriedWait : heartbeat * kIntervalsUntilFree;
+    const auto& objective = job.run->shortestWaitObjective;
+    if (!objective) return wait;
+    if (hurried || *objective < heartbeat * kShortObjectiveIntervals)
+        return std::min(wait, *objective * kHurriedShareOfObjective);
+    return *objective * kShareOfObjective;
 }
 
-Time Preemption::keptUntil(const Job& job, int heartbeats, Time now) const {
-    const Seconds time = context_.settings.heartbeatInterval * heartbeats + job.spec.saveTime;
+Time Preemption::reservationEnd(const Job& job, int heartbeatIntervals, Time now) const {
+    const Seconds time = context_.settings.heartbeatInterval * heartbeatIntervals + job.spec.saveTime;
     return now + toClockDuration(time);
 }
 
 std::optional<PreemptionPlan> Preemption::planOn(Machine& machine, const Job& job, std::uint32_t tasks,
                                                  Time now) {
-    context_.scans.add(kLookupsPerPlan);
+    context_.scans.add(kScansPerPlan);
     return planPreemption(machine, job, tasks, context_.fleet, context_.settings, now);
 }
 
-void Preemption::execute(const PreemptionPlan& plan, const Job& job, Time until) {
+void Preemption::execute(const PreemptionPlan& plan, const Job& job, Time reservedUntil) {
     auto& machine = *plan.machine;
-    spdlog::debug("room for {} of {} {} on {}: {} tasks stop", plan.tasks, job.spec.id, job.spec.jobClass,
-                  machine.id, plan.victims.size());
+    spdlog::debug("preempting tasks job={} class={} machine={} tasks={} victims={}", job.spec.id,
+                  job.spec.jobClass, machine.id, plan.tasks, plan.victims.size());
     for (auto* victim : plan.victims) context_.terminator.stop(machine, *victim, victim->job->spec.saveTime);
-    context_.fleet.reserve(machine, &job, until, false, plan.tasks);
+    constexpr bool kFreedCapacityOnly = false;  // tasks are stopped for it
+    context_.fleet.reserve(machine, &job, reservedUntil, kFreedCapacityOnly, plan.tasks);
 }
 
-// --- single tasks -----------------------------------------------------------------------------------------
+// --- jobs whose tasks start one by one --------------------------------------------------------------------
 
-/// Frees room for tasks of the job by stopping lower work where that loses least. Returns for how many.
-int Preemption::preemptFor(Job& job, Time now) {
-    auto survey = surveyRoom(job, now);
-    if (survey.coming >= job.run->waiting) return 0;
-    auto wanted = std::min(job.run->waiting - survey.coming, kMaxTasksAtOnce);
-    const auto until = keptUntil(job, kHeartbeatsKept, now);
-    int made = 0;
+/// Preempts on the machines where that loses least. Returns for how many tasks of the job.
+std::size_t Preemption::preemptForTasks(Job& job, Time now) {
+    auto survey = surveyCapacity(job, now);
+    if (survey.expected >= job.run->waiting) return 0;
+    const auto wanted = std::min(job.run->waiting - survey.expected, kMaxTasks);
+    const auto reservedUntil = reservationEnd(job, kReservedIntervals, now);
+    const auto maxInZone = maxTasksInZone(job.spec);
+    std::size_t preempted = 0;
     for (const auto& plan : plansOn(survey.candidates, job, now)) {
-        if (wanted == 0) break;
+        if (preempted == wanted) break;
         const auto& zone = plan.machine->zone;
-        if (job.spec.singleZone && !survey.zones.empty() && !survey.zones.contains(zone)) continue;
-        auto& inZone = survey.zones[zone];
-        if (inZone >= maxTasksInZone(job.spec)) continue;
+        const bool inOtherZone = !survey.tasksInZone.empty() && !survey.tasksInZone.contains(zone);
+        if (job.spec.singleZone && inOtherZone) continue;
+        auto& inZone = survey.tasksInZone[zone];
+        if (inZone >= maxInZone) continue;
         ++inZone;
-        execute(plan, job, until);
-        --wanted;
-        ++made;
+        execute(plan, job, reservedUntil);
+        ++preempted;
     }
-    return made;
+    return preempted;
 }
 
-/// Looks for room on the machines that the job may wait for: those with its image if it should wait for one
-/// of them, else all, until enough is found.
-Preemption::RoomSurvey Preemption::surveyRoom(Job& job, Time now) {
-    RoomSurvey survey{0, job.run->zones, {}};
+/// Surveys the machines with the job's image if it should wait for one of them. Otherwise all, until there is
+/// capacity for all waiting tasks.
+Preemption::CapacitySurvey Preemption::surveyCapacity(Job& job, Time now) {
+    CapacitySurvey survey{0, job.run->zones, {}};
     if (context_.images.waitsForImage(job, now)) {
         for (auto* machine : context_.fleet.withImage(job.image())) surveyMachine(*machine, job, now, survey);
         return survey;
     }
     for (const auto& [id, machine] : context_.fleet.machines()) {
         surveyMachine(*machine, job, now, survey);
-        if (survey.coming >= job.run->waiting) break;
+        if (survey.expected >= job.run->waiting) break;
     }
     return survey;
 }
 
-/// Counts the machine towards the room that the job will have without stopping more, or keeps it as one where
-/// something could be stopped.
-void Preemption::surveyMachine(Machine& machine, const Job& job, Time now, RoomSurvey& survey) {
+void Preemption::surveyMachine(Machine& machine, const Job& job, Time now, CapacitySurvey& survey) {
     context_.scans.add();
     if (!machine.typeInfo || !usable(machine, now)) return;
-    const bool made = machine.isReserved(now) && !machine.holding;
-    if (made && machine.reservedFor != &job) return;
+    const bool reserved = isReservedByPreemption(machine, now);
+    if (reserved && machine.reservedFor != &job) return;
     if (!context_.constraints.mayStart(job, machine, now)) return;
-    const auto need = bookkeeping::needOf(job.spec);
-    if (made) {
-        ++survey.zones[machine.zone];
-        ++survey.coming;
-    } else if (const auto room = availableCapacity(machine, job, now).times(need); room > 0) {
-        survey.coming += room;  // it will be placed with that machine's heartbeat
-    } else if (capacityWithPreemption(machine, job, now).covers(need)) {
-        survey.candidates.push_back(&machine);
+    if (reserved) {
+        ++survey.tasksInZone[machine.zone];
+        ++survey.expected;
+        return;
     }
+    const auto need = bookkeeping::needOf(job.spec);
+    // Tasks that fit at once start with the machine's next heartbeat.
+    const auto fitting = availableCapacity(machine, job, now).times(need);
+    survey.expected += fitting;
+    if (fitting > 0) return;
+    if (capacityWithPreemption(machine, job, now).covers(need)) survey.candidates.push_back(&machine);
 }
 
-/// Plans for one task on some of the candidates, the least loss first.
+/// Plans for one task each on some of the candidates, the least loss first.
 std::vector<PreemptionPlan> Preemption::plansOn(const std::vector<Machine*>& candidates, const Job& job,
                                                 Time now) {
     std::vector<PreemptionPlan> plans;
     if (candidates.empty()) return plans;
     const auto offset = nextCandidate_++ % candidates.size();
-    for (std::size_t i = 0; i < std::min(candidates.size(), kMaxPlansWeighed); ++i) {
-        auto plan = planOn(*candidates[(offset + i) % candidates.size()], job, 1, now);
+    const auto count = std::min(candidates.size(), kMaxPlans);
+    for (std::size_t i = 0; i < count; ++i) {
+        auto& candidate = *candidates[(offset + i) % candidates.size()];
+        auto plan = planOn(candidate, job, 1, now);
         if (plan) plans.push_back(std::move(*plan));
     }
     std::sort(plans.begin(), plans.end(), [](const auto& a, const auto& b) { return a.loss < b.loss; });
@@ -182,36 +203,34 @@
 
 // --- gangs of several tasks -------------------------------------------------------------------------------
 
-/// Makes room for a gang, whole or not at all: only where free room and what yields make up all of it. A gang
-/// that is passed over for long, as smaller ones take each machine that comes free, has a zone reserved:
-/// until it has enough there, other work that needs what it needs goes elsewhere. Lower work goes on
-/// meanwhile. There is one such gang at a time, so that no two wait for each other's halves. Returns 1 if it
-/// was made.
-int Preemption::preemptForGang(Job& job, Time now) {
-    if (job.run->placedTotal > 0) return 0;
+/// Preempts for the whole gang or not at all: only where free capacity and what it may preempt suffice for
+/// all of its tasks. If only more machines that become free would suffice, asks for a zone reservation
+/// instead: until the gang has enough there, jobs that compete for such machines go elsewhere, while jobs of
+/// lower priority go on. Returns whether it preempted.
+bool Preemption::preemptForGang(Job& job, Time now) {
+    if (job.run->placedTotal > 0) return false;
     const auto size = job.spec.tasks;
-    const auto room =
-        bestGangCapacity(job, context_.fleet, context_.settings.zones, context_.constraints, context_.scans, now);
-    if (room.withPreemption < size) {
-        // Unless more machines have to come first.
-        if (room.possible >= size) context_.zoneReservations.reserve(job, room.zone, now);
-        return 0;
+    const auto capacity = bestGangCapacity(job, context_.fleet, context_.settings.zones, context_.constraints,
+                                           context_.scans, now);
+    if (capacity.withPreemption < size) {
+        // Not if the zone is too small anyway and more machines have to come up first.
+        if (capacity.besideReplicas >= size) context_.zoneReservations.reserve(job, capacity.zone, now);
+        return false;
     }
-    auto plans = plansForGang(job, room, now);
+    const auto plans = plansForGang(job, capacity, now);
     std::uint32_t planned = 0;
-    std::size_t needed = 0;  // plans
-    while (needed < plans.size() && planned < size) planned += plans[needed++].tasks;
-    if (planned < size) return 0;
-    plans.resize(needed);
-    const auto until = keptUntil(job, kHeartbeatsKeptForGang, now);
-    for (const auto& plan : plans) execute(plan, job, until);
-    return 1;
+    std::size_t used = 0;
+    while (used < plans.size() && planned < size) planned += plans[used++].tasks;
+    if (planned < size) return false;
+    const auto reservedUntil = reservationEnd(job, kReservedIntervalsForGang, now);
+    for (std::size_t i = 0; i < used; ++i) execute(plans[i], job, reservedUntil);
+    return true;
 }
 
-/// What would stop on each machine for the gang, those first that lose least for a task.
-std::vector<PreemptionPlan> Preemption::plansForGang(const Job& job, const GangCapacity& room, Time now) {
+/// A plan for each machine, those first that lose least for each of the gang's tasks.
+std::vector<PreemptionPlan> Preemption::plansForGang(const Job& job, const GangCapacity& capacity, Time now) {
     std::vector<PreemptionPlan> plans;
-    for (const auto& [machine, tasks] : room.machines) {
+    for (const auto& [machine, tasks] : capacity.machines) {
         auto plan = planOn(*machine, job, std::min(tasks, job.spec.tasks), now);
         if (!plan) continue;
         if (machine->reservedFor == &job) plan->loss -= kReservedBonus;
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -1,19 +1,19 @@
 #pragma once
 
-// Making room for waiting jobs by stopping work that has to yield to them. Owns where its round over the
-// waiting jobs goes on, and which candidates it looks at first; the room that it makes is kept for the job as
-// a reservation in the fleet.
+// Preemption: gives waiting jobs capacity by stopping tasks (victims) that have to yield to them. Owns where
+// its next round over the waiting jobs starts, and which candidate machines it looks at first. The freed
+// capacity is reserved for the job in the fleet. Used on the leader's thread.
 
 #include <cstddef>
 #include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/machine_types.h"
-#include "coordination/autoscaling/instance_selection.h"
 #include "coordination/scheduling/gang_capacity.h"
 #include "coordination/scheduling/image_locality.h"
 #include "coordination/scheduling/job_queue.h"
@@ -30,7 +30,7 @@
 struct PreemptionContext {
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
-    const MachineTypes& types;
+    const bookkeeping::MachineTypes& types;
     const JobQueue& jobQueue;
     const PlacementConstraints& constraints;
     ImageLocality& images;
@@ -44,39 +44,41 @@
     /// All that the context refers to has to outlive this.
     explicit Preemption(const PreemptionContext& context);
 
-    /// Makes room for a few of the jobs that have waited for longer than their patience, production first.
-    /// It ends when the budget of machines to look at is used up, and the next call goes on from there.
+    /// One round: preempts tasks for a few of the jobs that have waited long enough, production jobs first.
+    /// It ends when the budget of machines to look at is used up, and the next round goes on from there.
     void preemptForWaitingJobs(Time now);
 
   private:
-    /// What a job finds on the machines that it may use.
-    struct RoomSurvey {
-        std::size_t coming = 0;                      // of its tasks have room without stopping more
-        std::map<std::string, std::uint32_t> zones;  // its tasks per zone, with those that room is kept for
-        std::vector<bookkeeping::Machine*> candidates;  // where stopping something would make room
+    /// The capacity for a job on the machines that it may use.
+    struct CapacitySurvey {
+        std::size_t expected = 0;  // tasks that have capacity without further preemption
+        std::map<std::string, std::uint32_t> tasksInZone;  // placed, or with capacity reserved by preemption
+        std::vector<bookkeeping::Machine*> candidates;     // where preemption would give capacity for a task
     };
 
+    std::uint64_t scanBudget() const;
     bool isDue(const bookkeeping::Job& job, Time now) const;
     Seconds maxWaitBeforePreemption(const bookkeeping::Job& job) const;
 
-    int preemptFor(bookkeeping::Job& job, Time now);
-    RoomSurvey surveyRoom(bookkeeping::Job& job, Time now);
+    std::size_t preemptForTasks(bookkeeping::Job& job, Time now);
+    CapacitySurvey surveyCapacity(bookkeeping::Job& job, Time now);
     void surveyMachine(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now,
-                       RoomSurvey& survey);
+                       CapacitySurvey& survey);
     std::vector<PreemptionPlan> plansOn(const std::vector<bookkeeping::Machine*>& candidates,
                                         const bookkeeping::Job& job, Time now);
 
-    int preemptForGang(bookkeeping::Job& job, Time now);
-    std::vector<PreemptionPlan> plansForGang(const bookkeeping::Job& job, const GangCapacity& room, Time now);
+    bool preemptForGang(bookkeeping::Job& job, Time now);
+    std::vector<PreemptionPlan> plansForGang(const bookkeeping::Job& job, const GangCapacity& capacity,
+                                             Time now);
 
     std::optional<PreemptionPlan> planOn(bookkeeping::Machine& machine, const bookkeeping::Job& job,
                                          std::uint32_t tasks, Time now);
-    void execute(const PreemptionPlan& plan, const bookkeeping::Job& job, Time until);
-    Time keptUntil(const bookkeeping::Job& job, int heartbeats, Time now) const;
+    void execute(const PreemptionPlan& plan, const bookkeeping::Job& job, Time reservedUntil);
+    Time reservationEnd(const bookkeeping::Job& job, int heartbeatIntervals, Time now) const;
 
     const PreemptionContext context_;
-    std::size_t nextJob_ = 0;        // among the waiting jobs, where the next round goes on
-    std::size_t nextCandidate_ = 0;  // so that each round weighs other candidates
+    std::size_t nextJob_ = 0;        // index among the waiting jobs at which the next round goes on
+    std::size_t nextCandidate_ = 0;  // so that each round plans on other candidates
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/preemption_plan.cpp
+++ b/src/coordination/scheduling/preemption_plan.cpp
@@ -17,37 +17,61 @@
 
 namespace {
 
-// Losses, in processor seconds of work that has to be done again, or what is taken for as much.
-constexpr double kFetchLoss = 10;          // the machine lacks the image
-constexpr double kHardToPlaceLoss = 1000;  // for each processor
-constexpr double kProtectedStartLoss = 1000;
-constexpr double kRestartLoss = 5;  // of a task that saves, beyond its save
-constexpr double kMinCpus = 0.1;    // a task counts as that large at least
-constexpr double kStopLoss = 1;
+// Losses per processor, in seconds of work that has to be done again or what counts as much.
+constexpr double kScarceMachineLoss = 1000;   // a task that needs accelerators, for a job that needs none
+constexpr double kProtectedStartLoss = 1000;  // see isProtectedStart
+constexpr double kRestartLoss = 5;            // restart of a task with checkpoints, beyond its save time
+// A task counts as using at least so many processors, so that its run time is never without weight.
+constexpr double kMinCpus = 0.1;
+// Losses in processor seconds.
+constexpr double kStopLoss = 1;    // each victim, so that fewer victims are better
+constexpr double kFetchLoss = 10;  // the machine lacks the job's image
 
 struct Victim {
     double loss = 0;
     Placement* placement = nullptr;
 };
 
-/// What is lost when the task stops for the job.
+/// What is lost if the task is preempted for the job, in processor seconds.
 double lossOf(const Placement& placement, const Job& job, Time now) {
     const auto& spec = placement.job->spec;
     const bool running = placement.state == PlacementState::running;
     double lost = running ? Seconds(now - placement.runningSince).count() : 0;
-    if (spec.gpus > 0 && job.spec.gpus <= 0) lost += kHardToPlaceLoss;
-    if (spec.checkpointInterval > Seconds(0)) lost = std::min(lost, spec.saveTime.count() + kRestartLoss);
+    if (spec.gpus > 0 && job.spec.gpus <= 0) lost += kScarceMachineLoss;
+    const bool hasCheckpoints = spec.checkpointInterval > Seconds(0);
+    if (hasCheckpoints) lost = std::min(lost, spec.saveTime.count() + kRestartLoss);
     if (isProtectedStart(placement, now)) lost += kProtectedStartLoss;
     return lost * std::max(spec.cpus, kMinCpus) + kStopLoss;
 }
 
-/// The guarantee of another team may take back what this one has beyond its own.
-bool yieldsToGuarantee(const Placement& placement, const Job& job, const Fleet& fleet,
-                       const Settings& settings) {
-    const auto& spec = placement.job->spec;
-    const auto* team = settings.team(spec.team);
-    return job.run->guaranteed && job.priority() < Priority::production && spec.team != job.spec.team &&
-           team && fleet.teamUse(spec.team).cpus > team->guaranteedCpus && !placement.job->run->guaranteed;
+/// May the job, within its team's guaranteed quota, take back what the other team has beyond its own?
+bool reclaimsGuaranteedQuota(const Placement& placement, const Job& job, const Fleet& fleet,
+                             const Settings& settings) {
+    if (!job.run->guaranteed || job.priority() >= Priority::production) return false;
+    const auto& victim = *placement.job;
+    if (victim.spec.team == job.spec.team || victim.run->guaranteed) return false;
+    const auto* team = settings.team(victim.spec.team);
+    return team && fleet.teamUse(victim.spec.team).cpus > team->guaranteedCpus;
+}
+
+std::vector<Victim> victimsOn(Machine& machine, const Job& job, const Fleet& fleet, const Settings& settings,
+                              Time now) {
+    std::vector<Victim> victims;
+    for (auto& [key, placement] : machine.placements) {
+        if (placement.stopping || !mayPreempt(placement, job, fleet, settings, now)) continue;
+        victims.push_back({lossOf(placement, job, now), &placement});
+    }
+    std::sort(victims.begin(), victims.end(),
+              [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
+    return victims;
+}
+
+/// What the job could have on the machine once the tasks that are stopping already are gone.
+bookkeeping::Resources capacityAfterStops(const Machine& machine, const Job& job, Time now) {
+    auto capacity = availableCapacity(machine, job, now);
+    for (const auto& [key, placement] : machine.placements)
+        if (placement.stopping) capacity += bookkeeping::needOf(placement.job->spec);
+    return capacity;
 }
 
 }  // namespace
@@ -55,34 +79,27 @@
 bool mayPreempt(const Placement& placement, const Job& job, const Fleet& fleet, const Settings& settings,
                 Time now) {
     const auto& spec = placement.job->spec;
-    if (placement.job == &job || spec.kind == JobKind::service || bookkeeping::isLargeGang(spec))
-        return false;
+    if (placement.job == &job) return false;
+    if (spec.kind == JobKind::service || bookkeeping::isLargeGang(spec)) return false;
     if (job.priority() != Priority::production && isProtectedStart(placement, now)) return false;
     if (placement.job->priority() < job.priority()) return true;
-    return yieldsToGuarantee(placement, job, fleet, settings);
+    return reclaimsGuaranteedQuota(placement, job, fleet, settings);
 }
 
 std::optional<PreemptionPlan> planPreemption(Machine& machine, const Job& job, std::uint32_t tasks,
                                              const Fleet& fleet, const Settings& settings, Time now) {
     const auto need = bookkeeping::needOf(job.spec, tasks);
-    PreemptionPlan plan{&machine, {}, machine.hasImage(job.image()) ? 0.0 : kFetchLoss, tasks};
-    auto room = availableCapacity(machine, job, now);
-    std::vector<Victim> victims;
-    for (auto& [key, placement] : machine.placements) {
-        if (placement.stopping)
-            room += bookkeeping::needOf(placement.job->spec);
-        else if (mayPreempt(placement, job, fleet, settings, now))
-            victims.push_back({lossOf(placement, job, now), &placement});
-    }
-    std::sort(victims.begin(), victims.end(),
-              [](const Victim& a, const Victim& b) { return a.loss < b.loss; });
-    for (const auto& victim : victims) {
-        if (room.covers(need)) break;
-        room += bookkeeping::needOf(victim.placement->job->spec);
+    PreemptionPlan plan{&machine, {}, 0, tasks};
+    if (!machine.hasImage(job.image())) plan.loss = kFetchLoss;
+    auto capacity = capacityAfterStops(machine, job, now);
+    for (const auto& victim : victimsOn(machine, job, fleet, settings, now)) {
+        if (capacity.covers(need)) break;
+        capacity += bookkeeping::needOf(victim.placement->job->spec);
         plan.loss += victim.loss;
         plan.victims.push_back(victim.placement);
     }
-    return room.covers(need) ? std::optional(std::move(plan)) : std::nullopt;
+    if (!capacity.covers(need)) return std::nullopt;
+    return plan;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/preemption_plan.h
+++ b/src/coordination/scheduling/preemption_plan.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What would have to be stopped on one machine so that a job finds room there. These functions own and change
-// nothing.
+// Chooses which tasks on one machine would be preempted so that a job gets capacity there. Pure functions;
+// they own and change nothing.
 
 #include <cstdint>
 #include <optional>
@@ -13,21 +13,22 @@
 
 namespace burlpoint::coordination {
 
-/// Tasks on a machine that would be stopped to make room for another job's.
+/// The victims on one machine whose preemption gives tasks of a job capacity there.
 struct PreemptionPlan {
     bookkeeping::Machine* machine = nullptr;
     std::vector<bookkeeping::Placement*> victims;
-    double loss = 0;          // processor seconds, by estimate; comparable only among plans for one job
-    std::uint32_t tasks = 1;  // that the room is for
+    double loss = 0;          // estimated, in processor seconds; comparable only among plans for one job
+    std::uint32_t tasks = 1;  // of the job, that get capacity
 };
 
-/// Does the task have to yield to the job? Replicas and tasks of larger gangs never do. Lower priorities
-/// yield to higher ones, and what a team has beyond its guarantee to another team's guaranteed work.
+/// May the job preempt the placement's task? Never replicas of services nor tasks of larger gangs. Otherwise
+/// jobs preempt tasks of lower priority, and a job within its team's guaranteed quota also preempts what
+/// another team has beyond its own.
 bool mayPreempt(const bookkeeping::Placement& placement, const bookkeeping::Job& job,
                 const bookkeeping::Fleet& fleet, const protocol::Settings& settings, Time now);
 
-/// What would have to stop on the machine, losing least, for `tasks` tasks of the job; none: there can't be
-/// room for so many.
+/// The plan that gives this many tasks of the job capacity on the machine, with the victims that lose least.
+/// None if the machine can't have capacity for so many.
 std::optional<PreemptionPlan> planPreemption(bookkeeping::Machine& machine, const bookkeeping::Job& job,
                                              std::uint32_t tasks, const bookkeeping::Fleet& fleet,
                                              const protocol::Settings& settings, Time now);
