--- a/src/coordination/scheduling/gang_capacity.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -1,6 +1,7 @@
 #include "coordination/scheduling/gang_capacity.h"
 
 #include <algorithm>
+#include <utility>
 
 #include "coordination/scheduling/zone_reservations.h"
 
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <chrono>
 #include <limits>
-#include <utility>
 
 namespace burlpoint::coordination {
 
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -47,7 +47,7 @@
 /// Would the job's team stay within its maximum quota with this many more tasks of the job? Machines that are
 /// not reconciled count as fully used by the team. False for a team that the settings do not name.
 bool withinTeamQuota(const bookkeeping::Job& job, std::uint32_t tasks, const bookkeeping::Fleet& fleet,
-                     const MachineTypes& types);
+                     const bookkeeping::MachineTypes& types);
 
 /// Does one of the job's tasks fit beside what is on the machine, reservations ignored? This is the cheapest
 /// check, so callers make it first.
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <utility>
 
 namespace burlpoint::coordination {
 
