--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -6,6 +6,7 @@
 
 #include "base/clock.h"
 #include "bookkeeping/machine_types.h"
+#include "coordination/autoscaling/instance_selection.h"
 
 using namespace burlpoint;
 using namespace burlpoint::coordination;
@@ -20,11 +21,11 @@
 
 namespace {
 
-/// Types of 8 plain processors, and of 16 with two accelerators, in one zone. Jobs need two processors a
-/// task.
-struct Accelerators : testing::Test {
-    MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a"}}},
-                       {"gpu", {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a"}}}};
+/// Plain machines of 8 processors, and machines of 16 processors and two accelerators, in one zone. Tasks
+/// need two processors.
+struct AcceleratorPolicyTest : testing::Test {
+    bookkeeping::MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a"}}},
+                                    {"gpu", {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a"}}}};
     CapacityErrors capacityErrors;
     Fleet fleet;
     std::vector<std::unique_ptr<Job>> jobs;
@@ -54,10 +55,10 @@
         job.run->priority = priority;
         return job;
     }
-    /// A job with accelerators that leaves six processors of each machine.
-    void need(Priority priority) { policy.recordDemand(job(JobKind::array, priority, 2, 10)); }
+    /// Records the demand of a job with accelerators; its tasks leave six processors of a machine.
+    void recordDemand(Priority priority) { policy.recordDemand(job(JobKind::array, priority, 2, 10)); }
     Job& array(Priority priority) { return job(JobKind::array, priority); }
-    /// A service that has waited for plain machines for long enough.
+    /// A service that has waited long enough for a plain machine.
     Job& service() {
         auto& made = job(JobKind::service, Priority::normal);
         made.run->waitingSince = now - 12s;
@@ -72,8 +73,8 @@
         for (const auto& [id, each] : fleet.machines()) up.push_back(each.get());
         policy.refresh(up, now);
     }
-    void refusePlain() { refuse("plain"); }
-    void refuse(const std::string& type) {
+    void makePlainUnavailable() { makeUnavailable("plain"); }
+    void makeUnavailable(const std::string& type) {
         capacityErrors.note({type, "a", false}, now);
         capacityErrors.note({type, "a", true}, now);
     }
@@ -82,15 +83,15 @@
 
 }  // namespace
 
-TEST_F(Accelerators, OtherMachinesAndWorkThatNeedsThemAreNotHeldBack) {
-    need(Priority::low);
+TEST_F(AcceleratorPolicyTest, PlainMachinesAndJobsThatNeedAcceleratorsAreAlwaysAllowed) {
+    recordDemand(Priority::low);
     auto& gpu = machine("g", "gpu");
     place(gpu, array(Priority::high), 8);
     EXPECT_TRUE(allows(array(Priority::high), machine("p", "plain")));
     EXPECT_TRUE(allows(job(JobKind::array, Priority::low, 1), gpu));
 }
 
-TEST_F(Accelerators, WithoutANeedWorkBelowHighPriorityMayUseThem) {
+TEST_F(AcceleratorPolicyTest, WithoutDemandJobsBelowHighPriorityAreAllowed) {
     auto& gpu = machine("g", "gpu");
     EXPECT_TRUE(allows(array(Priority::normal), gpu));
     EXPECT_FALSE(allows(array(Priority::high), gpu));
@@ -99,34 +100,34 @@
     EXPECT_TRUE(allows(bound, gpu));  // it may run nowhere else
 }
 
-TEST_F(Accelerators, WorkOfNoLowerPriorityLeavesRoomForTheNeed) {
-    need(Priority::normal);
+TEST_F(AcceleratorPolicyTest, JobsOfNoLowerPriorityLeaveCapacityForTheDemand) {
+    recordDemand(Priority::normal);
     auto& gpu = machine("g", "gpu");
     auto& same = array(Priority::normal);
     EXPECT_TRUE(allows(same, gpu));
     place(gpu, same, 2);
     EXPECT_TRUE(allows(same, gpu));
     place(gpu, array(Priority::low), 4);
-    EXPECT_TRUE(allows(same, gpu));  // lower work counts as stoppable
+    EXPECT_TRUE(allows(same, gpu));  // lower priorities count as preemptible
     place(gpu, array(Priority::high), 1);
     EXPECT_FALSE(allows(same, gpu));
-    EXPECT_TRUE(allows(array(Priority::low), gpu));  // it would yield itself
+    EXPECT_TRUE(allows(array(Priority::low), gpu));  // it can be preempted itself
 }
 
-TEST_F(Accelerators, TheLargestNeedAndTheLowestPriorityCount) {
-    need(Priority::high);
+TEST_F(AcceleratorPolicyTest, LargestDemandAndLowestPriorityCount) {
+    recordDemand(Priority::high);
     policy.recordDemand(job(JobKind::array, Priority::low, 1, 15));
     EXPECT_FALSE(allows(array(Priority::low), machine("g", "gpu")));
 }
 
-TEST_F(Accelerators, ANeedCountsOnlyWhereItsOwnerAllowsIt) {
+TEST_F(AcceleratorPolicyTest, DemandCountsOnlyOnTypesThatItsOwnerAllows) {
     auto& elsewhere = job(JobKind::array, Priority::low, 2, 16);
     elsewhere.spec.types = std::vector<std::string>{"other"};
     policy.recordDemand(elsewhere);
     EXPECT_TRUE(allows(array(Priority::normal), machine("g", "gpu")));
 }
 
-TEST_F(Accelerators, NothingIsHeldBackForLong) {
+TEST_F(AcceleratorPolicyTest, UnstartedJobIsAllowedAfterAMinute) {
     policy.recordDemand(job(JobKind::array, Priority::low, 2, 16));
     auto& gpu = machine("g", "gpu");
     auto& waits = array(Priority::normal);
@@ -138,46 +139,47 @@
     EXPECT_FALSE(allows(waits, gpu));
 }
 
-TEST_F(Accelerators, AReplicaWaitsForPlainMachinesFirst) {
+TEST_F(AcceleratorPolicyTest, ReplicaWaitsForPlainMachinesFirst) {
     auto& gpu = machine("g", "gpu");
     auto& replica = job(JobKind::service, Priority::normal);
     EXPECT_FALSE(allows(replica, gpu));
-    refusePlain();
+    makePlainUnavailable();
     EXPECT_TRUE(allows(replica, gpu));  // there are none
     now += 1h;
-    EXPECT_TRUE(plainMachineObtainable(replica.spec, types, capacityErrors, now));  // the refusals are over
+    // The capacity errors are over.
+    EXPECT_TRUE(plainMachineObtainable(replica.spec, types, capacityErrors, now));
     replica.run->waitingSince = now - 11s;
     EXPECT_FALSE(allows(replica, gpu));
     replica.run->waitingSince = now - 12s;
     EXPECT_TRUE(allows(replica, gpu));
 }
 
-TEST_F(Accelerators, AReplicaTakesTheNeedsRoomOnlyWhereNoPlainMachineIsLeft) {
+TEST_F(AcceleratorPolicyTest, ReplicaTakesDemandedCapacityOnlyWithoutPlainMachines) {
     policy.recordDemand(job(JobKind::array, Priority::normal, 2, 16));
     auto& gpu = machine("g", "gpu");
     auto& plain = machine("p", "plain");
     refresh();
-    EXPECT_FALSE(allows(service(), gpu));  // one can be rented
-    refusePlain();
+    EXPECT_FALSE(allows(service(), gpu));  // a plain machine can be requested
+    makePlainUnavailable();
     plain.spot = gpu.spot;
-    EXPECT_TRUE(allows(service(), gpu));  // room for four replicas is not enough of it
+    EXPECT_TRUE(allows(service(), gpu));  // capacity for four replicas counts as full
     machine("p2", "plain");
     refresh();
-    EXPECT_FALSE(allows(service(), gpu));  // there is room on those that run
+    EXPECT_FALSE(allows(service(), gpu));  // plain machines that are up have capacity
 }
 
-TEST_F(Accelerators, ReplicasShareAnEighthWhereTheCloudHasNoMore) {
+TEST_F(AcceleratorPolicyTest, ReplicasTakeUpAnEighthOfTheMachinesIfTheCloudHasNoMore) {
     policy.recordDemand(job(JobKind::array, Priority::normal, 2, 16));
-    refusePlain();
+    makePlainUnavailable();
     auto& given = machine("g0", "gpu");
     place(given, service(), 1);
     for (const auto* id : {"g1", "g2", "g3", "g4", "g5", "g6", "g7"}) machine(id, "gpu");
     auto& untouched = *fleet.find("g1");
     refresh();
     EXPECT_TRUE(allows(service(), untouched));  // the cloud has more
-    refuse("gpu");
-    EXPECT_FALSE(allows(service(), untouched));  // one of eight was given over
-    EXPECT_TRUE(allows(service(), given));       // which others may share
+    makeUnavailable("gpu");
+    EXPECT_FALSE(allows(service(), untouched));  // one of eight is taken up
+    EXPECT_TRUE(allows(service(), given));       // taken up already
     machine("g8", "gpu");
     refresh();
     EXPECT_TRUE(allows(service(), untouched));
--- a/tests/fetch_pacing_test.cpp
+++ b/tests/fetch_pacing_test.cpp
@@ -18,7 +18,7 @@
 constexpr double kCacheGb = 10;
 
 /// Machines of eight processors and jobs of one processor and ten seconds a task.
-struct Pacing : testing::Test {
+struct FetchPacingTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
     protocol::MachineType type{"plain", 8, 0, 32, kCacheGb, 1, 1, 0.3, Seconds(10), {"a", "b"}};
@@ -27,7 +27,7 @@
     Time now{1000s};
     FetchPacing pacing{settings, policy};
 
-    Pacing() {
+    FetchPacingTest() {
         settings.heartbeatInterval = Seconds(2);
         policy.fetchStart = Seconds(5);
     }
@@ -65,11 +65,11 @@
 }  // namespace
 
 // Md = M times the share of the machines that are up and lack the image.
-TEST_F(Pacing, AdmissionExpectsFetchesOnTheMachinesThatLackTheImage) {
+TEST_F(FetchPacingTest, AdmissionExpectsFetchesInProportionToMachinesWithoutTheImage) {
     machine("m1", "a", {"i"});
     machine("m2", "a", {});
     machine("m3", "b", {});
-    machine("m4", "b", {"i"}).sendsHeartbeats = false;  // not up, so it counts on neither side
+    machine("m4", "b", {"i"}).sendsHeartbeats = false;  // not up, so it counts neither way
     auto& paced = job("i", 30);
     refresh();
     pacing.admit(paced, fleet);
@@ -77,7 +77,7 @@
     EXPECT_NEAR(paced.run->expectedPacedFetches, 20, 1e-9);
 }
 
-TEST_F(Pacing, AdmissionWaitsForAMachineAndHappensOnce) {
+TEST_F(FetchPacingTest, AdmissionNeedsAMachineThatIsUpAndHappensOnce) {
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
@@ -94,7 +94,7 @@
 }
 
 // More machines may have the image than were up at the last refresh.
-TEST_F(Pacing, NoFewerFetchesThanNoneAreExpected) {
+TEST_F(FetchPacingTest, ExpectedFetchesAreNeverNegative) {
     machine("m1", "a", {"i"});
     auto& paced = job("i", 10);
     refresh();
@@ -104,7 +104,7 @@
 }
 
 // m/M >= md/Md: with M = 10 and Md = 5, each fetch takes two launches.
-TEST_F(Pacing, FetchesKeepToTheirShareOfTheLaunches) {
+TEST_F(FetchPacingTest, FetchesKeepToTheirShareOfTheLaunches) {
     machine("m1", "a", {"i"});
     auto& lacking = machine("m2", "b", {});
     auto& paced = job("i", 10);
@@ -121,8 +121,8 @@
     EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 2/10 < 2/5
 }
 
-// Nothing is left to spread where every machine had the image at admission.
-TEST_F(Pacing, AJobWithoutExpectedFetchesIsNotHeldToAShare) {
+// There is no share to keep to if every machine had the image at admission.
+TEST_F(FetchPacingTest, JobWithoutExpectedFetchesIsNotLimitedToAShare) {
     machine("m1", "a", {"i"});
     auto& paced = job("i", 10);
     refresh();
@@ -134,8 +134,9 @@
     EXPECT_TRUE(pacing.allows(paced, later, now));
 }
 
-// ts is work over the processors of all machines that have the image; a machine above E[ts] fetches nothing.
-TEST_F(Pacing, AMachineWithMoreCachedWorkThanTheMeanFetchesNothing) {
+// ts is the waiting work of a machine's images, each shared by the processors of all machines that have it. A
+// machine with ts above E[ts] fetches nothing.
+TEST_F(FetchPacingTest, MachineWithMoreCachedWorkThanTheMeanFetchesNothing) {
     auto& busy = machine("m1", "a", {"x", "y"});
     auto& lighter = machine("m2", "a", {"y"});
     auto& idle = machine("m3", "b", {});
@@ -151,8 +152,8 @@
     EXPECT_FALSE(pacing.allows(other, lighter, now));
 }
 
-// tr >= min(E[tr], threshold), with the threshold as the smaller: the zone rests for the mean fetch time.
-TEST_F(Pacing, AZoneRestsForTheMeanFetchTime) {
+// tr >= min(E[tr], threshold) with the threshold as the smaller one: the mean fetch time has to pass.
+TEST_F(FetchPacingTest, ZoneFetchesAgainAfterTheMeanFetchTime) {
     auto& here = machine("m1", "a", {});
     machine("m2", "b", {});
     auto& paced = job("i", 100);
@@ -162,14 +163,14 @@
     EXPECT_EQ(paced.run->pacedFetches, 2u);
     EXPECT_FALSE(pacing.allows(paced, here, now));
     EXPECT_FALSE(pacing.allows(paced, here, now + 4900ms));
-    EXPECT_TRUE(pacing.allows(paced, here, now + 5s));  // the operators' starting value
+    EXPECT_TRUE(pacing.allows(paced, here, now + 5s));  // the policy's fetchStart
     pacing.recordFetchTime(Seconds(3));
     EXPECT_FALSE(pacing.allows(paced, here, now + 2900ms));
     EXPECT_TRUE(pacing.allows(paced, here, now + 3s));
 }
 
-// With the mean as the smaller: of two zones only the one that waits longer than the mean may fetch.
-TEST_F(Pacing, OfTwoZonesTheOneThatRestedLongerFetches) {
+// With E[tr] as the smaller one, only a zone with tr of at least the mean may fetch.
+TEST_F(FetchPacingTest, OfTwoZonesTheOneAboveTheMeanTimeSinceFetchFetches) {
     auto& first = machine("m1", "a", {});
     auto& second = machine("m2", "b", {});
     auto& paced = job("i", 100);
@@ -180,7 +181,7 @@
     EXPECT_FALSE(pacing.allows(paced, second, now));  // tr = 1 s
 }
 
-TEST_F(Pacing, AZoneThatNeverFetchedMayFetchAtOnce) {
+TEST_F(FetchPacingTest, ZoneThatNeverFetchedMayFetchAtOnce) {
     machine("m1", "a", {});
     auto& second = machine("m2", "b", {});
     auto& paced = job("i", 100);
@@ -189,8 +190,8 @@
     EXPECT_TRUE(pacing.allows(paced, second, now));
 }
 
-// DESIGN: with one zone tr equals E[tr], so that the zone check never bites.
-TEST_F(Pacing, ASingleZoneNeverWaitsForItself) {
+// With one zone tr equals E[tr], so its check has no effect.
+TEST_F(FetchPacingTest, SingleZoneNeverWaitsForItself) {
     auto& here = machine("m1", "a", {});
     auto& paced = job("i", 100);
     refresh();
@@ -198,8 +199,9 @@
     EXPECT_TRUE(pacing.allows(paced, here, now));
 }
 
-// DESIGN: a cut zone inflates E[tr]. Only zones that were heard within three report intervals count.
-TEST_F(Pacing, AZoneThatIsCutOffDoesNotHoldBackTheOthers) {
+// A zone that is cut off would inflate E[tr], so only zones with a heartbeat in the last three heartbeat
+// intervals count.
+TEST_F(FetchPacingTest, ZoneWithoutRecentHeartbeatsDoesNotDelayTheOthers) {
     auto& first = machine("m1", "a", {});
     machine("m2", "b", {}).lastHeartbeat = now - 6s;
     auto& paced = job("i", 100);
@@ -212,7 +214,7 @@
     EXPECT_FALSE(pacing.allows(paced, first, now));
 }
 
-TEST_F(Pacing, TheMeanFetchTimeFollowsByTenths) {
+TEST_F(FetchPacingTest, MeanFetchTimeMovesByATenthOfEachDifference) {
     EXPECT_EQ(pacing.expectedFetchTime(), Seconds(5));
     pacing.recordFetchTime(Seconds(10));
     EXPECT_DOUBLE_EQ(pacing.expectedFetchTime().count(), 10);  // the first counts in full
--- a/tests/gang_planner_test.cpp
+++ b/tests/gang_planner_test.cpp
@@ -24,7 +24,7 @@
         refresh();
         gangs.plan(now);
     }
-    /// Machines that hold tasks of the gang, as "machine:tasks".
+    /// The machines with placements of the gang, as "machine:tasks".
     std::vector<std::string> placed(const Job& job) const {
         std::vector<std::string> found;
         for (const auto& [id, tasks] : job.run->machines) found.push_back(id + ":" + std::to_string(tasks));
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_F(GangPlannerTest, AGangIsPlannedWholeOrNotAtAll) {
+TEST_F(GangPlannerTest, GangIsPlannedWholeOrNotAtAll) {
     auto& job = accept(gang());
     machine("m1");
     plan();
@@ -50,7 +50,7 @@
     }
 }
 
-TEST_F(GangPlannerTest, AGangOfOneZoneIsNotSplit) {
+TEST_F(GangPlannerTest, SingleZoneGangIsNotSplitOverZones) {
     auto bound = gang();
     bound.singleZone = true;
     auto& job = accept(bound);
@@ -63,7 +63,7 @@
     EXPECT_EQ(placed(job), (Names{"m2:2", "m3:2"}));
 }
 
-TEST_F(GangPlannerTest, ASpreadGangHasHalfOfItInAZone) {
+TEST_F(GangPlannerTest, SpreadGangHasHalfOfItsTasksInEachZone) {
     auto spread = gang();
     spread.spreadZones = true;
     auto& job = accept(spread);
@@ -76,7 +76,7 @@
     EXPECT_EQ(job.run->zones, (std::map<std::string, std::uint32_t>{{"a", 2}, {"b", 2}}));
 }
 
-TEST_F(GangPlannerTest, MachinesWithTheImageArePreferredIfTheyTakeAllOfIt) {
+TEST_F(GangPlannerTest, MachinesWithTheImageArePreferredIfTheyTakeTheWholeGang) {
     auto& job = accept(gang());
     for (const char* id : {"m1", "m2", "m3", "m4"}) machine(id);
     for (const char* id : {"m2", "m4"}) giveImage(*fleet.find(id), job);
@@ -84,7 +84,7 @@
     EXPECT_EQ(placed(job), (Names{"m2:2", "m4:2"}));
 }
 
-TEST_F(GangPlannerTest, ASpotMachineIsTheLastChoice) {
+TEST_F(GangPlannerTest, SpotMachineIsTheLastChoice) {
     auto onSpot = gang();
     onSpot.spot = true;
     auto& job = accept(onSpot);
@@ -95,7 +95,7 @@
     EXPECT_EQ(placed(job), (Names{"m2:2", "m3:2"}));
 }
 
-TEST_F(GangPlannerTest, WhereNoTaskHasToFetchTheImageCountsMoreThanBeingTakenBack) {
+TEST_F(GangPlannerTest, SpotMachinesAreChosenIfOnlyTheyTakeTheWholeGangWithoutAFetch) {
     auto onSpot = gang();
     onSpot.spot = true;
     auto& job = accept(onSpot);
@@ -108,7 +108,7 @@
     EXPECT_EQ(placed(job), (Names{"m3:2", "m4:2"}));
 }
 
-TEST_F(GangPlannerTest, AMachineKeptForTheGangIsTheFirstChoice) {
+TEST_F(GangPlannerTest, MachineReservedForTheGangIsTheFirstChoice) {
     auto& job = accept(gang());
     for (const char* id : {"m1", "m2", "m3"}) machine(id);
     fleet.reserve(*fleet.find("m3"), &job, now + 10s);
@@ -117,7 +117,7 @@
     EXPECT_EQ(fleet.find("m3")->reservedFor, nullptr);
 }
 
-TEST_F(GangPlannerTest, ALostTaskIsReplacedUnderTheSameAttemptBeforeTheGangBegins) {
+TEST_F(GangPlannerTest, LostTaskIsReplacedUnderTheSameAttemptBeforeTheGangBegins) {
     auto& job = accept(gang());
     for (const char* id : {"m1", "m2"}) machine(id);
     plan();
@@ -132,14 +132,14 @@
     EXPECT_EQ(placed(job), (Names{"m1:1", "m2:2", "m3:1"}));
 }
 
-TEST_F(GangPlannerTest, AGangThatHasBegunTakesNoReplacement) {
+TEST_F(GangPlannerTest, GangThatBeganOrWaitedTooLongTakesNoReplacement) {
     auto& job = accept(gang());
     auto& on = machine("m1");
     job.run->gangAttempt = 1;
     fleet.place(on, job, 0, 1, PlacementState::waiting, now);
     fleet.place(on, job, 1, 1, PlacementState::waiting, now);
     EXPECT_TRUE(gangs.mayComplete(job, now));
-    EXPECT_FALSE(gangs.mayComplete(job, now + 13s));  // the others have waited for too long
+    EXPECT_FALSE(gangs.mayComplete(job, now + 13s));  // the other tasks have waited too long
     fleet.place(on, job, 2, 1, PlacementState::running, now);
     EXPECT_FALSE(gangs.mayComplete(job, now));
 }
--- a/tests/job_queue_test.cpp
+++ b/tests/job_queue_test.cpp
@@ -17,8 +17,9 @@
 
 namespace {
 
-/// Jobs of four tasks, one processor and ten seconds each, that arrive in the order in which they are made.
-struct WorkerCommand : testing::Test {
+/// Jobs of four tasks, each of one processor and ten seconds, that arrive in the order in which they are
+/// made.
+struct JobQueueTest : testing::Test {
     protocol::Policy policy;
     protocol::Team guaranteed{"guaranteed", 8, 0, 0, 0};
     protocol::Team free{"free", 0, 0, 0, 0};
@@ -26,11 +27,11 @@
     Fleet fleet;
     std::vector<std::unique_ptr<Job>> jobs;
     Time now{1000s};
-    static constexpr std::uint64_t kDayMs = 5'000'000;
-    WallClock clock{Time{1000s}, kDayMs};
+    static constexpr std::uint64_t kStartMs = 5'000'000;
+    WallClock clock{Time{1000s}, kStartMs};
     JobQueue jobQueue{policy};
 
-    WorkerCommand() { policy.longestPassedOver = Seconds(120); }
+    JobQueueTest() { policy.longestPassedOver = Seconds(120); }
     Job& job(const std::string& id, Priority priority = Priority::normal) {
         auto& job = *jobs.emplace_back(std::make_unique<Job>());
         job.spec.id = id;
@@ -46,21 +47,21 @@
         jobQueue.add(job);
         return job;
     }
-    Job& due(const std::string& id, Clock::duration in) {
+    Job& jobWithDeadline(const std::string& id, Clock::duration dueIn) {
         auto& made = job(id);
         made.spec.deadline = Seconds(100);
-        made.dueAtMs = kDayMs + static_cast<std::uint64_t>(in / 1ms);
+        made.dueAtMs = kStartMs + static_cast<std::uint64_t>(dueIn / 1ms);
         return made;
     }
-    Job& ofGuarantee(const std::string& id, double cpus) {
+    Job& guaranteedJob(const std::string& id, double cpus) {
         auto& made = job(id);
         made.spec.team = guaranteed.name;
         made.spec.cpus = cpus;
         made.run->team = &guaranteed;
         return made;
     }
-    /// The ids of the jobs that wait, in order.
-    std::string walk() {
+    /// The ids of the waiting jobs, in the order of the queue after a refresh.
+    std::string order() {
         now += 100ms;
         jobQueue.refresh(replica, fleet, clock, now);
         std::string out;
@@ -71,112 +72,111 @@
 
 }  // namespace
 
-TEST_F(WorkerCommand, HigherPrioritiesFirstThenByArrival) {
+TEST_F(JobQueueTest, JobsAreOrderedByPriorityThenByArrival) {
     job("low", Priority::low);
     job("normal-1");
     job("production", Priority::production);
     job("high", Priority::high);
     job("normal-2");
-    EXPECT_EQ(walk(), "production high normal-1 normal-2 low");
+    EXPECT_EQ(order(), "production high normal-1 normal-2 low");
 }
 
-TEST_F(WorkerCommand, ArrivalIsWhatTheStoreSaysAndNotTheOrderOfAdding) {
+TEST_F(JobQueueTest, ArrivalIsTheStoredRevisionAndNotTheOrderOfAdding) {
     job("first").accepted = 9;
     job("second").accepted = 4;
-    EXPECT_EQ(walk(), "second first");
+    EXPECT_EQ(order(), "second first");
 }
 
-TEST_F(WorkerCommand, WhatIsWithinItsTeamsGuaranteeGoesAfterProductionOnly) {
+TEST_F(JobQueueTest, JobWithinGuaranteedQuotaComesAfterProductionOnly) {
     job("high", Priority::high);
     job("production", Priority::production);
-    ofGuarantee("first", 1);   // 4 of 8 processors
-    ofGuarantee("second", 2);  // 12 of 8
-    EXPECT_EQ(walk(), "production first high second");
+    guaranteedJob("first", 1);   // 4 of 8 processors
+    guaranteedJob("second", 2);  // 12 of 8
+    EXPECT_EQ(order(), "production first high second");
 }
 
-// Of tasks that are done nothing is asked any more.
-TEST_F(WorkerCommand, AGuaranteeCountsUnfinishedTasksOnly) {
-    auto& first = ofGuarantee("first", 2);
-    auto& second = ofGuarantee("second", 1);
+TEST_F(JobQueueTest, GuaranteedQuotaCountsUnfinishedTasksOnly) {
+    auto& first = guaranteedJob("first", 2);
+    auto& second = guaranteedJob("second", 1);
     job("high", Priority::high);
-    EXPECT_EQ(walk(), "first high second");
+    EXPECT_EQ(order(), "first high second");
     first.doneCount = 2;
     jobQueue.markStale();
-    EXPECT_EQ(walk(), "first second high");
+    EXPECT_EQ(order(), "first second high");
     EXPECT_TRUE(second.run->guaranteed);
 }
 
-TEST_F(WorkerCommand, WithoutAGuaranteeOfAcceleratorsWorkThatNeedsThemHasNone) {
-    auto& made = ofGuarantee("accelerated", 1);
+TEST_F(JobQueueTest, JobWithAcceleratorsIsNotGuaranteedWithoutAcceleratorQuota) {
+    auto& made = guaranteedJob("accelerated", 1);
     made.spec.gpus = 1;
-    walk();
+    order();
     EXPECT_FALSE(made.run->guaranteed);
 }
 
-TEST_F(WorkerCommand, LeastRemainingWorkFirstWhereTimeIsDue) {
+TEST_F(JobQueueTest, JobsWithDeadlinesAreOrderedByLeastRemainingWork) {
     job("none");
-    due("long", 90s).spec.cpus = 2;
-    due("short", 100s);
-    EXPECT_EQ(walk(), "short long none");
+    jobWithDeadline("long", 90s).spec.cpus = 2;
+    jobWithDeadline("short", 100s);
+    EXPECT_EQ(order(), "short long none");
 }
 
-TEST_F(WorkerCommand, WhatIsPastSavingGoesLast) {
-    due("late", 7s);  // less than 0.8 of a task's ten seconds
-    due("saved", 9s);
+TEST_F(JobQueueTest, JobThatCannotMeetItsDeadlineComesLast) {
+    jobWithDeadline("late", 7s);  // less than 0.8 of a task's ten seconds
+    jobWithDeadline("saved", 9s);
     job("none");
-    EXPECT_EQ(walk(), "saved none late");
+    EXPECT_EQ(order(), "saved none late");
 }
 
-TEST_F(WorkerCommand, AHandedDownDeadlineIsNeverPastSaving) {
+TEST_F(JobQueueTest, InheritedDeadlineNeverCountsAsMissed) {
     job("none");
-    due("needed", 7s).spec.deadline.reset();
-    EXPECT_EQ(walk(), "needed none");
+    jobWithDeadline("needed", 7s).spec.deadline.reset();
+    EXPECT_EQ(order(), "needed none");
 }
 
-TEST_F(WorkerCommand, WhatWasPassedOverForLongGoesFirstInItsRank) {
-    due("due", 100s);
+TEST_F(JobQueueTest, OverdueJobThatBeganComesFirstInItsRank) {
+    jobWithDeadline("due", 100s);
     auto& begun = job("begun");
     begun.run->launchedTasks = 1;
     begun.run->readyAt = now - 121s;
     job("high", Priority::high);
-    EXPECT_EQ(walk(), "high begun due");
+    EXPECT_EQ(order(), "high begun due");
     EXPECT_TRUE(begun.run->overdue);
 }
 
-TEST_F(WorkerCommand, WhatWasPassedOverAndNeverBeganYieldsToProductionOnly) {
+TEST_F(JobQueueTest, OverdueJobThatNeverBeganComesAfterProductionOnly) {
     job("production", Priority::production);
-    ofGuarantee("guaranteed", 1);
+    guaranteedJob("guaranteed", 1);
     job("low", Priority::low).run->readyAt = now - 121s;
-    EXPECT_EQ(walk(), "production low guaranteed");
+    EXPECT_EQ(order(), "production low guaranteed");
 }
 
-TEST_F(WorkerCommand, JobsWithoutWaitingTasksAreOpenAndNotWalked) {
+TEST_F(JobQueueTest, JobWithoutWaitingTasksIsOpenButNotInTheOrder) {
     auto& placed = job("placed");
     placed.run->waiting = 0;
     job("waits");
-    EXPECT_EQ(walk(), "waits");
+    EXPECT_EQ(order(), "waits");
     EXPECT_EQ(jobQueue.open().size(), 2u);
 }
 
-TEST_F(WorkerCommand, TheLeastNeedIsThatOfTheWaitingJobs) {
+TEST_F(JobQueueTest, MinCpusIsTheSmallestNeedOfTheWaitingJobs) {
     job("placed").run->waiting = 0;
     job("small").spec.cpus = 2;
     job("large").spec.cpus = 5;
-    walk();
+    order();
     EXPECT_EQ(jobQueue.minCpus(), 2);
 }
 
-TEST_F(WorkerCommand, AJobThatIsOverLeavesWithTheNextRefresh) {
+TEST_F(JobQueueTest, RemovedJobLeavesTheOrderWithTheNextRefresh) {
     auto& first = job("first");
     job("second");
-    EXPECT_EQ(walk(), "first second");
+    EXPECT_EQ(order(), "first second");
     jobQueue.remove(first);
     EXPECT_EQ(jobQueue.open().size(), 1u);
     EXPECT_EQ(jobQueue.waiting().size(), 2u);
-    EXPECT_EQ(walk(), "second");
+    EXPECT_EQ(order(), "second");
 }
 
-TEST_F(WorkerCommand, ItIsMadeAnewOnlyWhenStaleAndTenTimesASecondAtMost) {
+TEST_F(JobQueueTest, RefreshSortsOnlyWhenStaleAndTenTimesASecondAtMost) {
     EXPECT_TRUE(jobQueue.refresh(replica, fleet, clock, now));
     EXPECT_FALSE(jobQueue.refresh(replica, fleet, clock, now + 1s));
     jobQueue.markStale();
@@ -184,15 +184,15 @@
     EXPECT_TRUE(jobQueue.refresh(replica, fleet, clock, now + 100ms));
 }
 
-// The fleet counts what machines have by priority, so it hears of each change.
-TEST_F(WorkerCommand, AChangedUrgencyReachesTheFleet) {
+// The fleet counts the tasks on each machine by priority, so it has to be told of each change.
+TEST_F(JobQueueTest, ChangedPriorityReachesTheFleetCounts) {
     auto& made = job("made");
-    walk();
+    order();
     auto& machine = fleet.add("m", now);
     fleet.place(machine, made, 0, 1, bookkeeping::PlacementState::running, now);
     made.effectivePriority = Priority::high;
     jobQueue.markStale();
-    walk();
+    order();
     EXPECT_EQ(made.priority(), Priority::high);
     EXPECT_EQ(machine.stoppable[static_cast<std::size_t>(Priority::normal)].cpus, 0);
     EXPECT_EQ(machine.stoppable[static_cast<std::size_t>(Priority::high)].cpus, 1);
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-/// Machines of eight processors and jobs of four tasks of two.
-struct Rules : testing::Test {
-    MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a", "b"}}}};
+/// Machines of eight processors, and jobs of four tasks of two processors.
+struct PlacementConstraintsTest : testing::Test {
+    bookkeeping::MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a", "b"}}}};
     protocol::Team team{"t", 0, 0, 0, 0};
     Fleet fleet;
     std::vector<std::unique_ptr<Job>> jobs;
@@ -49,52 +49,56 @@
         job.beginRun(false, now);
         job.run->team = &team;
         job.run->priority = priority;
-        job.run->rank = static_cast<int>(priority);
+        job.run->rank = static_cast<int>(rankOfPriority(priority));
         return job;
     }
     void place(Machine& machine, Job& job, std::uint32_t task) {
         fleet.place(machine, job, task, task + 1, PlacementState::running, now);
     }
-    double room(const Machine& machine, const Job& job) { return availableCapacity(machine, job, now).cpus; }
+    double availableCpus(const Machine& machine, const Job& job) {
+        return availableCapacity(machine, job, now).cpus;
+    }
 };
 
 }  // namespace
 
-TEST_F(Rules, AMachineThatIsUpAndKnownIsUsable) { EXPECT_TRUE(usable(machine("m"), now)); }
+TEST_F(PlacementConstraintsTest, MachineThatIsUpAndRegisteredIsUsable) {
+    EXPECT_TRUE(usable(machine("m"), now));
+}
 
-// Its tasks would be unknown to the next leader.
-TEST_F(Rules, AMachineOutsideTheStoredRegistryIsNotUsable) {
+// The next leader would not know of its tasks.
+TEST_F(PlacementConstraintsTest, MachineOutsideTheStoredRegistryIsNotUsable) {
     auto& unstored = machine("m");
     fleet.setRegistration(unstored, RegistrationState::writing);
     EXPECT_FALSE(usable(unstored, now));
 }
 
-TEST_F(Rules, AMachineThatLeavesFailsOrIsOutOfReachIsNotUsable) {
+TEST_F(PlacementConstraintsTest, MachineThatLeavesOrFailsOrIsUnreachableIsNotUsable) {
     const auto without = [&](const std::string& id, const std::function<void(Machine&)>& change) {
         auto& changed = machine(id);
         change(changed);
         return usable(changed, now);
     };
-    EXPECT_FALSE(without("acknowledged", [](Machine& m) { m.acknowledged = false; }));
-    EXPECT_FALSE(without("reports", [](Machine& m) { m.sendsHeartbeats = false; }));
+    EXPECT_FALSE(without("not acknowledged", [](Machine& m) { m.acknowledged = false; }));
+    EXPECT_FALSE(without("no heartbeats", [](Machine& m) { m.sendsHeartbeats = false; }));
     EXPECT_FALSE(without("draining", [](Machine& m) { m.draining = true; }));
-    EXPECT_FALSE(without("releasing", [](Machine& m) { m.deletionRequested = true; }));
+    EXPECT_FALSE(without("deletion requested", [](Machine& m) { m.deletionRequested = true; }));
     EXPECT_FALSE(without("failed", [](Machine& m) { m.failed = true; }));
-    EXPECT_FALSE(without("recall", [&](Machine& m) { m.interruptionAt = now + 1min; }));
+    EXPECT_FALSE(without("interruption", [&](Machine& m) { m.interruptionAt = now + 1min; }));
     EXPECT_FALSE(without("unreachable", [&](Machine& m) { m.unreachableSince = now; }));
     EXPECT_FALSE(without("unknown type", [](Machine& m) { m.typeInfo = nullptr; }));
     EXPECT_TRUE(without("one error", [](Machine& m) { m.errorJobs = {"a"}; }));
     EXPECT_FALSE(without("two errors", [](Machine& m) { m.errorJobs = {"a", "b"}; }));
 }
 
-TEST_F(Rules, AMachineThatRefusedIsUsableAgainAfterItsPause) {
+TEST_F(PlacementConstraintsTest, MachineThatRefusedAStartIsUsableAfterItsBackoff) {
     auto& quiet = machine("m");
     quiet.startBackoffUntil = now + 2s;
     EXPECT_FALSE(usable(quiet, now));
     EXPECT_TRUE(usable(quiet, now + 2s));
 }
 
-TEST_F(Rules, OwnersLimitTypeZoneAndKind) {
+TEST_F(PlacementConstraintsTest, OwnerRestrictsTypeZoneAndSpot) {
     auto& any = job();
     EXPECT_TRUE(bookkeeping::ownerAllows(any.spec, "plain", "a", false));
     EXPECT_FALSE(bookkeeping::ownerAllows(any.spec, "plain", "a", true));
@@ -108,18 +112,18 @@
     EXPECT_FALSE(bookkeeping::ownerAllows(bound.spec, "gpu", "a", false));
 }
 
-TEST_F(Rules, AJobOfOneZoneStaysWhereItIs) {
+TEST_F(PlacementConstraintsTest, SingleZoneJobStaysInItsZone) {
     auto& together = job();
     together.spec.singleZone = true;
     EXPECT_TRUE(zoneAllows(together, "a"));
     place(machine("m"), together, 0);
     EXPECT_TRUE(zoneAllows(together, "a"));
     EXPECT_FALSE(zoneAllows(together, "b"));
-    place(machine("n", "b"), together, 1);  // as an earlier leader may have left it
+    place(machine("n", "b"), together, 1);  // an earlier leader may have placed it there
     EXPECT_FALSE(zoneAllows(together, "a"));
 }
 
-TEST_F(Rules, ASpreadJobHasHalfOfItsTasksInAZoneAtMost) {
+TEST_F(PlacementConstraintsTest, SpreadJobHasAtMostHalfOfItsTasksInAZone) {
     auto& apart = job();
     apart.spec.spreadZones = true;
     apart.spec.tasks = 3;
@@ -131,7 +135,7 @@
     EXPECT_TRUE(zoneAllows(apart, "b"));
 }
 
-TEST_F(Rules, AnInheritedJobWaitsForMachinesThatItMayBeOn) {
+TEST_F(PlacementConstraintsTest, InheritedJobIsBlockedByUnreconciledMachinesItMayBeOn) {
     auto& inherited = job();
     inherited.run->inherited = true;
     auto& unheard = machine("m");
@@ -143,7 +147,7 @@
     EXPECT_FALSE(blockedByUnreconciled(inherited, fleet));
 }
 
-TEST_F(Rules, ATeamStaysWithinItsLimits) {
+TEST_F(PlacementConstraintsTest, TeamStaysWithinItsMaximumQuota) {
     team.maxCpus = 6;
     auto& limited = job();
     EXPECT_TRUE(withinTeamQuota(limited, 3, fleet, types));
@@ -156,64 +160,64 @@
     EXPECT_FALSE(withinTeamQuota(limited, 2, fleet, types));
 }
 
-TEST_F(Rules, AMachineNotHeardCountsAsFullOfTheTeamsTasks) {
+TEST_F(PlacementConstraintsTest, UnreconciledMachineCountsAsFullyUsedByTheTeam) {
     team.maxCpus = 9;
     auto& limited = job();
     EXPECT_TRUE(withinTeamQuota(limited, 1, fleet, types));
     fleet.setReconciled(machine("m"), false);  // eight processors
     EXPECT_FALSE(withinTeamQuota(limited, 1, fleet, types));
-    team.maxCpus = 0;  // no limit
+    team.maxCpus = 0;  // no maximum
     EXPECT_TRUE(withinTeamQuota(limited, 1, fleet, types));
 }
 
-TEST_F(Rules, AnUnknownTeamMayStartNothing) {
+TEST_F(PlacementConstraintsTest, JobOfAnUnknownTeamMayStartNothing) {
     auto& strange = job();
     strange.run->team = nullptr;
     EXPECT_FALSE(withinTeamQuota(strange, 1, fleet, types));
 }
 
-TEST_F(Rules, RoomIsWhatIsNotUsed) {
+TEST_F(PlacementConstraintsTest, AvailableCapacityIsWhatIsNotUsed) {
     auto& here = machine("m");
-    auto& asking = job();
-    EXPECT_DOUBLE_EQ(room(here, asking), 8);
-    place(here, asking, 0);
-    EXPECT_DOUBLE_EQ(room(here, asking), 6);
+    auto& requester = job();
+    EXPECT_DOUBLE_EQ(availableCpus(here, requester), 8);
+    place(here, requester, 0);
+    EXPECT_DOUBLE_EQ(availableCpus(here, requester), 6);
     here.typeInfo = nullptr;
-    EXPECT_DOUBLE_EQ(room(here, asking), 0);
+    EXPECT_DOUBLE_EQ(availableCpus(here, requester), 0);
 }
 
-TEST_F(Rules, RoomKeptForAJobIsNotForOthersOfNoHigherRank) {
+TEST_F(PlacementConstraintsTest, ReservedCapacityIsOnlyForTheHolderAndHigherRanks) {
     auto& here = machine("m");
     auto& holder = job(Priority::high);
     fleet.reserve(here, &holder, now + 5s, true, 2);
-    EXPECT_DOUBLE_EQ(room(here, holder), 8);
-    EXPECT_DOUBLE_EQ(room(here, job(Priority::high)), 4);
-    EXPECT_DOUBLE_EQ(room(here, job(Priority::low)), 4);
-    EXPECT_DOUBLE_EQ(room(here, job(Priority::production)), 8);
+    EXPECT_DOUBLE_EQ(availableCpus(here, holder), 8);
+    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::high)), 4);
+    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::low)), 4);
+    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::production)), 8);
     EXPECT_DOUBLE_EQ(availableCapacity(here, job(Priority::low), now + 5s).cpus, 8);  // lapsed
     holder.run->waiting = 0;
-    EXPECT_DOUBLE_EQ(room(here, job(Priority::low)), 8);  // nothing of it waits
+    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::low)), 8);  // the holder has no waiting tasks
 }
 
-// Guaranteed tasks would fill the room again and again, to be stopped once more.
-TEST_F(Rules, RoomThatWorkWasStoppedForIsNotForGuaranteedWorkOfNoHigherPriority) {
+// Guaranteed tasks would take the capacity and be preempted again and again.
+TEST_F(PlacementConstraintsTest, CapacityFreedByPreemptionIsNotForGuaranteedJobsOfNoHigherPriority) {
     auto& here = machine("m");
     auto& holder = job(Priority::high);
     auto& guaranteed = job(Priority::normal);
-    guaranteed.run->rank = kGuaranteedRank;
+    guaranteed.run->rank = static_cast<int>(Rank::guaranteed);
     fleet.reserve(here, &holder, now + 5s, false, 1);
-    EXPECT_DOUBLE_EQ(room(here, guaranteed), 6);
-    fleet.reserve(here, &holder, now + 5s, true, 1);  // only what came free by itself
-    EXPECT_DOUBLE_EQ(room(here, guaranteed), 8);
+    EXPECT_DOUBLE_EQ(availableCpus(here, guaranteed), 6);
+    fleet.reserve(here, &holder, now + 5s, true, 1);  // without preemption
+    EXPECT_DOUBLE_EQ(availableCpus(here, guaranteed), 8);
 }
 
-TEST_F(Rules, LowerWorkYieldsAndAnyWorkToAGuarantee) {
+TEST_F(PlacementConstraintsTest, CapacityWithPreemptionCountsLowerPrioritiesAndAllForAGuaranteedJob) {
     auto& here = machine("m");
     place(here, job(Priority::low), 0);
     place(here, job(Priority::normal), 0);
     place(here, job(Priority::high), 0);
-    auto& asking = job(Priority::normal);
-    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, asking, now).cpus, 4);  // 2 free, 2 of low work
-    asking.run->guaranteed = true;
-    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, asking, now).cpus, 8);
+    auto& requester = job(Priority::normal);
+    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, requester, now).cpus, 4);  // 2 are free, 2 of low priority
+    requester.run->guaranteed = true;
+    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, requester, now).cpus, 8);
 }
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Machines, stored jobs and the modules that place tasks, wired as the leader wires them, without a leader.
+// Test fixture: machines, stored jobs and the modules that place tasks, connected as in the leader, without a
+// leader.
 
 #include <gtest/gtest.h>
 
@@ -21,8 +22,8 @@
 
 namespace burlpoint::tests {
 
-/// Plain machines of eight processors and machines with two accelerators, in zones "a" and "b". Jobs have
-/// four tasks of two processors, of one team without limits, unless a test says otherwise.
+/// Plain machines of eight processors, and machines with two accelerators, in zones "a" and "b". Unless a
+/// test says otherwise, jobs have four tasks of two processors and belong to a team without quotas.
 class PlacementFixture : public testing::Test {
   protected:
     using Job = bookkeeping::Job;
@@ -41,7 +42,7 @@
         types["gpu"] = {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a", "b"}};
     }
 
-    /// A machine that may be given tasks.
+    /// A usable machine.
     Machine& machine(const std::string& id, const std::string& zone = "a",
                      const std::string& type = "plain") {
         auto& added = fleet.add(id, now);
@@ -69,7 +70,7 @@
         if (kind == JobKind::service) made.priority = Priority::production;
         return made;
     }
-    /// Stores the job and begins its run.
+    /// Adds the job to the replica and begins its run.
     Job& accept(const protocol::JobSpec& accepted) {
         const storage::JobRecord record{accepted, storage::TerminalState::none, 0, 0, accepted.tasks};
         const auto body = storage::encodeJob(record);
@@ -77,10 +78,10 @@
         std::vector<bookkeeping::Change> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(accepted.id), &packed.get(), ++revision}, changes));
         auto& job = *replica.find(accepted.id);
-        runs.begin(job, coordination::JobOrigin::accepted, now);
+        activator.begin(job, coordination::JobOrigin::accepted, now);
         return job;
     }
-    /// Brings the order of jobs and the pacing up to date.
+    /// Brings the job queue and the pacing up to date.
     void refresh() {
         now += std::chrono::milliseconds(100);
         jobQueue.markStale();
@@ -97,11 +98,11 @@
                                   bookkeeping::PlacementState state = bookkeeping::PlacementState::running) {
         return fleet.place(on, job, task, attempts.next(), state, now);
     }
-    /// The tasks that the machine is told to start, as "job/task".
-    std::vector<std::string> schedule(Machine& reporting) {
+    /// The tasks that start with the response to the machine's heartbeat, as "job/task".
+    std::vector<std::string> schedule(Machine& machine) {
         refresh();
         std::vector<protocol::WorkerCommand> commands;
-        scheduler.schedule(reporting, commands, now);
+        scheduler.schedule(machine, commands, now);
         std::vector<std::string> starts;
         starts.reserve(commands.size());
         for (const auto& each : commands)
@@ -133,7 +134,7 @@
     coordination::StateWriter writer{settings, replica, fleet, registry, types, wallClock, now};
     coordination::FetchPacing pacing{settings, policy};
     coordination::JobQueue jobQueue{policy};
-    coordination::JobActivator runs{settings, wallClock, jobQueue, writer};
+    coordination::JobActivator activator{settings, wallClock, jobQueue, writer};
     coordination::ZoneReservations zones{policy};
     coordination::CapacityErrors capacityErrors;
     coordination::AcceleratorPolicy accelerators{types, capacityErrors};
@@ -147,7 +148,7 @@
         {settings, fleet, types, jobQueue, constraints, images, zones, terminator, scans}};
     coordination::AttemptCompletion ends{fleet, gangs, jobQueue, terminator};
     coordination::HeartbeatReconciler reconciler{
-        {kToken, replica, fleet, jobQueue, runs, writer, pacing, terminator, ends}};
+        {kToken, replica, fleet, jobQueue, activator, writer, pacing, terminator, ends}};
 };
 
 }  // namespace burlpoint::tests
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -26,17 +26,17 @@
         job.run->priority = priority;
         return job;
     }
-    /// Fills a machine with tasks of a low job.
+    /// Fills a machine with tasks of a low-priority job.
     Job& fill(Machine& on, const std::string& id) {
         auto& job = acceptWith(id, Priority::low);
         for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(on, job, task);
         return job;
     }
-    bool yields(const Placement& placement, const Job& job) const {
+    bool mayBePreempted(const Placement& placement, const Job& job) const {
         return mayPreempt(placement, job, fleet, settings, now);
     }
     void preemptForWaitingJobs() {
-        now += 10s;  // longer than any job's patience
+        now += 10s;  // longer than any job waits before it preempts
         refresh();
         preemption.preemptForWaitingJobs(now);
     }
@@ -44,45 +44,45 @@
 
 }  // namespace
 
-TEST_F(PreemptionTest, LowerPrioritiesYieldAndEqualOnesDoNot) {
+TEST_F(PreemptionTest, LowerPriorityIsPreemptedAndEqualPriorityIsNot) {
     auto& on = machine("m1");
     auto& normal = acceptWith("wk-1", Priority::normal);
     const auto& placement = place(on, normal, 0);
-    EXPECT_TRUE(yields(placement, acceptWith("wk-2", Priority::high)));
-    EXPECT_FALSE(yields(placement, acceptWith("wk-3", Priority::normal)));
-    EXPECT_FALSE(yields(placement, normal));
+    EXPECT_TRUE(mayBePreempted(placement, acceptWith("wk-2", Priority::high)));
+    EXPECT_FALSE(mayBePreempted(placement, acceptWith("wk-3", Priority::normal)));
+    EXPECT_FALSE(mayBePreempted(placement, normal));
 }
 
-TEST_F(PreemptionTest, ReplicasAndLargerGangsNeverYield) {
+TEST_F(PreemptionTest, ReplicasAndLargerGangsAreNeverPreempted) {
     auto& on = machine("m1");
     auto& high = acceptWith("wk-1", Priority::high);
-    EXPECT_FALSE(yields(place(on, acceptWith("wk-2", Priority::low, JobKind::service), 0), high));
-    EXPECT_FALSE(yields(place(on, acceptWith("wk-3", Priority::low, JobKind::gang), 0), high));
+    EXPECT_FALSE(mayBePreempted(place(on, acceptWith("wk-2", Priority::low, JobKind::service), 0), high));
+    EXPECT_FALSE(mayBePreempted(place(on, acceptWith("wk-3", Priority::low, JobKind::gang), 0), high));
 }
 
-TEST_F(PreemptionTest, BorrowedWorkYieldsToAnotherTeamsGuarantee) {
+TEST_F(PreemptionTest, GuaranteedJobPreemptsWhatAnotherTeamHasBeyondItsQuota) {
     auto borrowing = spec("wk-1");
     borrowing.team = "t";
     const auto& borrowed = place(machine("m1"), accept(borrowing), 0);
     auto wanting = spec("wk-2");
     wanting.team = "guaranteed";
     auto& job = accept(wanting);
-    EXPECT_FALSE(yields(borrowed, job));
+    EXPECT_FALSE(mayBePreempted(borrowed, job));
     job.run->guaranteed = true;
-    EXPECT_TRUE(yields(borrowed, job));
+    EXPECT_TRUE(mayBePreempted(borrowed, job));
 }
 
-TEST_F(PreemptionTest, AProtectedStartYieldsToProductionAlone) {
+TEST_F(PreemptionTest, ProtectedStartIsPreemptedByProductionOnly) {
     auto& low = acceptWith("wk-1", Priority::low);
     const auto& placement = place(machine("m1"), low, 0);
     low.run->firstOverdueTask = 0;
-    EXPECT_FALSE(yields(placement, acceptWith("wk-2", Priority::high)));
-    EXPECT_TRUE(yields(placement, acceptWith("wk-3", Priority::production)));
+    EXPECT_FALSE(mayBePreempted(placement, acceptWith("wk-2", Priority::high)));
+    EXPECT_TRUE(mayBePreempted(placement, acceptWith("wk-3", Priority::production)));
     now += 30s;
-    EXPECT_TRUE(yields(placement, *replica.find("wk-2")));
+    EXPECT_TRUE(mayBePreempted(placement, *replica.find("wk-2")));
 }
 
-TEST_F(PreemptionTest, WhatHasRunLeastIsStoppedAndNoMoreThanNeeded) {
+TEST_F(PreemptionTest, VictimsAreTheTasksThatRanLeastAndNoMoreThanNeeded) {
     auto& on = machine("m1");
     auto& low = acceptWith("wk-1", Priority::low);
     for (std::uint32_t task = 0; task < 4; ++task) {
@@ -97,7 +97,7 @@
     EXPECT_EQ(plan->victims[1]->task, 2u);
 }
 
-TEST_F(PreemptionTest, RoomThatCannotBeMadeHasNoPlan) {
+TEST_F(PreemptionTest, NoPlanIfPreemptionCannotFreeEnoughCapacity) {
     auto& on = machine("m1");
     fill(on, "wk-1");
     const auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
@@ -105,7 +105,7 @@
     EXPECT_FALSE(planPreemption(on, job, 3, fleet, settings, now));
 }
 
-TEST_F(PreemptionTest, RoomIsMadeAndKeptForAHighJob) {
+TEST_F(PreemptionTest, CapacityIsFreedAndReservedForAHighPriorityJob) {
     auto& on = machine("m1");
     fill(on, "wk-1");
     auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
@@ -115,7 +115,7 @@
     EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
-TEST_F(PreemptionTest, NothingIsStoppedWhereRoomIsFree) {
+TEST_F(PreemptionTest, NothingIsPreemptedWhileCapacityIsFree) {
     auto& on = machine("m1");
     fill(on, "wk-1");
     machine("m2");
@@ -125,17 +125,17 @@
     EXPECT_EQ(countStopping(on), 0u);
 }
 
-TEST_F(PreemptionTest, NothingIsStoppedBeforeTheJobsPatienceIsOver) {
+TEST_F(PreemptionTest, NothingIsPreemptedBeforeTheJobHasWaitedLongEnough) {
     auto& on = machine("m1");
     fill(on, "wk-1");
     acceptWith("wk-2", Priority::high);
-    now += 2s;  // of three
+    now += 2s;  // of the three that it waits
     refresh();
     preemption.preemptForWaitingJobs(now);
     EXPECT_EQ(countStopping(on), 0u);
 }
 
-TEST_F(PreemptionTest, RoomForAGangIsMadeWholeOrNotAtAll) {
+TEST_F(PreemptionTest, GangPreemptsForAllItsTasksOrNotAtAll) {
     auto& one = machine("m1");
     fill(one, "wk-1");
     auto& job = acceptWith("wk-2", Priority::high, JobKind::gang, 4);
@@ -149,8 +149,9 @@
     EXPECT_EQ(two.reservedFor, &job);
 }
 
-// What is counted as stoppable may turn out not to yield; then nothing is stopped for the rest of the gang.
-TEST_F(PreemptionTest, NothingIsStoppedForAGangBesideAProtectedStart) {
+// The protected start counts as stoppable but may not be preempted. Then nothing is preempted for the rest of
+// the gang either.
+TEST_F(PreemptionTest, NothingIsPreemptedForAGangThatAProtectedStartBlocks) {
     auto& one = machine("m1");
     auto& two = machine("m2");
     fill(one, "wk-1");
@@ -161,19 +162,19 @@
     EXPECT_EQ(countStopping(one) + countStopping(two), 0u);
 }
 
-TEST_F(PreemptionTest, AGangIsOfferedTheZoneWithMostRoom) {
+TEST_F(PreemptionTest, BestGangCapacityIsThatOfTheZoneWithTheMost) {
     auto bound = spec("wk-1", JobKind::gang);
     bound.singleZone = true;
     const auto& job = accept(bound);
     machine("m1", "a");
     auto& full = machine("m2", "b");
     fill(full, "wk-2");
-    const auto offered = [&] { return bestGangCapacity(job, fleet, settings.zones, constraints, scans, now); };
-    EXPECT_EQ(offered().zone, "a");
-    EXPECT_EQ(offered().free, 4u);
-    EXPECT_EQ(offered().withPreemption, 4u);
+    const auto best = [&] { return bestGangCapacity(job, fleet, settings.zones, constraints, scans, now); };
+    EXPECT_EQ(best().zone, "a");
+    EXPECT_EQ(best().free, 4u);
+    EXPECT_EQ(best().withPreemption, 4u);
     fill(*fleet.find("m1"), "wk-3");
-    EXPECT_EQ(offered().withPreemption, 4u);  // the low work yields
-    EXPECT_EQ(offered().free, 0u);
-    EXPECT_EQ(offered().possible, 4u);
+    EXPECT_EQ(best().withPreemption, 4u);  // by preempting the low-priority tasks
+    EXPECT_EQ(best().free, 0u);
+    EXPECT_EQ(best().besideReplicas, 4u);
 }
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,5 +1,5 @@
-// What a heartbeat is answered with: the constraints for starts, the design's three steps, and what other machines
-// offer.
+// Which tasks start with the response to a heartbeat: degraded-first scheduling, placement constraints, and
+// the look-up of machines that have an image.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -15,15 +15,15 @@
 using Names = std::vector<std::string>;
 
 class SchedulerTest : public PlacementFixture {};
-class StartRulesTest : public PlacementFixture {
+class MayStartTest : public PlacementFixture {
   protected:
     bool mayStart(const Job& job, const Machine& on) const { return constraints.mayStart(job, on, now); }
 };
-class CachedImageLookupTest : public PlacementFixture {};
+class ImageLocalityTest : public PlacementFixture {};
 
 }  // namespace
 
-// --- the design's steps -----------------------------------------------------------------------------------
+// --- degraded-first scheduling ----------------------------------------------------------------------------
 
 TEST_F(SchedulerTest, CachedTasksFillAMachineThatHasTheImage) {
     auto& job = accept(spec("wk-1"));
@@ -34,7 +34,7 @@
     EXPECT_EQ(job.run->pacedFetches, 0u);
 }
 
-TEST_F(SchedulerTest, AStartIsMarkedWithTheHeartbeatThatItAnswers) {
+TEST_F(SchedulerTest, StartRecordsTheHeartbeatThatItAnswers) {
     accept(spec("wk-1"));
     auto& on = machine("m1");
     on.sequence = 7;
@@ -45,8 +45,9 @@
     }
 }
 
-// Machines with the images report soon and have room for three tasks of four of each job.
-TEST_F(SchedulerTest, OnlyTasksWithoutRoomElsewhereFetch) {
+// The machines with the images send heartbeats soon and have capacity for three of the four tasks of each
+// job.
+TEST_F(SchedulerTest, OnlyTasksThatDoNotFitOnMachinesWithTheImageFetch) {
     auto other = spec("wk-2");
     other.image = "other";
     Job* jobs[] = {&accept(spec("wk-1")), &accept(other)};
@@ -61,20 +62,20 @@
     for (const auto* job : jobs) EXPECT_EQ(job->run->pacedFetches, 1u);
 }
 
-TEST_F(SchedulerTest, LeftoverRoomTakesFetchingTasks) {
+TEST_F(SchedulerTest, LeftoverCapacityTakesFetchingTasks) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     EXPECT_EQ(schedule(on).size(), 4u);
     EXPECT_EQ(job.run->pacedFetches, 1u);  // they share one fetch
 }
 
-TEST_F(SchedulerTest, LeftoverRoomWaitsForMachinesWithTheImage) {
+TEST_F(SchedulerTest, LeftoverCapacityStaysFreeWhileMachinesWithTheImageSuffice) {
     auto& job = accept(spec("wk-1"));
     giveImage(machine("cached"), job);
     EXPECT_EQ(schedule(machine("m1")), Names{});
 }
 
-TEST_F(SchedulerTest, AHighersRankFetchGoesBeforeALowersCachedTasks) {
+TEST_F(SchedulerTest, FetchOfAHigherRankComesBeforeCachedTasksOfALowerRank) {
     auto low = spec("wk-101");
     auto high = spec("wk-102");
     high.priority = Priority::high;
@@ -94,15 +95,15 @@
     refresh();
     gangs.plan(now);
     EXPECT_EQ(schedule(on), (Names{"wk-103/0", "wk-103/1"}));
-    EXPECT_EQ(schedule(on), Names{});  // they have left
+    EXPECT_EQ(schedule(on), Names{});  // they were sent
 }
 
-TEST_F(SchedulerTest, AGangOfSeveralIsNotStartedTaskByTask) {
+TEST_F(SchedulerTest, GangOfSeveralTasksIsNotStartedTaskByTask) {
     accept(spec("wk-103", JobKind::gang));
     EXPECT_EQ(schedule(machine("m1")), Names{});
 }
 
-TEST_F(SchedulerTest, FreedRoomIsKeptForAHighJob) {
+TEST_F(SchedulerTest, FreedCapacityIsReservedForAHighPriorityJob) {
     auto high = spec("wk-102");
     high.priority = Priority::high;
     high.cpus = 8;
@@ -114,9 +115,9 @@
     EXPECT_TRUE(on.holding);
 }
 
-// --- the constraints for starts ---------------------------------------------------------------------------------
+// --- placement constraints --------------------------------------------------------------------------------
 
-TEST_F(StartRulesTest, OwnersConstraintsAreKept) {
+TEST_F(MayStartTest, OwnerConstraintsOnTypeZoneAndSpotAreKept) {
     auto bound = spec("wk-1");
     bound.types = Names{"gpu"};
     bound.zone = "b";
@@ -129,7 +130,7 @@
     EXPECT_FALSE(mayStart(job, spot));
 }
 
-TEST_F(StartRulesTest, AJobThatIsOverOrPausedOrHasNothingWaitingStartsNothing) {
+TEST_F(MayStartTest, JobThatIsOverOrBackingOffOrHasNothingWaitingStartsNothing) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     ASSERT_TRUE(mayStart(job, on));
@@ -142,7 +143,7 @@
     EXPECT_FALSE(mayStart(job, machine("m2")));
 }
 
-TEST_F(StartRulesTest, AFailureKeepsAJobFromTheMachineForAMinute) {
+TEST_F(MayStartTest, JobAvoidsAMachineForAMinuteAfterAFailureThere) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     job.run->errorMachines["m1"] = now;
@@ -152,17 +153,17 @@
     EXPECT_TRUE(mayStart(job, on));
 }
 
-// It is the job that is at fault then, and it would find no machine any more.
-TEST_F(StartRulesTest, AJobThatFailedOnThreeMachinesAvoidsNone) {
+// The job is then the likely cause itself, and otherwise it would soon find no machine.
+TEST_F(MayStartTest, JobThatFailedOnThreeMachinesAvoidsNone) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     for (const char* id : {"m1", "m2", "m3"}) job.run->errorMachines[id] = now;
     EXPECT_TRUE(mayStart(job, on));
 }
 
-// --- what machines with the image offer -------------------------------------------------------------------
+// --- machines with the image ------------------------------------------------------------------------------
 
-TEST_F(CachedImageLookupTest, RoomCountsOnMachinesWithTheImageThatHeartbeatSoon) {
+TEST_F(ImageLocalityTest, CapacityCountsOnlyMachinesWithTheImageThatHeartbeatSoon) {
     auto wide = spec("wk-1");
     wide.tasks = 20;
     auto& job = accept(wide);
@@ -170,12 +171,12 @@
     giveImage(cached, job);
     machine("without");
     EXPECT_EQ(images.capacityWithImage(job, now), 4u);
-    now += 250ms;  // the answer is kept for so long
+    now += 250ms;  // after which the answer is no longer cached
     cached.lastHeartbeat = now - 4s;
     EXPECT_EQ(images.capacityWithImage(job, now), 0u);
 }
 
-TEST_F(CachedImageLookupTest, AnAnswerServesForAMoment) {
+TEST_F(ImageLocalityTest, AnswerIsCachedForAQuarterOfASecond) {
     auto& job = accept(spec("wk-1"));
     giveImage(machine("m1"), job);
     images.capacityWithImage(job, now);
@@ -186,7 +187,7 @@
     EXPECT_GT(scans.total(), looked);
 }
 
-TEST_F(CachedImageLookupTest, AShortAimWaitsForAMachineThatHasTheImage) {
+TEST_F(ImageLocalityTest, ShortWaitObjectiveWaitsForAMachineThatHasTheImage) {
     settings.objectives = {{"wait", "class", Seconds(3)}};
     auto& job = accept(spec("wk-1", JobKind::service));
     EXPECT_FALSE(images.waitsForImage(job, now));  // no machine has it
@@ -194,17 +195,17 @@
     auto& cached = machine("cached");
     giveImage(cached, job);
     EXPECT_TRUE(images.waitsForImage(job, now));
-    EXPECT_FALSE(images.waitsForImage(job, now + 3s));  // the aim is missed anyway
+    EXPECT_FALSE(images.waitsForImage(job, now + 3s));  // the objective is missed anyway
 }
 
-TEST_F(CachedImageLookupTest, ALongAimAllowsAFetch) {
+TEST_F(ImageLocalityTest, LongWaitObjectiveAllowsAFetch) {
     settings.objectives = {{"wait", "class", Seconds(30)}};
     auto& job = accept(spec("wk-1"));
     giveImage(machine("cached"), job);
     EXPECT_FALSE(images.waitsForImage(job, now));
 }
 
-TEST_F(CachedImageLookupTest, WithoutPreemptionNothingIsWaitedFor) {
+TEST_F(ImageLocalityTest, WithoutPreemptionNoJobWaitsForAnImage) {
     policy.preempt = false;
     settings.objectives = {{"wait", "class", Seconds(3)}};
     auto& job = accept(spec("wk-1", JobKind::service));
--- a/tests/zone_reservations_test.cpp
+++ b/tests/zone_reservations_test.cpp
@@ -16,10 +16,11 @@
 
 namespace {
 
-constexpr auto kLongWait = 41s;  // a gang may have a zone after a third of two minutes
+// More than a third of longestPassedOver, after which a gang may reserve a zone.
+constexpr auto kLongWait = 41s;
 
-/// Two zones of machines with and without accelerators. Jobs have waited without any task from their start.
-struct Zones : testing::Test {
+/// Machines with and without accelerators in zones "a" and "b". Jobs have no task on any machine.
+struct ZoneReservationsTest : testing::Test {
     protocol::Policy policy;
     protocol::MachineType plainType{"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a", "b"}};
     protocol::MachineType gpuType{"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a", "b"}};
@@ -28,7 +29,7 @@
     Machine gpuA, gpuB, plainA;
     ZoneReservations zones{policy};
 
-    Zones() {
+    ZoneReservationsTest() {
         policy.longestPassedOver = Seconds(120);
         setUp(gpuA, gpuType, "a");
         setUp(gpuB, gpuType, "b");
@@ -61,9 +62,9 @@
 
 }  // namespace
 
-TEST_F(Zones, WithoutAReservationNobodyIsKeptOut) { EXPECT_FALSE(excludes(rival(), gpuA)); }
+TEST_F(ZoneReservationsTest, WithoutAReservationNoJobIsExcluded) { EXPECT_FALSE(excludes(rival(), gpuA)); }
 
-TEST_F(Zones, AZoneIsKeptForAGangThatWaitedLong) {
+TEST_F(ZoneReservationsTest, ZoneIsReservedForAGangThatWaitedLong) {
     auto& large = gang();
     auto& other = rival();
     zones.reserve(large, "a", now);
@@ -72,37 +73,37 @@
     EXPECT_FALSE(excludes(large, gpuA));
 }
 
-TEST_F(Zones, AYoungGangGetsNone) {
+TEST_F(ZoneReservationsTest, YoungGangGetsNoReservation) {
     zones.reserve(gang(40s), "a", now);
     EXPECT_FALSE(excludes(rival(), gpuA));
 }
 
-TEST_F(Zones, AGangThatMaySpreadHasAllZones) {
+TEST_F(ZoneReservationsTest, ReservationOfAllZonesExcludesInEachZone) {
     zones.reserve(gang(), "", now);
     EXPECT_TRUE(excludes(rival(), gpuA));
     EXPECT_TRUE(excludes(rival(), gpuB));
 }
 
-TEST_F(Zones, ProductionAndLowerWorkGoOn) {
+TEST_F(ZoneReservationsTest, ProductionAndLowerPriorityJobsAreNotExcluded) {
     zones.reserve(gang(), "a", now);
     EXPECT_FALSE(excludes(job(JobKind::array, 1, Priority::production, 0s), gpuA));
-    EXPECT_FALSE(excludes(job(JobKind::array, 1, Priority::low, 0s), gpuA));  // it yields anyway
+    EXPECT_FALSE(excludes(job(JobKind::array, 1, Priority::low, 0s), gpuA));  // the gang may preempt it
     EXPECT_TRUE(excludes(job(JobKind::array, 1, Priority::high, 0s), gpuA));
 }
 
-TEST_F(Zones, WorkWithoutAcceleratorsIsNotKeptOutForAGangWithThem) {
+TEST_F(ZoneReservationsTest, JobWithoutAcceleratorsIsNotExcludedForAGangWithThem) {
     zones.reserve(gang(), "a", now);
     EXPECT_FALSE(excludes(job(JobKind::array, 0, Priority::normal, 0s), gpuA));
     EXPECT_FALSE(excludes(rival(), plainA));  // the gang does not fit there
 }
 
-TEST_F(Zones, AGangWithoutAcceleratorsKeepsOutGangsOnly) {
+TEST_F(ZoneReservationsTest, GangWithoutAcceleratorsExcludesGangsOnly) {
     zones.reserve(gang(kLongWait, 0), "a", now);
     EXPECT_FALSE(excludes(job(JobKind::array, 0, Priority::normal, 0s), plainA));
     EXPECT_TRUE(excludes(gang(0s, 0), plainA));
 }
 
-TEST_F(Zones, AReservationLapsesUnlessRenewed) {
+TEST_F(ZoneReservationsTest, ReservationLapsesUnlessRenewed) {
     auto& large = gang();
     auto& other = rival();
     zones.reserve(large, "a", now);
@@ -115,7 +116,7 @@
     EXPECT_FALSE(excludes(other, gpuA));
 }
 
-TEST_F(Zones, AGangStaysInTheZoneWhereItBegan) {
+TEST_F(ZoneReservationsTest, GangKeepsItsFirstZone) {
     auto& large = gang();
     zones.reserve(large, "a", now);
     zones.reserve(large, "b", now);
@@ -123,7 +124,7 @@
     EXPECT_FALSE(excludes(rival(), gpuB));
 }
 
-TEST_F(Zones, AReleasedZoneIsFree) {
+TEST_F(ZoneReservationsTest, ReleasedZoneExcludesNobody) {
     auto& large = gang();
     zones.reserve(large, "a", now);
     zones.release(gang());  // another one
@@ -132,7 +133,7 @@
     EXPECT_FALSE(excludes(rival(), gpuA));
 }
 
-TEST_F(Zones, OneZoneAtATime) {
+TEST_F(ZoneReservationsTest, OneZoneIsReservedAtATime) {
     auto& first = gang();
     auto& second = gang();
     zones.reserve(first, "a", now);
@@ -141,7 +142,7 @@
     EXPECT_TRUE(excludes(second, gpuA));
 }
 
-TEST_F(Zones, AnOverdueGangMayHaveAFurtherZoneButNotAnotherOnes) {
+TEST_F(ZoneReservationsTest, OverdueGangMayHaveAFurtherZoneButNotATakenOne) {
     auto& first = gang(50s);
     auto& second = gang();
     second.run->overdue = true;
@@ -152,7 +153,7 @@
     EXPECT_TRUE(excludes(first, gpuB));
 }
 
-TEST_F(Zones, TheOldestGangTakesTheZoneOver) {
+TEST_F(ZoneReservationsTest, OlderGangTakesTheReservationFromAYoungerOne) {
     auto& younger = gang(50s);
     auto& older = gang(60s);
     zones.reserve(younger, "a", now);
@@ -163,8 +164,8 @@
     EXPECT_FALSE(excludes(older, gpuA));
 }
 
-// A minute for the gang, then half a minute in which what has waited for 20 s starts there, and so on.
-TEST_F(Zones, WhatHasWaitedHasItsTurn) {
+// A minute for the gang alone alternates with half a minute in which jobs that waited for 20 s may start.
+TEST_F(ZoneReservationsTest, JobThatWaitedMayStartInTheOpenInterval) {
     auto& large = gang();
     auto& waited = rival();
     const auto goOn = [&](int seconds) {
@@ -180,7 +181,7 @@
     EXPECT_FALSE(excludes(waited, gpuA));
     EXPECT_TRUE(excludes(rival(), gpuA));  // has not waited
     waited.run->placedTotal = 1;
-    EXPECT_TRUE(excludes(waited, gpuA));  // runs already
+    EXPECT_TRUE(excludes(waited, gpuA));  // has a task on a machine
     waited.run->placedTotal = 0;
     goOn(29);
     EXPECT_FALSE(excludes(waited, gpuA));
