--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -371,7 +371,7 @@
     if (!jobQueue_.refresh(replica_, fleet_, wallClock_, now_)) return;
     for (auto* job : jobQueue_.open()) {
         pacing_.admit(*job, fleet_);
-        accelerators_.recordNeed(*job);
+        accelerators_.recordDemand(*job);
     }
 }
 
