--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -113,7 +113,7 @@
     const auto round = ++round_;
     state_.makeLease(life_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
         if (round != round_) return;
-        if (status != 200) return fail(0);
+        if (status != LeaseStatus::active) return fail(0);
         acquire(lease, sent);
     });
 }
@@ -182,8 +182,8 @@
     state_.extendLease(lease_, [this, round, sent = now](LeaseStatus status, std::uint64_t) {
         if (round != round_) return;
         renewalUnderWay_ = false;
-        if (status == 200) return leaderLease_.renewed(sent);
-        if (status == 404) {
+        if (status == LeaseStatus::active) return leaderLease_.renewed(sent);
+        if (status == LeaseStatus::expired) {
             spdlog::error("leadership lease ended in the key-value store token={}", fencingToken_);
             return lose();
         }
