--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -135,7 +135,7 @@
     std::vector<Action> actions_;  // of the command being handled
 
     Fleet fleet_;
-    MachineTypes types_;
+    bookkeeping::MachineTypes types_;
     MachineTombstones tombstones_;
     AttemptIdGenerator attemptIds_;
     ScanCounter scans_;
--- a/src/coordination/scheduling/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -25,7 +25,8 @@
 
 }  // namespace
 
-AcceleratorPolicy::AcceleratorPolicy(const MachineTypes& types, const CapacityErrors& capacityErrors)
+AcceleratorPolicy::AcceleratorPolicy(const bookkeeping::MachineTypes& types,
+                                     const CapacityErrors& capacityErrors)
     : types_(types), capacityErrors_(capacityErrors) {}
 
 void AcceleratorPolicy::recordNeed(const Job& job) {
--- a/src/coordination/scheduling/accelerator_policy.h
+++ b/src/coordination/scheduling/accelerator_policy.h
@@ -21,7 +21,7 @@
 class AcceleratorPolicy {
   public:
     /// Both are kept by reference and have to outlive this.
-    AcceleratorPolicy(const MachineTypes& types, const CapacityErrors& capacityErrors);
+    AcceleratorPolicy(const bookkeeping::MachineTypes& types, const CapacityErrors& capacityErrors);
 
     /// Room is left for the job from now on, on all types of machines that it may use. Does nothing for a job
     /// without accelerators.
@@ -56,7 +56,7 @@
     bool replicaMayShare(const bookkeeping::Machine& machine, Time now) const;
     bool moreObtainable(const std::string& type, Time now) const;
 
-    const MachineTypes& types_;
+    const bookkeeping::MachineTypes& types_;
     const CapacityErrors& capacityErrors_;
     std::map<std::string, Need> needs_;        // by type
     std::map<std::string, Shared> shared_;     // by type
--- a/src/coordination/scheduling/degraded_first_scheduler.h
+++ b/src/coordination/scheduling/degraded_first_scheduler.h
@@ -24,7 +24,7 @@
 struct SchedulerContext {
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
-    const MachineTypes& types;
+    const bookkeeping::MachineTypes& types;
     JobQueue& jobQueue;
     FetchPacing& pacing;
     const StartConstraints& rules;
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-GangPlanner::GangPlanner(const Settings& settings, Fleet& fleet, const MachineTypes& types,
+GangPlanner::GangPlanner(const Settings& settings, Fleet& fleet, const bookkeeping::MachineTypes& types,
                          const StartConstraints& rules, JobQueue& jobQueue,
                          ZoneReservations& zoneReservations, AttemptIdGenerator& attempts)
     : settings_(settings),
--- a/src/coordination/scheduling/gang_planner.h
+++ b/src/coordination/scheduling/gang_planner.h
@@ -23,9 +23,9 @@
 class GangPlanner {
   public:
     /// All are kept by reference and have to outlive this.
-    GangPlanner(const protocol::Settings& settings, bookkeeping::Fleet& fleet, const MachineTypes& types,
-                const StartConstraints& rules, JobQueue& jobQueue, ZoneReservations& zoneReservations,
-                AttemptIdGenerator& attempts);
+    GangPlanner(const protocol::Settings& settings, bookkeeping::Fleet& fleet,
+                const bookkeeping::MachineTypes& types, const StartConstraints& rules, JobQueue& jobQueue,
+                ZoneReservations& zoneReservations, AttemptIdGenerator& attempts);
 
     /// Plans the waiting gangs that find room now, in order. It walks over all machines, so it does so five
     /// times a second at most.
@@ -56,7 +56,7 @@
 
     const protocol::Settings& settings_;
     bookkeeping::Fleet& fleet_;
-    const MachineTypes& types_;
+    const bookkeeping::MachineTypes& types_;
     const StartConstraints& constraints_;
     JobQueue& jobQueue_;
     ZoneReservations& zoneReservations_;
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -63,7 +63,8 @@
     });
 }
 
-bool withinTeamLimit(const Job& job, std::uint32_t tasks, const Fleet& fleet, const MachineTypes& types) {
+bool withinTeamLimit(const Job& job, std::uint32_t tasks, const Fleet& fleet,
+                     const bookkeeping::MachineTypes& types) {
     const auto* team = job.run->team;
     if (!team) return false;
     if (team->maxCpus <= 0 && team->maxGpus <= 0) return true;
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -35,7 +35,7 @@
 /// Would the job's team stay within its limits with so many more tasks of the job? Machines that have not
 /// been heard count as full of the team's tasks. False for a team that the settings do not know.
 bool withinTeamLimit(const bookkeeping::Job& job, std::uint32_t tasks, const bookkeeping::Fleet& fleet,
-                     const MachineTypes& types);
+                     const bookkeeping::MachineTypes& types);
 
 /// Is there room for one of the job's tasks beside what is on the machine, whatever is kept there for others?
 /// It costs less than all other rules, so it is asked first.
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -30,7 +30,7 @@
 struct PreemptionContext {
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
-    const MachineTypes& types;
+    const bookkeeping::MachineTypes& types;
     const JobQueue& jobQueue;
     const StartConstraints& rules;
     ImageLocality& images;
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -15,6 +15,7 @@
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
 using bookkeeping::PlacementState;
 using bookkeeping::RegistrationState;
 using protocol::Priority;
