--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -53,7 +53,7 @@
 
 void Autoscaler::requestScaleOut(const std::map<Offering, std::uint32_t>& wanted, ScalingRequests& requests,
                                  Time now) {
-    for (const auto& [offering, count] : wanted) instanceRequests_.add(offering, count, now);
+    for (const auto& [offering, count] : wanted) instanceRequests_.enqueue(offering, count, now);
     requests.scaleOuts = instanceRequests_.takeDue(budget_, now);
 }
 
@@ -61,18 +61,18 @@
                                                              InstanceRequestOutcome outcome,
                                                              std::size_t machines, Time now) {
     if (outcome == InstanceRequestOutcome::unknown) {
-        instanceRequests_.repeat(name, now);
+        instanceRequests_.scheduleRetry(name, now);
         return std::nullopt;
     }
-    auto request = instanceRequests_.settle(name);
+    auto request = instanceRequests_.complete(name);
     if (!request) return std::nullopt;
     const auto offering = offeringOf(*request);
     const bool inFull = outcome == InstanceRequestOutcome::fulfilled && machines >= request->count;
     if (inFull) {
-        capacityErrors_.forget(offering);
+        capacityErrors_.clear(offering);
     } else {
-        capacityErrors_.note(offering, now);
-        instanceRequests_.withdrawUnsent(offering);
+        capacityErrors_.record(offering, now);
+        instanceRequests_.cancelUnsent(offering);
     }
     return request;
 }
--- a/src/coordination/autoscaling/capacity_errors.cpp
+++ b/src/coordination/autoscaling/capacity_errors.cpp
@@ -4,39 +4,41 @@
 
 namespace burlpoint::coordination {
 
+using bookkeeping::Offering;
+using protocol::MachineType;
 using namespace std::chrono_literals;
 
 namespace {
 
-// Short enough to notice soon that there is capacity again, with few requests meanwhile.
-constexpr Clock::duration kFirstPause = 4s;
-constexpr Clock::duration kLongestPause = 16s;
+// Short enough to notice soon that there is capacity again, long enough to need few requests meanwhile.
+constexpr Clock::duration kMinBackOff = 4s;
+constexpr Clock::duration kMaxBackOff = 16s;
 
 }  // namespace
 
-void CapacityErrors::note(const Offering& offering, Time now) {
-    auto& refusal = capacityErrors_[offering];
-    refusal.pause = std::clamp(refusal.pause * 2, kFirstPause, kLongestPause);
-    refusal.until = now + refusal.pause;
+void CapacityErrors::record(const Offering& offering, Time now) {
+    auto& backOff = backOffs_[offering];
+    backOff.length = std::clamp(backOff.length * 2, kMinBackOff, kMaxBackOff);
+    backOff.until = now + backOff.length;
 }
 
-void CapacityErrors::forget(const Offering& offering) { capacityErrors_.erase(offering); }
+void CapacityErrors::clear(const Offering& offering) { backOffs_.erase(offering); }
 
-bool CapacityErrors::refused(const Offering& offering, Time now) const {
-    const auto found = capacityErrors_.find(offering);
-    return found != capacityErrors_.end() && found->second.until > now;
+bool CapacityErrors::isUnavailable(const Offering& offering, Time now) const {
+    const auto found = backOffs_.find(offering);
+    return found != backOffs_.end() && found->second.until > now;
 }
 
 bool CapacityErrors::unavailableEverywhere(const MachineType& type, Time now) const {
     return std::all_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
-        return refused({type.name, zone, false}, now);
+        return isUnavailable({type.name, zone, false}, now);
     });
 }
 
 std::vector<Offering> CapacityErrors::unavailableNow(Time now) const {
     std::vector<Offering> offerings;
-    for (const auto& [offering, refusal] : capacityErrors_)
-        if (refusal.until > now) offerings.push_back(offering);
+    for (const auto& [offering, backOff] : backOffs_)
+        if (backOff.until > now) offerings.push_back(offering);
     return offerings;
 }
 
--- a/src/coordination/autoscaling/capacity_errors.h
+++ b/src/coordination/autoscaling/capacity_errors.h
@@ -1,48 +1,49 @@
 #pragma once
 
-// What the cloud refused to rent lately. Owns the back-off of each offering; placement and provisioning ask
-// it whether more machines could be had.
+// Remembers which offerings the cloud recently had no capacity for. Owns the back-off of each offering.
+// The autoscaler records capacity errors here; scheduling and the autoscaler ask it whether more machines
+// could be obtained.
 
 #include <map>
 #include <vector>
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
+#include "protocol/cloud_messages.h"
 
 namespace burlpoint::coordination {
 
-using bookkeeping::Offering;
-using protocol::MachineType;
-
-/// The refusals per offering (type, zone, spot or ordinary) since it was last granted in full.
+/// The capacity errors of each offering (machine type, zone, spot or on-demand) since an instance request for
+/// it was last fulfilled in full.
 class CapacityErrors {
   public:
-    /// The cloud gave fewer machines than were asked for, or none: the offering is left alone for a pause,
-    /// which doubles with each refusal in a row up to a bound.
-    void note(const Offering& offering, Time now);
+    /// The cloud provided fewer machines than requested, or none. The offering is unavailable for a back-off
+    /// that starts at 4 s and doubles with each consecutive error, up to 16 s.
+    void record(const bookkeeping::Offering& offering, Time now);
 
-    /// The cloud gave all that was asked for: earlier refusals no longer count.
-    void forget(const Offering& offering);
+    /// An instance request was fulfilled in full: earlier errors of the offering no longer count.
+    void clear(const bookkeeping::Offering& offering);
 
-    /// The pause after the offering's last refusal is not over.
-    bool refused(const Offering& offering, Time now) const;
+    /// True while the back-off after the offering's last capacity error lasts.
+    bool isUnavailable(const bookkeeping::Offering& offering, Time now) const;
 
-    /// It was refused since it was last granted in full, whether or not the pause is over.
-    bool remembered(const Offering& offering) const { return capacityErrors_.contains(offering); }
+    /// True if there was a capacity error since the offering was last fulfilled in full, whether or not the
+    /// back-off is over.
+    bool hasRecentError(const bookkeeping::Offering& offering) const { return backOffs_.contains(offering); }
 
-    /// Ordinary machines of the type are refused in every zone that has the type.
-    bool unavailableEverywhere(const MachineType& type, Time now) const;
+    /// True if on-demand machines of the type are unavailable in every zone that offers the type.
+    bool unavailableEverywhere(const protocol::MachineType& type, Time now) const;
 
-    /// All offerings whose pause is not over, in their order.
-    std::vector<Offering> unavailableNow(Time now) const;
+    /// All offerings that are unavailable at `now`, in the order of `Offering`.
+    std::vector<bookkeeping::Offering> unavailableNow(Time now) const;
 
   private:
-    struct CapacityError {
-        Time until{};             // the end of the pause
-        Clock::duration pause{};  // its length
+    struct BackOff {
+        Time until{};
+        Clock::duration length{};
     };
 
-    std::map<Offering, CapacityError> capacityErrors_;
+    std::map<bookkeeping::Offering, BackOff> backOffs_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/autoscaling/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -78,7 +78,7 @@
 }
 
 void CapacityPlan::addPendingRequests() {
-    in_.pending.forEach([&](const InstanceRequest& request) {
+    in_.pending.forEachPending([&](const InstanceRequest& request) {
         const auto* type = bookkeeping::findType(in_.types, request.type);
         if (!type) return;
         for (std::uint32_t i = 0; i < request.count; ++i)
@@ -246,7 +246,7 @@
                 const double cost = priceOf(type, spot) / count;
                 if (best && cost >= bestCost) continue;
                 if (!bookkeeping::ownerAllows(spec, name, zone, spot) ||
-                    !isWorthItsPrice(spec, type, spot, in_.types))
+                    !isPriceAcceptable(spec, type, spot, in_.types))
                     continue;
                 Offering offering{name, zone, spot};
                 if (!mayAskFor(offering)) continue;
@@ -259,8 +259,8 @@
 }
 
 bool CapacityPlan::mayAskFor(const Offering& offering) const {
-    if (in_.capacityErrors.refused(offering, in_.now)) return false;
-    if (!in_.capacityErrors.remembered(offering)) return true;
+    if (in_.capacityErrors.isUnavailable(offering, in_.now)) return false;
+    if (!in_.capacityErrors.hasRecentError(offering)) return true;
     const auto found = missingMachines_.find(offering);
     return found == missingMachines_.end() || found->second < kMaxAfterRefusal;
 }
--- a/src/coordination/autoscaling/capacity_plan.h
+++ b/src/coordination/autoscaling/capacity_plan.h
@@ -24,9 +24,14 @@
 
 using bookkeeping::Fleet;
 using bookkeeping::Job;
+using bookkeeping::MachineTypes;
+using bookkeeping::Offering;
 using bookkeeping::Machine;
 using bookkeeping::Resources;
 using bookkeeping::StateReplica;
+using protocol::InstanceRequest;
+using protocol::JobSpec;
+using protocol::MachineType;
 using protocol::Policy;
 using protocol::Settings;
 
--- a/src/coordination/autoscaling/instance_request_queue.h
+++ b/src/coordination/autoscaling/instance_request_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The requests for machines that the cloud has not settled yet. Owns their queue, their names and when each
-// is sent again.
+// The instance requests that the cloud has not answered for good. Owns their queue, their idempotent request
+// names and the time of the next attempt of each.
 
 #include <cstdint>
 #include <deque>
@@ -11,69 +11,68 @@
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
-#include "storage/key_value_client.h"
+#include "protocol/cloud_messages.h"
+#include "storage/token_bucket.h"
 
 namespace burlpoint::coordination {
 
-using bookkeeping::Offering;
-using protocol::InstanceRequest;
-
-/// What came of a request for machines.
+/// The cloud's answer to an instance request.
 enum class InstanceRequestOutcome {
-    fulfilled,  // with as many machines as asked for, or fewer
-    rejected,   // for lack of capacity, or as malformed: it is not repeated
-    unknown,    // no answer, or one that does not tell: it may have been carried out
+    fulfilled,  // with as many machines as requested, or fewer
+    rejected,   // for lack of capacity, or as malformed: it is not sent again
+    unknown,    // no answer, or an ambiguous one: the request may have been carried out
 };
 
-/// A queue in the order of asking. Names are never reused: they hold the leader's fencing token, which no
-/// other leader has, and a counter. The cloud carries out one name once, so that a request of unknown outcome
-/// is sent again under its name and rents nothing twice.
+/// A first-in, first-out queue of instance requests. Request names are idempotency keys: the cloud carries
+/// out one name at most once, so a request of unknown outcome can be sent again under its name without
+/// creating machines twice. Names are never reused, as they consist of the leader's fencing token, which no
+/// other leader has, and a counter.
 class InstanceRequestQueue {
   public:
     explicit InstanceRequestQueue(std::uint64_t fencingToken) : fencingToken_(fencingToken) {}
 
-    /// Queues requests for `count` machines, as many as the cloud takes by one request.
-    void add(const Offering& offering, std::uint32_t count, Time now);
-
-    /// What is to be sent now, oldest first; each takes one request of the budget. It counts as under way
-    /// until `settle` or `repeat` is called with its name.
-    std::vector<InstanceRequest> takeDue(storage::TokenBucket& budget, Time now);
+    /// Enqueues requests for `count` machines in total, each as large as the cloud allows.
+    void enqueue(const bookkeeping::Offering& offering, std::uint32_t count, Time now);
 
-    /// Nobody knows whether the request was carried out: it is due again after a pause. Does nothing if no
-    /// request of that name is pending.
-    void repeat(const std::string& name, Time now);
+    /// Returns the requests to be sent now, oldest first. Each takes one request from `budget`, and is in
+    /// flight until `complete` or `scheduleRetry` is called with its name.
+    std::vector<protocol::InstanceRequest> takeDue(storage::TokenBucket& budget, Time now);
 
-    /// The cloud answered for good, so the request is no longer pending. Returns it; none: it was not
+    /// The outcome is unknown: the request is due again after 2 s. Does nothing if no request of that name is
     /// pending.
-    std::optional<InstanceRequest> settle(const std::string& name);
+    void scheduleRetry(const std::string& name, Time now);
+
+    /// The cloud answered for good. Removes the request and returns it; empty if it was not pending.
+    std::optional<protocol::InstanceRequest> complete(const std::string& name);
 
-    /// Drops the requests for the offering that were never sent. Those of unknown outcome stay: the cloud may
-    /// have carried them out.
-    void withdrawUnsent(const Offering& offering);
+    /// Removes the requests for the offering that were never sent. Requests of unknown outcome stay, since
+    /// the cloud may have carried them out.
+    void cancelUnsent(const bookkeeping::Offering& offering);
 
-    /// Calls `visit` with each pending request, in the order of asking.
+    /// Calls `visit` with each pending request, oldest first.
     template <class Visitor>
-    void forEach(Visitor&& visit) const {
+    void forEachPending(Visitor&& visit) const {
         for (const auto& pending : pending_) visit(pending.request);
     }
 
   private:
-    struct Pending {
-        InstanceRequest request;
-        Time nextTry{};
-        bool underWay = false;  // sent, and not answered yet
+    struct PendingRequest {
+        protocol::InstanceRequest request;
+        Time nextAttempt{};
+        bool inFlight = false;  // sent, and not answered yet
         bool sent = false;      // at least once
     };
 
-    std::deque<Pending>::iterator find(const std::string& name);
+    std::string nextName();
+    std::deque<PendingRequest>::iterator find(const std::string& name);
 
     const std::uint64_t fencingToken_;
-    std::uint64_t named_ = 0;  // names given so far
-    std::deque<Pending> pending_;
+    std::uint64_t namesUsed_ = 0;
+    std::deque<PendingRequest> pending_;
 };
 
-/// What a request asks for.
-inline Offering offeringOf(const InstanceRequest& request) {
+/// The offering that a request asks for.
+inline bookkeeping::Offering offeringOf(const protocol::InstanceRequest& request) {
     return {request.type, request.zone, request.spot};
 }
 
--- a/src/coordination/autoscaling/instance_selection.cpp
+++ b/src/coordination/autoscaling/instance_selection.cpp
@@ -3,19 +3,24 @@
 #include <algorithm>
 #include <iterator>
 
+#include "bookkeeping/fleet.h"
+
 namespace burlpoint::coordination {
 
+using bookkeeping::MachineTypes;
 using bookkeeping::needOf;
 using bookkeeping::sizeOf;
 using protocol::JobKind;
+using protocol::JobSpec;
+using protocol::MachineType;
 
 namespace {
 
-// Of the price per processor, against a plain machine; beyond that, plain work waits for plain machines.
+// Price per processor relative to a plain machine. Above that, plain work waits for plain machines.
 constexpr double kMaxPriceRatio = 2;
 
-/// The dearest processor among ordinary machines without accelerators that are large enough; 0: there is
-/// none.
+/// The highest on-demand price per processor among the plain machine types that are large enough; 0 if there
+/// is none.
 double plainProcessorPrice(const JobSpec& spec, const MachineTypes& types) {
     double price = 0;
     for (const auto& [name, type] : types) {
@@ -25,7 +30,7 @@
     return price;
 }
 
-bool allowsOrdinaryInSomeZone(const JobSpec& spec, const MachineType& type) {
+bool allowsOnDemandInSomeZone(const JobSpec& spec, const MachineType& type) {
     return std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
         return bookkeeping::ownerAllows(spec, type.name, zone, false);
     });
@@ -35,7 +40,7 @@
                   const CapacityErrors& capacityErrors, Time now) {
     return std::any_of(std::begin(kPurchaseOptions), std::end(kPurchaseOptions), [&](bool spot) {
         return bookkeeping::ownerAllows(spec, type.name, zone, spot) &&
-               !capacityErrors.refused({type.name, zone, spot}, now);
+               !capacityErrors.isUnavailable({type.name, zone, spot}, now);
     });
 }
 
@@ -68,15 +73,16 @@
     const auto need = needOf(spec);
     return std::none_of(types.begin(), types.end(), [&](const auto& entry) {
         const auto& type = entry.second;
-        return type.gpus <= 0 && sizeOf(type).covers(need) && allowsOrdinaryInSomeZone(spec, type);
+        return type.gpus <= 0 && sizeOf(type).covers(need) && allowsOnDemandInSomeZone(spec, type);
     });
 }
 
-bool isWorthItsPrice(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types) {
-    const bool dearForIt = type.gpus > 0 && spec.gpus <= 0 && spec.kind == JobKind::array;
-    if (!dearForIt || needsAcceleratorMachine(spec, types)) return true;
-    const double plain = plainProcessorPrice(spec, types);
-    return plain <= 0 || priceOf(type, spot) / type.cpus <= kMaxPriceRatio * plain;
+bool isPriceAcceptable(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types) {
+    const bool acceleratorsUnused = type.gpus > 0 && spec.gpus <= 0;
+    if (!acceleratorsUnused || spec.kind != JobKind::array) return true;
+    if (needsAcceleratorMachine(spec, types)) return true;
+    const double plainPrice = plainProcessorPrice(spec, types);
+    return plainPrice <= 0 || priceOf(type, spot) / type.cpus <= kMaxPriceRatio * plainPrice;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/autoscaling/instance_selection.h
+++ b/src/coordination/autoscaling/instance_selection.h
@@ -1,41 +1,43 @@
 #pragma once
 
-// Which machines a job may use, which of those can be rented for it now, and which are worth their price.
-// Pure functions of a job's description, the cloud's types and its refusals; owns nothing.
+// Which machine types a job may use, which of them can be obtained from the cloud at present, and which are
+// worth their price for the job. Pure functions of a job's spec, the machine types and the capacity errors;
+// owns no state. A "plain" machine is one without accelerators.
 
-#include <map>
 #include <string>
 
 #include "base/clock.h"
 #include "bookkeeping/machine_types.h"
 #include "coordination/autoscaling/capacity_errors.h"
+#include "protocol/cloud_messages.h"
+#include "protocol/job_messages.h"
 
 namespace burlpoint::coordination {
 
-using bookkeeping::MachineTypes;
-using protocol::JobSpec;
-
-/// Both ways in which a machine of a type and zone is rented: ordinary, and spot, which the cloud may take
-/// back.
+/// The values of `Offering::spot`, in the order of preference at equal price: on-demand, then spot.
 inline constexpr bool kPurchaseOptions[] = {false, true};
 
-/// Some machine that is large enough for a task of the job, and allowed, could be rented in the zone now.
-bool isObtainableIn(const std::string& zone, const JobSpec& spec, const MachineTypes& types,
-                    const CapacityErrors& capacityErrors, Time now);
+/// True if the zone offers a machine type that is large enough for a task of the job, that the job's
+/// constraints allow and that is not unavailable.
+bool isObtainableIn(const std::string& zone, const protocol::JobSpec& spec,
+                    const bookkeeping::MachineTypes& types, const CapacityErrors& capacityErrors, Time now);
 
-/// Some machine without accelerators that the job may use can still be rented.
-bool plainMachineObtainable(const JobSpec& spec, const MachineTypes& types,
+/// True if a plain machine that the job may use can be obtained in some zone.
+bool plainMachineObtainable(const protocol::JobSpec& spec, const bookkeeping::MachineTypes& types,
                             const CapacityErrors& capacityErrors, Time now);
 
-/// It needs no accelerators and may run nowhere else: its owner allows no machine without them, or none such
-/// is large enough.
-bool needsAcceleratorMachine(const JobSpec& spec, const MachineTypes& types);
+/// True for a job that needs no accelerators but can only run on machines that have some: its constraints
+/// allow no plain machine, or none is large enough.
+bool needsAcceleratorMachine(const protocol::JobSpec& spec, const bookkeeping::MachineTypes& types);
 
-/// False for an array that needs no accelerators and a machine that has them, unless a processor costs there
-/// at most twice what it costs on an ordinary plain machine.
-bool isWorthItsPrice(const JobSpec& spec, const MachineType& type, bool spot, const MachineTypes& types);
+/// False for an array that needs no accelerators, on a machine type that has some, if a processor costs more
+/// than twice as much there as on a plain on-demand machine.
+bool isPriceAcceptable(const protocol::JobSpec& spec, const protocol::MachineType& type, bool spot,
+                       const bookkeeping::MachineTypes& types);
 
-/// What a machine of the type costs, per unit of time as the cloud counts it for all types.
-inline double priceOf(const MachineType& type, bool spot) { return spot ? type.spotPrice : type.price; }
+/// The price of a machine of the type, per hour.
+inline double priceOf(const protocol::MachineType& type, bool spot) {
+    return spot ? type.spotPrice : type.price;
+}
 
 }  // namespace burlpoint::coordination
--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -13,6 +13,7 @@
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
 using bookkeeping::PlacementState;
 using bookkeeping::RegistrationState;
 using protocol::JobKind;
@@ -74,8 +75,8 @@
     }
     void refusePlain() { refuse("plain"); }
     void refuse(const std::string& type) {
-        capacityErrors.note({type, "a", false}, now);
-        capacityErrors.note({type, "a", true}, now);
+        capacityErrors.record({type, "a", false}, now);
+        capacityErrors.record({type, "a", true}, now);
     }
     bool allows(const Job& job, const Machine& machine) { return policy.allows(job, machine, now); }
 };
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -228,14 +228,14 @@
     const auto request = autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now);
     ASSERT_TRUE(request);
     EXPECT_EQ(request->type, "plain");
-    EXPECT_FALSE(autoscaler->capacityErrors().remembered({"plain", "z", false}));
+    EXPECT_FALSE(autoscaler->capacityErrors().hasRecentError({"plain", "z", false}));
     EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now));
 }
 
 TEST_F(InstanceRequestAnswersTest, AVoteInPartAndARefusalMakeForAPause) {
     ASSERT_EQ(rented(), 3u);
     EXPECT_TRUE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 2, now));
-    EXPECT_TRUE(autoscaler->capacityErrors().refused({"plain", "z", false}, now));
+    EXPECT_TRUE(autoscaler->capacityErrors().isUnavailable({"plain", "z", false}, now));
     const auto elsewhere = decide(0s).scaleOuts;
     ASSERT_EQ(elsewhere.size(), 1u);
     EXPECT_EQ(elsewhere[0].type, "slow");
@@ -247,7 +247,7 @@
 TEST_F(InstanceRequestAnswersTest, AnUnknownOutcomeIsRepeatedUnderItsNameAndNothingElseIsRentedMeanwhile) {
     ASSERT_EQ(rented(), 3u);
     EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::unknown, 0, now));
-    EXPECT_FALSE(autoscaler->capacityErrors().remembered({"plain", "z", false}));
+    EXPECT_FALSE(autoscaler->capacityErrors().hasRecentError({"plain", "z", false}));
     EXPECT_TRUE(decide(1999ms).scaleOuts.empty());
     const auto again = decide(1ms).scaleOuts;
     ASSERT_EQ(again.size(), 1u);
--- a/tests/capacity_plan_test.cpp
+++ b/tests/capacity_plan_test.cpp
@@ -111,8 +111,8 @@
 }
 
 TEST_F(CapacityPlanTest, MachinesOnTheirWayAreNotRentedAgain) {
-    pending.add(plain(), 2, now);
-    pending.add({"unknown", "z", false}, 5, now);
+    pending.enqueue(plain(), 2, now);
+    pending.enqueue({"unknown", "z", false}, 5, now);
     job(make("wk-1", 6, 4));
     EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
 }
@@ -195,11 +195,11 @@
     spec.singleZone = true;
     job(spec);
     EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 2}}));
-    capacityErrors.note(plain("z"), now);
-    capacityErrors.note({"large", "z", false}, now);
-    capacityErrors.note({"gpu", "z", false}, now);
+    capacityErrors.record(plain("z"), now);
+    capacityErrors.record({"large", "z", false}, now);
+    capacityErrors.record({"gpu", "z", false}, now);
     EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 3}}));
-    capacityErrors.note(plain("y"), now);
+    capacityErrors.record(plain("y"), now);
     EXPECT_EQ(plan().missingMachines(), ToRent{});
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
@@ -249,7 +249,7 @@
 
 TEST_F(CapacityPlanTest, ArraysRentAcceleratorMachinesOnlyAtTwiceThePlainPriceAtMost) {
     types.erase("large");
-    capacityErrors.note(plain(), now);
+    capacityErrors.record(plain(), now);
     auto spec = make("wk-1", 1, 8, JobKind::array);
     spec.estimatedRunTime = Seconds(100);
     job(spec);
@@ -264,7 +264,7 @@
 
 TEST_F(CapacityPlanTest, WhatWasRefusedLatelyIsAskedForAFewOnlyAndTheRestElsewhere) {
     types["plain"].zones = {"z", "y"};
-    capacityErrors.note(plain("z"), now);
+    capacityErrors.record(plain("z"), now);
     job(make("wk-1", 10, 8));
     EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 10}}));
     now += 4s;  // the pause is over
--- a/tests/instance_requests_test.cpp
+++ b/tests/instance_requests_test.cpp
@@ -27,7 +27,7 @@
 
 std::vector<std::string> pending(const InstanceRequestQueue& requests) {
     std::vector<InstanceRequest> all;
-    requests.forEach([&](const InstanceRequest& request) { all.push_back(request); });
+    requests.forEachPending([&](const InstanceRequest& request) { all.push_back(request); });
     return described(all);
 }
 
@@ -39,9 +39,9 @@
     CapacityErrors capacityErrors;
     Time now{100s};
     for (const auto pause : {4s, 8s, 16s, 16s}) {
-        capacityErrors.note(kOrdinary, now);
-        EXPECT_TRUE(capacityErrors.refused(kOrdinary, now + pause - 1ms));
-        EXPECT_FALSE(capacityErrors.refused(kOrdinary, now + pause));
+        capacityErrors.record(kOrdinary, now);
+        EXPECT_TRUE(capacityErrors.isUnavailable(kOrdinary, now + pause - 1ms));
+        EXPECT_FALSE(capacityErrors.isUnavailable(kOrdinary, now + pause));
         now += pause;
     }
 }
@@ -49,10 +49,10 @@
 TEST(CapacityErrors, TheyCountForOneOfferingOnly) {
     CapacityErrors capacityErrors;
     const Time now{100s};
-    capacityErrors.note(kSpot, now);
-    EXPECT_TRUE(capacityErrors.refused(kSpot, now));
-    EXPECT_FALSE(capacityErrors.refused(kOrdinary, now));
-    EXPECT_FALSE(capacityErrors.refused({"m-small", "z2", true}, now));
+    capacityErrors.record(kSpot, now);
+    EXPECT_TRUE(capacityErrors.isUnavailable(kSpot, now));
+    EXPECT_FALSE(capacityErrors.isUnavailable(kOrdinary, now));
+    EXPECT_FALSE(capacityErrors.isUnavailable({"m-small", "z2", true}, now));
     EXPECT_EQ(capacityErrors.unavailableNow(now), std::vector{kSpot});
     EXPECT_TRUE(capacityErrors.unavailableNow(now + 4s).empty());
 }
@@ -60,17 +60,17 @@
 TEST(CapacityErrors, TheyAreRememberedUntilAllIsGranted) {
     CapacityErrors capacityErrors;
     const Time now{100s};
-    EXPECT_FALSE(capacityErrors.remembered(kOrdinary));
-    capacityErrors.note(kOrdinary, now);
-    capacityErrors.note(kOrdinary, now);
-    EXPECT_TRUE(capacityErrors.remembered(kOrdinary));
-    EXPECT_FALSE(capacityErrors.refused(kOrdinary, now + 1h));
-    EXPECT_TRUE(capacityErrors.remembered(kOrdinary));
-    capacityErrors.forget(kOrdinary);
-    EXPECT_FALSE(capacityErrors.remembered(kOrdinary));
-    EXPECT_FALSE(capacityErrors.refused(kOrdinary, now));
-    capacityErrors.note(kOrdinary, now);  // the pause begins anew
-    EXPECT_FALSE(capacityErrors.refused(kOrdinary, now + 4s));
+    EXPECT_FALSE(capacityErrors.hasRecentError(kOrdinary));
+    capacityErrors.record(kOrdinary, now);
+    capacityErrors.record(kOrdinary, now);
+    EXPECT_TRUE(capacityErrors.hasRecentError(kOrdinary));
+    EXPECT_FALSE(capacityErrors.isUnavailable(kOrdinary, now + 1h));
+    EXPECT_TRUE(capacityErrors.hasRecentError(kOrdinary));
+    capacityErrors.clear(kOrdinary);
+    EXPECT_FALSE(capacityErrors.hasRecentError(kOrdinary));
+    EXPECT_FALSE(capacityErrors.isUnavailable(kOrdinary, now));
+    capacityErrors.record(kOrdinary, now);  // the pause begins anew
+    EXPECT_FALSE(capacityErrors.isUnavailable(kOrdinary, now + 4s));
 }
 
 TEST(CapacityErrors, ATypeIsRefusedEverywhereOnceAllItsZonesAre) {
@@ -79,10 +79,10 @@
     protocol::MachineType type;
     type.name = "m-small";
     type.zones = {"z1", "z2"};
-    capacityErrors.note({"m-small", "z1", false}, now);
-    capacityErrors.note({"m-small", "z2", true}, now);  // spot machines alone
+    capacityErrors.record({"m-small", "z1", false}, now);
+    capacityErrors.record({"m-small", "z2", true}, now);  // spot machines alone
     EXPECT_FALSE(capacityErrors.unavailableEverywhere(type, now));
-    capacityErrors.note({"m-small", "z2", false}, now + 1s);
+    capacityErrors.record({"m-small", "z2", false}, now + 1s);
     EXPECT_TRUE(capacityErrors.unavailableEverywhere(type, now + 1s));
     EXPECT_FALSE(capacityErrors.unavailableEverywhere(type, now + 4s));
 }
@@ -94,9 +94,9 @@
 };
 
 TEST_F(InstanceRequestRequestsTest, OneRequestAsksForFiftyMachinesAtMost) {
-    requests.add(kOrdinary, 120, now);
-    requests.add(kSpot, 50, now);
-    requests.add(kSpot, 0, now);
+    requests.enqueue(kOrdinary, 120, now);
+    requests.enqueue(kSpot, 50, now);
+    requests.enqueue(kSpot, 0, now);
     EXPECT_EQ(pending(requests), (Names{"r-7-1*50", "r-7-2*50", "r-7-3*20", "r-7-4*50"}));
     const auto due = requests.takeDue(ample, now);
     EXPECT_EQ(described(due), pending(requests));
@@ -105,48 +105,48 @@
 }
 
 TEST_F(InstanceRequestRequestsTest, WhatIsUnderWayIsNotSentAgain) {
-    requests.add(kOrdinary, 1, now);
+    requests.enqueue(kOrdinary, 1, now);
     EXPECT_EQ(requests.takeDue(ample, now).size(), 1u);
     EXPECT_TRUE(requests.takeDue(ample, now + 1h).empty());
     EXPECT_EQ(pending(requests), Names{"r-7-1*1"});  // its machines are on their way
 }
 
 TEST_F(InstanceRequestRequestsTest, AnUnknownOutcomeIsRepeatedUnderItsNameAfterAPause) {
-    requests.add(kOrdinary, 3, now);
+    requests.enqueue(kOrdinary, 3, now);
     requests.takeDue(ample, now);
-    requests.repeat("r-7-1", now);
+    requests.scheduleRetry("r-7-1", now);
     EXPECT_TRUE(requests.takeDue(ample, now + 1999ms).empty());
     EXPECT_EQ(described(requests.takeDue(ample, now + 2s)), Names{"r-7-1*3"});
-    requests.repeat("r-7-9", now);  // unknown: nothing comes of it
+    requests.scheduleRetry("r-7-9", now);  // unknown: nothing comes of it
     EXPECT_EQ(pending(requests), Names{"r-7-1*3"});
 }
 
 TEST_F(InstanceRequestRequestsTest, ASettledRequestIsGoneAndItsNameIsNotReused) {
-    requests.add(kOrdinary, 3, now);
+    requests.enqueue(kOrdinary, 3, now);
     requests.takeDue(ample, now);
-    const auto settled = requests.settle("r-7-1");
+    const auto settled = requests.complete("r-7-1");
     ASSERT_TRUE(settled);
     EXPECT_EQ(described({*settled}), Names{"r-7-1*3"});
     EXPECT_EQ(coordination::offeringOf(*settled), kOrdinary);
-    EXPECT_FALSE(requests.settle("r-7-1"));  // a second answer
-    requests.add(kOrdinary, 3, now);
+    EXPECT_FALSE(requests.complete("r-7-1"));  // a second answer
+    requests.enqueue(kOrdinary, 3, now);
     EXPECT_EQ(pending(requests), Names{"r-7-2*3"});
 }
 
 TEST_F(InstanceRequestRequestsTest, WhatWasSentIsNeverWithdrawn) {
-    requests.add(kOrdinary, 1, now);
-    requests.add(kOrdinary, 2, now);
+    requests.enqueue(kOrdinary, 1, now);
+    requests.enqueue(kOrdinary, 2, now);
     requests.takeDue(ample, now);
-    requests.repeat("r-7-2", now);  // of unknown outcome: the cloud may have carried it out
-    requests.add(kOrdinary, 3, now);
-    requests.add(kSpot, 4, now);
-    requests.withdrawUnsent(kOrdinary);
+    requests.scheduleRetry("r-7-2", now);  // of unknown outcome: the cloud may have carried it out
+    requests.enqueue(kOrdinary, 3, now);
+    requests.enqueue(kSpot, 4, now);
+    requests.cancelUnsent(kOrdinary);
     EXPECT_EQ(pending(requests), (Names{"r-7-1*1", "r-7-2*2", "r-7-4*4"}));
 }
 
 TEST_F(InstanceRequestRequestsTest, TheBudgetBoundsWhatIsSentAtOnceAndTheOldestGoFirst) {
     storage::TokenBucket two(2, now);
-    for (std::uint32_t count = 1; count <= 5; ++count) requests.add(kOrdinary, count, now);
+    for (std::uint32_t count = 1; count <= 5; ++count) requests.enqueue(kOrdinary, count, now);
     EXPECT_EQ(described(requests.takeDue(two, now)), (Names{"r-7-1*1", "r-7-2*2"}));
     EXPECT_TRUE(requests.takeDue(two, now).empty());
     EXPECT_EQ(described(requests.takeDue(two, now + 1s)), (Names{"r-7-3*3", "r-7-4*4"}));
