--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -1,93 +1,115 @@
 #pragma once
 
-// What the leader asks of the cloud: machines to rent and to release, and its lists of machines and of types.
-// Owns the budget of requests, what is under way and what was refused lately. It does no I/O and does not add
-// machines to the fleet or remove them: that is its caller's.
+// The autoscaler: decides what the leader asks of the cloud, that is instance requests (scale out), deletions
+// of machines (scale in), and listings of machines and machine types. Owns the budget of cloud requests, the
+// pending instance requests, the capacity errors, and when the next deletion and listing are due. It does no
+// I/O, and does not add machines to the fleet or remove them; its caller does. Used on the controller's
+// thread.
 
 #include <cstddef>
 #include <cstdint>
-#include <functional>
-#include <map>
 #include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "base/clock.h"
+#include "bookkeeping/fleet.h"
 #include "bookkeeping/machine_types.h"
 #include "bookkeeping/state_replica.h"
-#include "coordination/autoscaling/capacity_plan.h"
+#include "coordination/autoscaling/capacity_errors.h"
 #include "coordination/autoscaling/instance_request_queue.h"
+#include "coordination/autoscaling/offering_selection.h"
+#include "coordination/autoscaling/scale_in_rules.h"
+#include "coordination/autoscaling/task_concurrency.h"
+#include "protocol/cloud_messages.h"
+#include "protocol/settings.h"
+#include "storage/token_bucket.h"
 
 namespace burlpoint::coordination {
 
-/// What is to be sent to the cloud now.
+/// The requests to be sent to the cloud now.
 struct ScalingRequests {
-    std::vector<InstanceRequest> scaleOuts;
-    std::vector<std::string> scaleIn;  // machines, by one request; none: no request
+    std::vector<protocol::InstanceRequest> scaleOuts;
+    std::vector<std::string> scaleIn;  // ids of machines to delete by one request; empty: no request
     bool listMachines = false;
     bool listTypes = false;
 };
 
-/// The waiting work that machines are rented for.
+/// The waiting jobs that need capacity.
 struct WaitingWork {
-    const std::vector<Job*>& order;         // the jobs in the order in which they are served
-    std::function<Time(const Job&)> dueAt;  // asked only of jobs that have a time due
+    const std::vector<bookkeeping::Job*>& order;  // in the order in which they are to be scheduled
+    DueTime dueTime;
 };
 
-/// Decides what to ask of the cloud, for one leadership. The caller sends what `decide` returns and tells
-/// what came of it by the function of the request's kind, also if nothing came back: there is one release and
-/// one list of machines under way at a time.
+/// The cloud's answer to a deletion of machines.
+enum class ScaleInOutcome {
+    accepted,
+    unknown,  // the deletion may not have been carried out
+};
+
+/// Decides on scale out, scale in and listings, for one leadership. The caller sends the requests that
+/// `decide` returns and passes on the outcome of each, also if there was no answer. At most one deletion and
+/// one listing of machines are in flight at a time.
 class Autoscaler {
   public:
-    /// All that is referred to outlives the provisioner. The fencing token makes the names of instance
-    /// requests unique.
-    Autoscaler(const Settings& settings, const Policy& policy, const StateReplica& replica,
-               std::uint64_t fencingToken, Time now);
-
-    /// What to ask of the cloud now, as far as its budget goes: instance requests first, then a release, then
-    /// lists. Marks the machines to be released in the fleet, so that nothing starts on them from here on.
-    /// `types` is what the machines' own types point into.
-    ScalingRequests decide(Fleet& fleet, const MachineTypes& types, const WaitingWork& work, Time now);
-
-    /// What came of the request of that name; `machines`: how many were rented. Returns the request once it
-    /// is settled; none: its outcome is unknown, so it is repeated, or it was settled before.
-    std::optional<InstanceRequest> scaleOutCompleted(const std::string& name, InstanceRequestOutcome outcome,
-                                                     std::size_t machines, Time now);
-
-    /// `ok` false: the release may not have been carried out and is repeated after a pause.
-    void scaleInCompleted(bool ok, Time now);
-
-    /// The list of machines came or failed; the next may be asked for.
-    void machinesListed() { listing_ = false; }
-
-    /// The machines that the cloud no longer has: not among the `listed`, as of `asked`, though known for so
-    /// long that its list would show them.
-    std::vector<Machine*> vanished(Fleet& fleet, const std::set<std::string>& listed, Time asked) const;
-
-    /// What the cloud refused lately, for whoever asks whether more machines could be had.
+    /// All references must outlive this object. The fencing token makes the names of instance requests
+    /// unique.
+    Autoscaler(const protocol::Settings& settings, const protocol::Policy& policy,
+               const bookkeeping::StateReplica& replica, std::uint64_t fencingToken, Time now);
+
+    /// Returns the requests to be sent now, within the budget of cloud requests: instance requests first,
+    /// then a deletion, then listings. Sets `deletionRequested` of the machines to delete, so that nothing is
+    /// started on them any more. The `typeInfo` of the fleet's machines points into `types`.
+    ScalingRequests decide(bookkeeping::Fleet& fleet, const bookkeeping::MachineTypes& types,
+                           const WaitingWork& work, Time now);
+
+    /// The outcome of the instance request `name`, which created `machineCount` machines. Returns the request
+    /// when it is complete; empty if its outcome is unknown, so that it is sent again, or if it was complete
+    /// before.
+    std::optional<protocol::InstanceRequest> scaleOutCompleted(const std::string& name,
+                                                               InstanceRequestOutcome outcome,
+                                                               std::size_t machineCount, Time now);
+
+    /// The outcome of the deletion in flight. If it is unknown, the deletion is requested again after 2 s.
+    void scaleInCompleted(ScaleInOutcome outcome, Time now);
+
+    /// The listing of machines in flight has ended, successfully or not.
+    void machinesListed() { listingInFlight_ = false; }
+
+    /// The machines that the cloud no longer has: they are not among the `listed` ids of a listing requested
+    /// at `requestedAt`, although they are known for longer than a listing may lag behind. Machines that send
+    /// heartbeats or may have tasks are never among them.
+    std::vector<bookkeeping::Machine*> vanished(bookkeeping::Fleet& fleet,
+                                                const std::set<std::string>& listed, Time requestedAt) const;
+
+    /// The offerings that had capacity errors, for decisions that depend on whether more machines could be
+    /// obtained.
     const CapacityErrors& capacityErrors() const { return capacityErrors_; }
 
   private:
-    void requestScaleOut(const std::map<Offering, std::uint32_t>& wanted, ScalingRequests& requests,
-                         Time now);
-    void requestScaleIn(Fleet& fleet, const std::set<std::string>& needed, ScalingRequests& requests,
-                        Time now);
-    void requestLists(bool anyTypes, ScalingRequests& requests, Time now);
-    bool mayScaleIn(const Machine& machine, const std::set<std::string>& needed, Time now) const;
-    bool isIdle(const Machine& machine, Time now) const;
-
-    const Settings& settings_;
-    const Policy& policy_;
-    const StateReplica& replica_;
-    storage::TokenBucket budget_;  // of requests to the cloud
+    void requestScaleOut(const MissingMachines& missing, ScalingRequests& requests, Time now);
+    void requestScaleIn(bookkeeping::Fleet& fleet, const std::set<std::string>& neededMachines,
+                        ScalingRequests& requests, Time now);
+    std::vector<bookkeeping::Machine*> machinesToDelete(bookkeeping::Fleet& fleet,
+                                                        const std::set<std::string>& neededMachines,
+                                                        Time now) const;
+    void requestMachineListing(ScalingRequests& requests, Time now);
+    void requestTypeListing(bool typesKnown, ScalingRequests& requests, Time now);
+    bool takeRequest(Time now) { return requestBudget_.take(1, 0, now); }
+
+    const protocol::Settings& settings_;
+    const protocol::Policy& policy_;
+    const bookkeeping::StateReplica& replica_;
+    storage::TokenBucket requestBudget_;  // requests to the cloud
     InstanceRequestQueue instanceRequests_;
     CapacityErrors capacityErrors_;
-    bool scalingIn_ = false;  // a release is under way
-    bool listing_ = false;    // a list of machines is under way
+    ScaleInRules scaleInRules_;
+    bool scaleInInFlight_ = false;
+    bool listingInFlight_ = false;  // of machines
     Time nextScaleIn_{};
-    Time nextList_{};
-    Time nextTypes_{};
+    Time nextMachineListing_{};
+    Time nextTypeListing_{};
 };
 
 }  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/autoscaling/scale_in_rules.h
@@ -0,0 +1,35 @@
+#pragma once
+
+// Which machines may be deleted, one at a time. Owns no state.
+
+#include <set>
+#include <string>
+
+#include "base/clock.h"
+#include "bookkeeping/fleet.h"
+#include "bookkeeping/state_replica.h"
+#include "protocol/settings.h"
+
+namespace burlpoint::coordination {
+
+/// Decides whether a machine may be scaled in.
+class ScaleInRules {
+  public:
+    /// Both must outlive this object.
+    ScaleInRules(const protocol::Policy& policy, const bookkeeping::StateReplica& replica)
+        : policy_(policy), replica_(replica) {}
+
+    /// True if the machine's deletion has been requested before, it stopped, did not boot, is lost, draining
+    /// or faulty, or is idle and not among the `neededMachines` (ids). A machine that may have tasks is kept,
+    /// unless it stopped or its deletion has been requested.
+    bool mayScaleIn(const bookkeeping::Machine& machine, const std::set<std::string>& neededMachines,
+                    Time now) const;
+
+  private:
+    bool isIdle(const bookkeeping::Machine& machine, Time now) const;
+
+    const protocol::Policy& policy_;
+    const bookkeeping::StateReplica& replica_;
+};
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/autoscaling/task_concurrency.h
@@ -0,0 +1,25 @@
+#pragma once
+
+// How many of a job's waiting tasks should run at the same time, which decides how many machines its backlog
+// is worth. Pure functions; owns no state.
+
+#include <cstdint>
+#include <functional>
+
+#include "base/clock.h"
+#include "bookkeeping/job.h"
+#include "protocol/settings.h"
+
+namespace burlpoint::coordination {
+
+/// When a job has to be done so that its own deadline and those of the jobs that need it can be met. Called
+/// only for jobs with `dueAtMs`.
+using DueTime = std::function<Time(const bookkeeping::Job&)>;
+
+/// How many of `tasks` waiting tasks should run at the same time. For an array with an estimated run time, a
+/// machine runs one task after the other: as many at a time as finish the backlog in time. For other jobs all
+/// of them. The job must have a run.
+std::uint32_t targetConcurrency(const bookkeeping::Job& job, std::uint32_t tasks,
+                                const protocol::Policy& policy, const DueTime& dueTime, Time now);
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/controller/leader_cloud.cpp
+++ b/src/coordination/controller/leader_cloud.cpp
@@ -40,7 +40,7 @@
 }
 
 void Leader::on(ScaleInCompleted& event) {
-    autoscaler_.scaleInCompleted(event.ok, now_);
+    autoscaler_.scaleInCompleted(event.ok ? ScaleInOutcome::accepted : ScaleInOutcome::unknown, now_);
     if (!event.ok) return;
     for (const auto& id : event.machines) {
         if (auto* machine = fleet_.find(id)) removeMachine(*machine);
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -14,6 +14,7 @@
 using bookkeeping::MachineTypes;
 using coordination::Autoscaler;
 using coordination::InstanceRequestOutcome;
+using coordination::ScaleInOutcome;
 using coordination::ScalingRequests;
 
 namespace {
@@ -73,7 +74,7 @@
     /// The machines released when the time has come, the release answered.
     Names scaleIn(Clock::duration step = 1s) {
         auto requests = decide(step);
-        if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(true, now);
+        if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(ScaleInOutcome::accepted, now);
         return requests.scaleIn;
     }
 };
@@ -157,10 +158,10 @@
     EXPECT_EQ(decide().scaleIn, Names{"m1"});
     machine("m2").draining = true;
     EXPECT_EQ(decide(10s).scaleIn, Names{});
-    autoscaler->scaleInCompleted(false, now);
+    autoscaler->scaleInCompleted(ScaleInOutcome::unknown, now);
     EXPECT_EQ(decide(1999ms).scaleIn, Names{});
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
-    autoscaler->scaleInCompleted(true, now);
+    autoscaler->scaleInCompleted(ScaleInOutcome::accepted, now);
     EXPECT_EQ(decide(499ms).scaleIn, Names{});
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
 }
