--- a/src/protocol/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -14,9 +14,9 @@
     return response;
 }
 
-Response retryLater(int status, std::string_view why, std::chrono::seconds after) {
+Response retryLater(int status, std::string_view why, std::chrono::seconds retryAfter) {
     auto response = respond(status, errorReply(why));
-    response.retryAfter = after;
+    response.retryAfter = retryAfter;
     return response;
 }
 
--- a/src/protocol/responses.h
+++ b/src/protocol/responses.h
@@ -1,23 +1,28 @@
 #pragma once
 
+// Builds the HTTP responses that a controller gives to users, workers, the load balancer and other
+// controllers. Holds no state.
+
 #include <chrono>
 #include <string>
 #include <string_view>
 
 #include "transport/http_message.h"
 
-/// The HTTP responses that a node gives to users, workers, the load balancer and peers. Holds no state.
 namespace burlpoint::protocol {
 
-/// A response with `status` and `body`, which is already encoded; no body by default.
+/// `Retry-After` of a response that cannot tell when a retry would succeed.
+inline constexpr std::chrono::seconds kDefaultRetryAfter{1};
+
+/// A response with the HTTP status and an encoded body.
 transport::Response respond(int status, std::string body = {});
 
-/// A refusal that the client should try again `after` some seconds (`Retry-After`, at least 1 s). `why` is
-/// told in the body.
+/// A response that asks the client to try again after that time (`Retry-After`, at least 1 s). The body says
+/// `why`.
 transport::Response retryLater(int status, std::string_view why,
-                               std::chrono::seconds after = std::chrono::seconds(1));
+                               std::chrono::seconds retryAfter = kDefaultRetryAfter);
 
-/// 405: the path takes only the method `allow`. No body by default.
+/// 405: the path takes only the method `allow`. `body` is encoded.
 transport::Response wrongMethod(const char* allow, std::string body = {});
 
 }  // namespace burlpoint::protocol
