--- a/src/coordination/api/readiness.cpp
+++ b/src/coordination/api/readiness.cpp
@@ -3,31 +3,33 @@
 #include <algorithm>
 
 namespace burlpoint::coordination {
+
 using namespace std::chrono_literals;
 
 namespace {
 
-constexpr std::chrono::seconds kFirstPenalty = 3s;
-constexpr std::chrono::seconds kLongestPenalty = 40s;
-constexpr auto kLossesAddUpWithin = 120s;  // a loss that follows another so soon doubles the penalty
+constexpr std::chrono::seconds kMaxHoldDown = 40s;
+constexpr std::chrono::seconds kFlapWindow = 120s;  // losses closer to each other than this count as flapping
 
 }  // namespace
 
-void Readiness::update(bool able, Time now) {
-    if (!able) {
-        if (ready_) {
-            const bool again = now - lostAt_ < kLossesAddUpWithin;
-            penalty_ = again ? std::min(penalty_ * 2, kLongestPenalty) : kFirstPenalty;
-            lostAt_ = now;
-        }
-        ready_ = false;
-        ableSince_ = Time::max();
-        return;
-    }
-    if (ableSince_ == Time::max()) ableSince_ = now;
-    if (wasEverReady_ && now - ableSince_ < penalty_) return;
+void Readiness::update(bool healthy, Time now) {
+    if (!healthy) return noteUnhealthy(now);
+    if (healthySince_ == Time::max()) healthySince_ = now;
+    const bool heldDown = wasEverReady_ && now - healthySince_ < holdDown_;
+    if (heldDown) return;
     ready_ = true;
     wasEverReady_ = true;
 }
 
+void Readiness::noteUnhealthy(Time now) {
+    if (ready_) {
+        const bool flapping = now - lostAt_ < kFlapWindow;
+        holdDown_ = flapping ? std::min(holdDown_ * 2, kMaxHoldDown) : kInitialHoldDown;
+        lostAt_ = now;
+    }
+    ready_ = false;
+    healthySince_ = Time::max();
+}
+
 }  // namespace burlpoint::coordination
