--- /dev/null
+++ b/src/coordination/api/submission_handler.h
@@ -0,0 +1,53 @@
+#pragma once
+
+// Decides whether a submitted job is accepted: decoding, idempotent resubmission, validation and job
+// dependencies. Accepted jobs go on to the `SubmissionWriter`, which it owns. Used on the controller's
+// thread.
+
+#include <optional>
+#include <string>
+
+#include "bookkeeping/state_replica.h"
+#include "coordination/api/job_queries.h"
+#include "coordination/api/submission_validation.h"
+#include "coordination/api/submission_writer.h"
+#include "coordination/state/state_watcher.h"
+#include "protocol/job_messages.h"
+#include "protocol/settings.h"
+#include "storage/key_value_client.h"
+#include "transport/executor.h"
+#include "transport/http_message.h"
+
+namespace burlpoint::coordination {
+
+/// Handles submissions. A job that was accepted before, by any controller, is never rejected: its state is
+/// replied instead, so that users can repeat a submission safely.
+class SubmissionHandler {
+  public:
+    /// All references must outlive this object.
+    SubmissionHandler(asio::io_context& io, const protocol::Settings& settings,
+                      storage::KeyValueClient& store, bookkeeping::StateReplica& replica,
+                      StateWatcher& watcher, JobQueries& queries);
+
+    /// Accepts or rejects the job in `body`, and replies, perhaps later.
+    void submit(const std::string& body, const transport::Reply& reply);
+
+  private:
+    /// Replies with the state of a job that was accepted before.
+    void replyToResubmission(const bookkeeping::Job& job, const transport::Reply& reply);
+    /// Rejects the job unless it was accepted before.
+    void reject(const std::string& id, RejectionReason reason, const transport::Reply& reply);
+    /// Accepts the job if all its dependencies were accepted. If the replica lacks one, decides after a read.
+    void checkDependencies(protocol::JobSpec spec, const transport::Reply& reply);
+    void checkDependenciesAfterRead(const protocol::JobSpec& spec, const transport::Reply& reply);
+    /// A dependency of the job that the replica does not have.
+    std::optional<std::string> missingDependency(const protocol::JobSpec& spec) const;
+
+    const protocol::Settings& settings_;
+    bookkeeping::StateReplica& replica_;
+    StateWatcher& watcher_;
+    JobQueries& queries_;
+    SubmissionWriter writer_;
+};
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/api/submission_queue.cpp
+++ b/src/coordination/api/submission_queue.cpp
@@ -3,28 +3,30 @@
 #include <algorithm>
 
 namespace burlpoint::coordination {
+
 using namespace std::chrono_literals;
 
 namespace {
 
-constexpr std::size_t kMaxQueued = 400;  // in all queues, which bounds their memory
-constexpr std::size_t kMaxStoring = 8;   // transactions under way
-// Of the key-value store's changes. A leader's writes are paced by a budget of their own: were both one, its
-// node would turn users away whenever it has much to store.
-constexpr double kShare = 0.3;
-constexpr std::chrono::seconds kShortestRetry = 1s;
-constexpr Seconds kLongestRetry = 30s;
+constexpr std::size_t kMaxQueued = 400;  // in all queues; bounds their memory
+constexpr std::size_t kMaxWritesInFlight = 8;
+// Share of the key-value store's rate of writes. A leader's writes have a budget of their own: if both shared
+// one, its controller would turn users away whenever it has much to store.
+constexpr double kWriteBudgetShare = 0.3;
+constexpr std::chrono::seconds kMinRetryAfter = 1s;
+constexpr Seconds kMaxRetryAfter = 30s;
 
 }  // namespace
 
 SubmissionQueue::SubmissionQueue(const protocol::Settings& settings, Time now)
-    : changes_(settings.storeWritesPerSecond * kShare, now, settings.minWritesPerSecond() * kShare) {}
+    : writeBudget_(settings.storeWritesPerSecond * kWriteBudgetShare, now,
+                   settings.minWritesPerSecond() * kWriteBudgetShare) {}
 
-std::optional<std::chrono::seconds> SubmissionQueue::retryAfter(Time now) {
-    const Seconds expected(static_cast<double>(queued_) / changes_.rate(now));
-    if (queued_ < kMaxQueued && expected <= kMaxWait) return std::nullopt;
-    const auto after = std::chrono::ceil<std::chrono::seconds>(std::min(expected, kLongestRetry));
-    return std::max(after, kShortestRetry);
+std::optional<std::chrono::seconds> SubmissionQueue::retryAfterIfFull(Time now) {
+    const Seconds expectedWait(static_cast<double>(queued_) / writeBudget_.rate(now));
+    if (queued_ < kMaxQueued && expectedWait <= kMaxWait) return std::nullopt;
+    const auto wholeSeconds = std::chrono::ceil<std::chrono::seconds>(std::min(expectedWait, kMaxRetryAfter));
+    return std::max(wholeSeconds, kMinRetryAfter);
 }
 
 void SubmissionQueue::add(Submission submission) {
@@ -33,7 +35,7 @@
     ++queued_;
 }
 
-void SubmissionQueue::putBack(Submission submission) {
+void SubmissionQueue::requeue(Submission submission) {
     auto& queue = queues_[submission.spec.team];
     queue.push_front(std::move(submission));
     ++queued_;
@@ -42,7 +44,7 @@
 std::vector<Submission> SubmissionQueue::takeExpired(Time now) {
     std::vector<Submission> expired;
     for (auto& [team, queue] : queues_) {
-        while (!queue.empty() && now - queue.front().since > kMaxWait) {
+        while (!queue.empty() && now - queue.front().queuedAt > kMaxWait) {
             expired.push_back(std::move(queue.front()));
             queue.pop_front();
             --queued_;
@@ -53,20 +55,18 @@
 }
 
 std::optional<Submission> SubmissionQueue::takeNext(Time now) {
-    if (queues_.empty() || storing_ >= kMaxStoring) return std::nullopt;
-    if (!changes_.take(1, 0, now)) return std::nullopt;
-    auto next = queues_.upper_bound(lastTeam_);
+    if (queues_.empty() || writesInFlight_ >= kMaxWritesInFlight) return std::nullopt;
+    if (!writeBudget_.take(1, 0, now)) return std::nullopt;
+    auto next = queues_.upper_bound(lastServedTeam_);
     if (next == queues_.end()) next = queues_.begin();
-    lastTeam_ = next->first;
+    lastServedTeam_ = next->first;
     auto& queue = next->second;
     auto submission = std::move(queue.front());
     queue.pop_front();
     --queued_;
     if (queue.empty()) queues_.erase(next);
-    ++storing_;
+    ++writesInFlight_;
     return submission;
 }
 
-void SubmissionQueue::stored() { --storing_; }
-
 }  // namespace burlpoint::coordination
--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -1,5 +1,9 @@
 #pragma once
 
+// The accepted submissions that wait to be stored: a fair queue per team, with a limit on its length. Owns
+// the waiting submissions, the round-robin position, the number of writes in flight, and the budget of
+// key-value store writes that submissions share. Used on the controller's thread.
+
 #include <chrono>
 #include <cstddef>
 #include <deque>
@@ -11,59 +15,60 @@
 #include "base/clock.h"
 #include "protocol/job_messages.h"
 #include "protocol/settings.h"
-#include "storage/key_value_client.h"
+#include "storage/token_bucket.h"
 #include "transport/http_message.h"
 
-/// The submissions that wait to be stored. `SubmissionQueue` owns them until they are taken, whose turn it
-/// is, how many are being stored, and the budget of the key-value store's changes that they share.
 namespace burlpoint::coordination {
 
-/// A submission that waits for its turn to be stored.
+/// A submission that waits to be stored.
 struct Submission {
     protocol::JobSpec spec;
     transport::Reply reply;
-    Time since;  // when it was accepted into the queue
+    Time queuedAt;
 };
 
-/// A queue per team, served in turn, one submission of each. It neither stores nor answers.
+/// A first-in, first-out queue per team, served round-robin, one submission at a time. It neither writes to
+/// the key-value store nor replies to users.
 class SubmissionQueue {
   public:
-    /// The longest that a submission waits, refusals by the key-value store included: users wait 2 s.
+    /// The longest time from queueing a submission to the end of its last write. Users wait for 2 s.
     static constexpr Duration kMaxWait{1200};
 
     SubmissionQueue(const protocol::Settings& settings, Time now);
 
-    /// Nothing if one more submission could be stored soon; else it is to be turned away, and this is the
-    /// time after which the user may come back (1 to 30 s).
-    std::optional<std::chrono::seconds> retryAfter(Time now);
+    /// Admission control: empty if one more submission could be stored within `kMaxWait`. Otherwise it is to
+    /// be turned away, and this is the time (1 to 30 s) after which the user should try again.
+    std::optional<std::chrono::seconds> retryAfterIfFull(Time now);
 
     /// Adds a submission behind the others of its team.
     void add(Submission submission);
-    /// Takes a submission back that the key-value store refused, as the next of its team.
-    void putBack(Submission submission);
 
-    /// Removes the submissions that have waited for too long, for the caller to answer.
+    /// Puts a submission that the key-value store refused back as the next of its team.
+    void requeue(Submission submission);
+
+    /// Removes the submissions that have waited for longer than `kMaxWait`, for the caller to reply to.
     std::vector<Submission> takeExpired(Time now);
 
-    /// Removes the next submission to be stored, of the team after the one that had its turn last. Nothing if
-    /// none waits, the budget is used up or as many as may be are being stored. Each one taken is to be
-    /// followed by `stored`.
+    /// Removes the next submission to store, of the team that follows the one served last. Empty if none
+    /// waits, the write budget is used up or too many writes are in flight. Each submission taken has to be
+    /// followed by one call of `writeCompleted`.
     std::optional<Submission> takeNext(Time now);
-    /// The attempt to store one that was taken is over, whatever came of it.
-    void stored();
 
-    /// The key-value store refused a change as one too many: the budget shrinks for a while.
-    void noteRefused(Time now) { changes_.refused(now); }
+    /// The write of a submission that was taken has ended, whatever the outcome.
+    void writeCompleted() { --writesInFlight_; }
+
+    /// The key-value store refused a write because of its rate limit: the write budget shrinks for a while.
+    void noteRateLimited(Time now) { writeBudget_.refused(now); }
 
-    /// Does none wait? Those being stored don't count.
+    /// True if no submission waits. Submissions being written are not counted.
     bool empty() const { return queues_.empty(); }
 
   private:
-    storage::TokenBucket changes_;
-    std::map<std::string, std::deque<Submission>> queues_;  // per team; none of them is empty
-    std::size_t queued_ = 0;                                // in all of them
-    std::size_t storing_ = 0;                               // taken and not stored so far
-    std::string lastTeam_;                                  // had its turn last
+    storage::TokenBucket writeBudget_;
+    std::map<std::string, std::deque<Submission>> queues_;  // by team; none of them is empty
+    std::size_t queued_ = 0;                                // in all queues
+    std::size_t writesInFlight_ = 0;
+    std::string lastServedTeam_;
 };
 
 }  // namespace burlpoint::coordination
--- a/tests/submission_queue_test.cpp
+++ b/tests/submission_queue_test.cpp
@@ -24,7 +24,7 @@
     Submission s;
     s.spec.id = id;
     s.spec.team = team;
-    s.since = since;
+    s.queuedAt = since;
     return s;
 }
 
@@ -52,7 +52,7 @@
     for (int i = 0; i < 10; ++i) queue.add(submission("wk-" + std::to_string(i)));
     for (int i = 0; i < 8; ++i) EXPECT_EQ(nextId(queue), "wk-" + std::to_string(i));
     EXPECT_EQ(nextId(queue), "none");
-    queue.stored();
+    queue.writeCompleted();
     EXPECT_EQ(nextId(queue), "wk-8");
     EXPECT_EQ(nextId(queue), "none");
 }
@@ -62,7 +62,7 @@
     for (int i = 0; i < 40; ++i) queue.add(submission("wk-" + std::to_string(i)));
     int taken = 0;
     while (queue.takeNext(kStart)) {
-        queue.stored();
+        queue.writeCompleted();
         ++taken;
     }
     EXPECT_EQ(taken, 30);  // a second's worth
@@ -75,8 +75,8 @@
     queue.add(submission("wk-2"));
     auto refused = queue.takeNext(kStart);
     ASSERT_TRUE(refused);
-    queue.stored();
-    queue.putBack(std::move(*refused));
+    queue.writeCompleted();
+    queue.requeue(std::move(*refused));
     EXPECT_EQ(nextId(queue), "wk-1");
     EXPECT_EQ(nextId(queue), "wk-2");
 }
@@ -98,13 +98,13 @@
 TEST(SubmissionQueue, WhatCannotBeStoredSoonIsTurnedAwayWithATime) {
     SubmissionQueue queue(settings(), kStart);
     int added = 0;
-    while (!queue.retryAfter(kStart)) queue.add(submission("wk-" + std::to_string(added++)));
+    while (!queue.retryAfterIfFull(kStart)) queue.add(submission("wk-" + std::to_string(added++)));
     EXPECT_EQ(added, 37);  // 36 are stored within the 1.2 s, and one more may wait behind them
-    EXPECT_EQ(queue.retryAfter(kStart), 2s);
+    EXPECT_EQ(queue.retryAfterIfFull(kStart), 2s);
     auto slow = settings();
     slow.storeWritesPerSecond = 0.1;
     SubmissionQueue slowQueue(slow, kStart);
-    EXPECT_FALSE(slowQueue.retryAfter(kStart));
+    EXPECT_FALSE(slowQueue.retryAfterIfFull(kStart));
     slowQueue.add(submission("wk-1"));
-    EXPECT_EQ(slowQueue.retryAfter(kStart), 30s);
+    EXPECT_EQ(slowQueue.retryAfterIfFull(kStart), 30s);
 }
