--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-/// A provisioner over a hand-made fleet that needs nothing unless a test says otherwise.
-struct ProvisionerTest : testing::Test {
+/// An autoscaler over a hand-made fleet. There are no waiting jobs unless a test adds some.
+struct AutoscalerTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
     bookkeeping::StateReplica replica;
@@ -34,7 +34,7 @@
     std::vector<Job*> order;
     std::unique_ptr<Autoscaler> autoscaler;
 
-    ProvisionerTest() {
+    AutoscalerTest() {
         settings.zones = {"z"};
         settings.cloudRequestsPerSecond = 50;
         settings.cloudListLag = Seconds(10);
@@ -58,7 +58,7 @@
         fleet.setReconciled(added, true);
         return added;
     }
-    /// Makes the job one of replicas that each fill a machine.
+    /// Makes the job a service whose replicas fill a machine each.
     void prepare(Job& job, std::string id, std::uint32_t tasks) const {
         job.spec.id = std::move(id);
         job.spec.kind = protocol::JobKind::service;
@@ -71,7 +71,7 @@
         const auto due = [](const Job&) { return Time{}; };
         return autoscaler->decide(fleet, types, {order, due}, now);
     }
-    /// The machines released when the time has come, the release answered.
+    /// The machines of the scale-in requested after `step`; its outcome is accepted.
     Names scaleIn(Clock::duration step = 1s) {
         auto requests = decide(step);
         if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(ScaleInOutcome::accepted, now);
@@ -79,7 +79,7 @@
     }
 };
 
-TEST_F(ProvisionerTest, AnIdleMachineGoesAfterItsFirstMinuteAndBootTimes) {
+TEST_F(AutoscalerTest, IdleMachineIsDeletedAfterMinimumKeepAndBootTimes) {
     machine("m1");
     machine("m2", "slow");
     EXPECT_EQ(scaleIn(55s), Names{});
@@ -90,13 +90,13 @@
     EXPECT_EQ(scaleIn(1s), Names{"m2"});
 }
 
-TEST_F(ProvisionerTest, AMachineThatHadATaskLatelyIsKept) {
+TEST_F(AutoscalerTest, RecentlyBusyMachineIsKept) {
     machine("m1").lastBusyAt = now + 100s;
     EXPECT_EQ(scaleIn(110s), Names{});
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
-TEST_F(ProvisionerTest, AMachineThatAWaitingJobNeedsOrIsReservedForIsKept) {
+TEST_F(AutoscalerTest, NeededOrReservedMachineIsKept) {
     Job job;
     prepare(job, "wk-1", 1);
     order = {&job};
@@ -107,10 +107,10 @@
     EXPECT_EQ(scaleIn(80s), Names{});
     EXPECT_EQ(scaleIn(10s), Names{"m2"});
     order.clear();
-    EXPECT_EQ(scaleIn(), (Names{"m1", "m2"}));  // what was asked for before is asked for again
+    EXPECT_EQ(scaleIn(), (Names{"m1", "m2"}));  // m2 is requested again, as it is still there
 }
 
-TEST_F(ProvisionerTest, FaultyLeavingAndStoppedMachinesGoAtOnce) {
+TEST_F(AutoscalerTest, FaultyDrainingAndFailedMachinesAreDeletedAtOnce) {
     machine("m1").draining = true;
     machine("m2").errorJobs = {"wk-1", "wk-2"};
     machine("m3").failed = true;
@@ -118,7 +118,7 @@
     EXPECT_EQ(scaleIn(), (Names{"m1", "m2", "m3"}));
 }
 
-TEST_F(ProvisionerTest, AMachineThatMayHaveTasksStays) {
+TEST_F(AutoscalerTest, MachineThatMayHaveTasksIsKept) {
     machine("m1").draining = true;
     fleet.setReconciled(*fleet.find("m1"), false);
     EXPECT_EQ(scaleIn(200s), Names{});
@@ -130,7 +130,7 @@
     EXPECT_EQ(scaleIn(), Names{});
 }
 
-TEST_F(ProvisionerTest, ALostMachineGoesTenSecondsAfterItsLease) {
+TEST_F(AutoscalerTest, LostMachineIsDeletedTenSecondsAfterLeaseExpiry) {
     auto& lost = machine("m1");
     lost.sendsHeartbeats = false;
     lost.leaseUntil = now + 20s;
@@ -139,21 +139,20 @@
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
-TEST_F(ProvisionerTest, AMachineThatNeverCameUpIsGivenItsBootTimes) {
+TEST_F(AutoscalerTest, MachineThatNeverBootedIsDeletedAfterItsBootTimes) {
     for (const auto* id : {"m1", "m2"}) {
         auto& booting = machine(id);
         booting.incarnation = 0;
         booting.sendsHeartbeats = false;
         booting.leaseUntil = now + 100s;
     }
-    replica.registeredMachines["m2"] = {{"address", "plain", "z", false},
-                                        1};  // that one was up under an earlier leader
+    replica.registeredMachines["m2"] = {{"address", "plain", "z", false}, 1};  // up under an earlier leader
     fleet.find("m2")->lastBusyAt = now + 200s;
     EXPECT_EQ(scaleIn(50s), Names{});  // three and a half boot times and 15 s
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
-TEST_F(ProvisionerTest, OneReleaseIsUnderWayAtATimeAndAFailedOneIsRepeated) {
+TEST_F(AutoscalerTest, OneScaleInIsInFlightAndUnknownOutcomeIsRetried) {
     machine("m1").draining = true;
     EXPECT_EQ(decide().scaleIn, Names{"m1"});
     machine("m2").draining = true;
@@ -166,12 +165,12 @@
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
 }
 
-TEST_F(ProvisionerTest, AReleaseHasAHundredMachinesAtMost) {
+TEST_F(AutoscalerTest, ScaleInHasAtMostAHundredMachines) {
     for (int i = 0; i < 130; ++i) machine(std::string("m").append(std::to_string(i))).draining = true;
     EXPECT_EQ(decide().scaleIn.size(), 100u);
 }
 
-TEST_F(ProvisionerTest, MachinesAreListedTwicePerLagAndOneListAtATime) {
+TEST_F(AutoscalerTest, MachinesAreListedTwicePerLagWithOneListingInFlight) {
     EXPECT_TRUE(decide().listMachines);
     EXPECT_FALSE(decide(100s).listMachines);
     autoscaler->machinesListed();
@@ -181,7 +180,7 @@
     EXPECT_TRUE(decide(1ms).listMachines);
 }
 
-TEST_F(ProvisionerTest, TypesAreListedOftenUntilThereAreAny) {
+TEST_F(AutoscalerTest, TypesAreListedMoreOftenWhileNoneIsKnown) {
     const auto known = types;
     types.clear();
     EXPECT_TRUE(decide().listTypes);
@@ -192,8 +191,8 @@
     EXPECT_TRUE(decide(1ms).listTypes);
 }
 
-TEST_F(ProvisionerTest, TheBudgetOfRequestsIsKeptToAndRentingGoesFirst) {
-    settings.cloudRequestsPerSecond = 2.5;  // of which four fifths are used
+TEST_F(AutoscalerTest, RequestBudgetIsKeptAndScaleOutGoesFirst) {
+    settings.cloudRequestsPerSecond = 2.5;  // four fifths of them are used
     begin();
     Job job;
     prepare(job, "wk-1", 120);
@@ -209,23 +208,23 @@
     EXPECT_FALSE(second.listMachines || second.listTypes);
 }
 
-struct InstanceRequestAnswersTest : ProvisionerTest {
+struct ScaleOutOutcomeTest : AutoscalerTest {
     Job job;
 
-    InstanceRequestAnswersTest() {
+    ScaleOutOutcomeTest() {
         prepare(job, "wk-1", 3);
         order = {&job};
     }
-    /// The count of the only instance request asked for now.
-    std::uint32_t rented() {
+    /// The machine count of the only instance request that is due now.
+    std::uint32_t requestedMachines() {
         const auto scaleOuts = decide(0s).scaleOuts;
         EXPECT_EQ(scaleOuts.size(), 1u);
         return scaleOuts.empty() ? 0 : scaleOuts[0].count;
     }
 };
 
-TEST_F(InstanceRequestAnswersTest, AVoteInFullIsNoRefusal) {
-    ASSERT_EQ(rented(), 3u);
+TEST_F(ScaleOutOutcomeTest, FulfilledInFullRecordsNoCapacityError) {
+    ASSERT_EQ(requestedMachines(), 3u);
     const auto request = autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now);
     ASSERT_TRUE(request);
     EXPECT_EQ(request->type, "plain");
@@ -233,8 +232,8 @@
     EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now));
 }
 
-TEST_F(InstanceRequestAnswersTest, AVoteInPartAndARefusalMakeForAPause) {
-    ASSERT_EQ(rented(), 3u);
+TEST_F(ScaleOutOutcomeTest, PartialFulfilmentOrRejectionStartsBackOff) {
+    ASSERT_EQ(requestedMachines(), 3u);
     EXPECT_TRUE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 2, now));
     EXPECT_TRUE(autoscaler->capacityErrors().isUnavailable({"plain", "z", false}, now));
     const auto elsewhere = decide(0s).scaleOuts;
@@ -245,8 +244,8 @@
     EXPECT_FALSE(decide(3s).scaleOuts.empty());
 }
 
-TEST_F(InstanceRequestAnswersTest, AnUnknownOutcomeIsRepeatedUnderItsNameAndNothingElseIsRentedMeanwhile) {
-    ASSERT_EQ(rented(), 3u);
+TEST_F(ScaleOutOutcomeTest, UnknownOutcomeIsRetriedUnderTheSameNameAndNothingElseIsRequested) {
+    ASSERT_EQ(requestedMachines(), 3u);
     EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::unknown, 0, now));
     EXPECT_FALSE(autoscaler->capacityErrors().hasRecentError({"plain", "z", false}));
     EXPECT_TRUE(decide(1999ms).scaleOuts.empty());
@@ -255,16 +254,16 @@
     EXPECT_EQ(again[0].name, "r-7-1");
 }
 
-TEST_F(ProvisionerTest, AMachineHasVanishedOnceEachListWouldShowIt) {
+TEST_F(AutoscalerTest, MachineHasVanishedOnceEveryListingWouldShowIt) {
     machine("m1").sendsHeartbeats = false;
     machine("m2").sendsHeartbeats = false;
-    machine("m3");  // it reports
+    machine("m3");  // it sends heartbeats
     auto& leaving = machine("m4");
     leaving.sendsHeartbeats = false;
     leaving.deletionRequested = true;
-    auto& unheard = machine("m5");
-    unheard.sendsHeartbeats = false;
-    fleet.setReconciled(unheard, false);
+    auto& unreconciled = machine("m5");
+    unreconciled.sendsHeartbeats = false;
+    fleet.setReconciled(unreconciled, false);
     const auto gone = [&](Clock::duration after) {
         Names names;
         for (const auto* machine : autoscaler->vanished(fleet, {"m2"}, now + after))
--- a/tests/capacity_plan_test.cpp
+++ b/tests/capacity_plan_test.cpp
@@ -15,12 +15,12 @@
 using bookkeeping::Offering;
 using bookkeeping::RegistrationState;
 using coordination::CapacityPlan;
+using coordination::MissingMachines;
 using protocol::JobKind;
 using protocol::JobSpec;
 
 namespace {
 
-using ToRent = std::map<Offering, std::uint32_t>;
 using Names = std::set<std::string>;
 
 JobSpec make(const std::string& id, std::uint32_t tasks, double cpus, JobKind kind = JobKind::service) {
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-/// Plans over a hand-made fleet. A processor costs least on a plain machine.
+/// Plans over a hand-made fleet. Plain machines have the lowest price per processor.
 struct CapacityPlanTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
@@ -82,75 +82,76 @@
     static Offering plain(const std::string& zone = "z", bool spot = false) { return {"plain", zone, spot}; }
 };
 
-TEST_F(CapacityPlanTest, RoomThatExistsIsUsedBeforeAnythingIsRented) {
+TEST_F(CapacityPlanTest, ExistingRoomIsUsedBeforeMachinesAreRequested) {
     machine("m1");
     machine("m2");
     machine("m3");
     job(make("wk-1", 4, 4));
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     EXPECT_EQ(plan().neededMachines(), (Names{"m1", "m2"}));
 }
 
-TEST_F(CapacityPlanTest, WhatIsLeftOverRentsTheCheapestPerTask) {
+TEST_F(CapacityPlanTest, RemainingTasksGetTheCheapestOfferingPerTask) {
     machine("m1");
     job(make("wk-1", 5, 4));  // two on m1
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 2}}));
     types["large"].price = 2;
     job(make("wk-2", 8, 4));
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 2}, {{"large", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 2}, {{"large", "z", false}, 1}}));
 }
 
-TEST_F(CapacityPlanTest, SpotMachinesAreRentedOnlyWhereTheOwnerAllowsThem) {
+TEST_F(CapacityPlanTest, SpotMachinesAreRequestedOnlyForJobsThatAllowThem) {
     auto spec = make("wk-1", 1, 4);
     job(spec);
     spec.spot = true;
     spec.id = "wk-2";
     spec.cpus = 8;
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}, {plain("z", true), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}, {plain("z", true), 1}}));
 }
 
-TEST_F(CapacityPlanTest, MachinesOnTheirWayAreNotRentedAgain) {
+TEST_F(CapacityPlanTest, PendingMachinesAreNotRequestedAgain) {
     pending.enqueue(plain(), 2, now);
     pending.enqueue({"unknown", "z", false}, 5, now);
     job(make("wk-1", 6, 4));
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
 }
 
-TEST_F(CapacityPlanTest, MachinesThatLeaveOrAreLostHaveNoRoom) {
+TEST_F(CapacityPlanTest, LeavingOrLostMachinesHaveNoRoom) {
     machine("m1").draining = true;
     machine("m2").deletionRequested = true;
     machine("m3").failed = true;
     machine("m4").interruptionAt = now + 30s;
     machine("m5").unreachableSince = now;
     machine("m6").errorJobs = {"wk-8", "wk-9"};
-    machine("m7").sendsHeartbeats = false;  // it was up: lost
+    machine("m7").sendsHeartbeats = false;  // lost, as it was up before
     machine("m8").typeInfo = nullptr;
     job(make("wk-1", 1, 8));
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
     auto& booting = machine("m9");
     booting.incarnation = 0;
     booting.sendsHeartbeats = false;
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     EXPECT_EQ(plan().neededMachines(), Names{"m9"});
-    replica.registeredMachines["m9"] = {{"address", "plain", "z", false}, 1};  // an earlier leader heard it
+    replica.registeredMachines["m9"] = {{"address", "plain", "z", false},
+                                        1};  // it was up under an earlier leader
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
-TEST_F(CapacityPlanTest, ReservedRoomIsForItsJobAlone) {
+TEST_F(CapacityPlanTest, ReservedRoomIsUsedByItsJobOnly) {
     auto& reserved = machine("m1");
     auto& first = job(make("wk-1", 1, 8));
     auto& second = job(make("wk-2", 1, 8));
     fleet.reserve(reserved, &second, now + 10s);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
     fleet.reserve(reserved, &first, now);  // over
     second.run->waiting = 0;
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
 }
 
-TEST_F(CapacityPlanTest, ATeamsLimitCountsWhatIsUsedAndWhatIsPlanned) {
+TEST_F(CapacityPlanTest, TeamQuotaCountsUsedAndPlannedResources) {
     auto spec = make("wk-1", 10, 1);
     spec.team = "limited";
     auto& running = job(spec);
@@ -160,132 +161,132 @@
     spec.id = "wk-2";
     spec.cpus = 4;
     job(spec);  // of 8 processors 2 are used and 2 planned
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     spec.id = "wk-3";
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     running.run->waiting = 0;
-    EXPECT_EQ(plan().missingMachines(), ToRent{});  // wk-2 has its one task on m1
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // wk-2 has its one task on m1
     settings.teams[1].maxCpus = 10;
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
 }
 
-TEST_F(CapacityPlanTest, ArraysArePackedForTheirHorizon) {
+TEST_F(CapacityPlanTest, ArrayConcurrencyFollowsItsCompletionTarget) {
     policy.backlogHorizon = Seconds(45);
     auto spec = make("wk-1", 30, 8, JobKind::array);
     spec.estimatedRunTime = Seconds(15);
     auto& array = job(spec);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 10}}));  // three rounds
-    array.dueAtMs = 1'060'000;                                     // due in 60 s: two rounds in half of that
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 15}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 10}}));  // three rounds
+    array.dueAtMs = 1'060'000;  // due in 60 s: two rounds in half of that
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 15}}));
     array.dueAtMs.reset();
     array.spec.deadline = Seconds(300);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 3}}));
-    array.run->waitingSince = now - 135s;  // all but one round is over
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 30}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 3}}));
+    array.run->waitingSince = now - 135s;  // time for one round is left
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 30}}));
     array.spec.kind = JobKind::service;
     array.run->waitingSince = now;
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 30}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 30}}));
 }
 
-TEST_F(CapacityPlanTest, AGangGoesWhereMostOfItHasRoomAndTheRestCanBeRented) {
+TEST_F(CapacityPlanTest, GangGoesToTheZoneWithMostRoomWhereTheRestIsObtainable) {
     types["plain"].zones = {"y", "z"};
     machine("m1", "plain", "z");
     auto spec = make("wk-1", 3, 8, JobKind::gang);
     spec.singleZone = true;
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 2}}));
     capacityErrors.record(plain("z"), now);
     capacityErrors.record({"large", "z", false}, now);
     capacityErrors.record({"gpu", "z", false}, now);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 3}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 3}}));
     capacityErrors.record(plain("y"), now);
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
-TEST_F(CapacityPlanTest, GangsThatAllHaveToRentAreSpreadOverTheZones) {
+TEST_F(CapacityPlanTest, GangsWithoutRoomAreSpreadOverZones) {
     types["plain"].zones = {"y", "z"};
     auto spec = make("wk-1", 2, 8, JobKind::gang);
     spec.singleZone = true;
     job(spec);
     spec.id = "wk-2";
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 2}, {plain("z"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 2}, {plain("z"), 2}}));
 }
 
-TEST_F(CapacityPlanTest, AGangThatRunsPartlyStaysInItsZone) {
+TEST_F(CapacityPlanTest, PartlyRunningGangStaysInItsZone) {
     types["plain"].zones = {"y", "z"};
     auto spec = make("wk-1", 3, 8, JobKind::gang);
     spec.singleZone = true;
     auto& gang = job(spec);
     fleet.place(machine("m1", "plain", "z"), gang, 0, 1, bookkeeping::PlacementState::running, now);
     machine("m2", "plain", "y");
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 2}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
-TEST_F(CapacityPlanTest, SpreadReplicasHaveHalfInAZoneAtMost) {
+TEST_F(CapacityPlanTest, SpreadServiceHasAtMostHalfOfItsReplicasInAZone) {
     auto spec = make("wk-1", 5, 8);
     spec.spreadZones = true;
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 3}}));  // there is no other zone to rent in
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}}));  // no other zone offers machines
     types["plain"].zones = {"z", "y"};
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 3}, {plain("y"), 2}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}, {plain("y"), 2}}));
 }
 
-TEST_F(CapacityPlanTest, PlainWorkIsNoReasonToKeepOrRentAnAcceleratorMachine) {
+TEST_F(CapacityPlanTest, PlainWorkNeitherKeepsNorRequestsAcceleratorMachines) {
     machine("m1", "gpu");
     job(make("wk-1", 3, 8));
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
     auto spec = make("wk-2", 1, 8);
     spec.types = {"gpu"};
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}, {{"gpu", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}, {{"gpu", "z", false}, 1}}));
     std::swap(jobs[0], jobs[1]);
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
 }
 
-TEST_F(CapacityPlanTest, ArraysRentAcceleratorMachinesOnlyAtTwiceThePlainPriceAtMost) {
+TEST_F(CapacityPlanTest, ArrayGetsAcceleratorMachineOnlyUpToTwiceThePlainPrice) {
     types.erase("large");
     capacityErrors.record(plain(), now);
     auto spec = make("wk-1", 1, 8, JobKind::array);
     spec.estimatedRunTime = Seconds(100);
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), ToRent{});  // four times the price of a plain processor
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // four times the price of a plain processor
     types["gpu"].price = 4;
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{{"gpu", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{{"gpu", "z", false}, 1}}));
     types["gpu"].price = 4.1;
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     jobs[0]->spec.kind = JobKind::service;
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{{"gpu", "z", false}, 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{{"gpu", "z", false}, 1}}));
 }
 
-TEST_F(CapacityPlanTest, WhatWasRefusedLatelyIsAskedForAFewOnlyAndTheRestElsewhere) {
+TEST_F(CapacityPlanTest, OfferingWithRecentErrorIsProbedWithAFewMachines) {
     types["plain"].zones = {"z", "y"};
     capacityErrors.record(plain("z"), now);
     job(make("wk-1", 10, 8));
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("y"), 10}}));
-    now += 4s;  // the pause is over
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain("z"), 3}, {plain("y"), 7}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 10}}));
+    now += 4s;  // the back-off is over
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}, {plain("y"), 7}}));
 }
 
-TEST_F(CapacityPlanTest, NothingIsRentedForWhatIsOverOrFailsEverywhere) {
+TEST_F(CapacityPlanTest, NothingIsRequestedForTerminatedOrRepeatedlyFailingJobs) {
     auto& job1 = job(make("wk-1", 1, 8));
     for (const auto* id : {"m1", "m2"}) job1.run->errorMachines[id] = now;
-    EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     job1.run->errorMachines["m3"] = now;
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     job1.run->errorMachines.clear();
     job1.terminalState = bookkeeping::TerminalState::cancelled;
     job1.run.reset();
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
 }
 
-TEST_F(CapacityPlanTest, NothingIsRentedThatIsTooSmall) {
+TEST_F(CapacityPlanTest, NoMachineIsRequestedThatIsTooSmall) {
     job(make("wk-1", 1, 64));
-    EXPECT_EQ(plan().missingMachines(), ToRent{});
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
 }
 
 }  // namespace burlpoint::tests
--- a/tests/readiness_test.cpp
+++ b/tests/readiness_test.cpp
@@ -7,15 +7,15 @@
 using namespace burlpoint;
 using namespace std::chrono_literals;
 
-TEST(Readiness, ANodeThatWasNeverAbleIsNotReady) {
+TEST(Readiness, NeverHealthyIsNotReady) {
     coordination::Readiness readiness;
     EXPECT_FALSE(readiness.ready());
     readiness.update(false, Time{1000s});
     EXPECT_FALSE(readiness.ready());
 }
 
-// A moment without ability starts the wait anew.
-TEST(Readiness, ThePenaltyIsServedWithoutABreak) {
+// A moment of ill health during the hold-down starts it anew.
+TEST(Readiness, InterruptedHoldDownStartsAnew) {
     coordination::Readiness readiness;
     Time now{1000s};
     readiness.update(true, now);
@@ -31,7 +31,7 @@
     EXPECT_TRUE(readiness.ready());
 }
 
-TEST(Readiness, EachLossCostsMore) {
+TEST(Readiness, HoldDownGrowsWithEachLoss) {
     coordination::Readiness readiness;
     Time now{1000s};
     readiness.update(true, now);
--- a/tests/submission_queue_test.cpp
+++ b/tests/submission_queue_test.cpp
@@ -13,18 +13,18 @@
 
 const Time kStart{1000s};
 
-/// 30 changes a second for submissions, so 30 at once and 36 within the longest wait.
+/// A write budget of 30 a second for submissions, so 30 at once and 36 within the longest wait.
 protocol::Settings settings() {
     protocol::Settings s;
     s.storeWritesPerSecond = 100;
     return s;
 }
 
-Submission submission(const std::string& id, const std::string& team = "a", Time since = kStart) {
+Submission submission(const std::string& id, const std::string& team = "a", Time queuedAt = kStart) {
     Submission s;
     s.spec.id = id;
     s.spec.team = team;
-    s.queuedAt = since;
+    s.queuedAt = queuedAt;
     return s;
 }
 
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-TEST(SubmissionQueue, TeamsTakeTurns) {
+TEST(SubmissionQueue, TeamsAreServedRoundRobin) {
     SubmissionQueue queue(settings(), kStart);
     EXPECT_TRUE(queue.empty());
     for (const auto* id : {"wk-1", "wk-2", "wk-3"}) queue.add(submission(id, "a"));
@@ -47,7 +47,7 @@
     EXPECT_EQ(nextId(queue), "none");
 }
 
-TEST(SubmissionQueue, NoMoreAreStoredAtATimeThanMayBe) {
+TEST(SubmissionQueue, WritesInFlightAreLimited) {
     SubmissionQueue queue(settings(), kStart);
     for (int i = 0; i < 10; ++i) queue.add(submission("wk-" + std::to_string(i)));
     for (int i = 0; i < 8; ++i) EXPECT_EQ(nextId(queue), "wk-" + std::to_string(i));
@@ -57,7 +57,7 @@
     EXPECT_EQ(nextId(queue), "none");
 }
 
-TEST(SubmissionQueue, TheStateServicesRateIsKept) {
+TEST(SubmissionQueue, WriteBudgetLimitsTheRate) {
     SubmissionQueue queue(settings(), kStart);
     for (int i = 0; i < 40; ++i) queue.add(submission("wk-" + std::to_string(i)));
     int taken = 0;
@@ -69,7 +69,7 @@
     EXPECT_TRUE(queue.takeNext(kStart + 100ms));
 }
 
-TEST(SubmissionQueue, ARefusedOneIsTheNextOfItsTeam) {
+TEST(SubmissionQueue, RequeuedSubmissionIsTheNextOfItsTeam) {
     SubmissionQueue queue(settings(), kStart);
     queue.add(submission("wk-1"));
     queue.add(submission("wk-2"));
@@ -81,7 +81,7 @@
     EXPECT_EQ(nextId(queue), "wk-2");
 }
 
-TEST(SubmissionQueue, WhatWaitsForTooLongIsGivenBack) {
+TEST(SubmissionQueue, ExpiredSubmissionsAreReturned) {
     SubmissionQueue queue(settings(), kStart);
     queue.add(submission("wk-1", "a", kStart));
     queue.add(submission("wk-2", "a", kStart + 1s));
@@ -95,11 +95,11 @@
     EXPECT_TRUE(queue.empty());
 }
 
-TEST(SubmissionQueue, WhatCannotBeStoredSoonIsTurnedAwayWithATime) {
+TEST(SubmissionQueue, FullQueueReturnsRetryAfter) {
     SubmissionQueue queue(settings(), kStart);
     int added = 0;
     while (!queue.retryAfterIfFull(kStart)) queue.add(submission("wk-" + std::to_string(added++)));
-    EXPECT_EQ(added, 37);  // 36 are stored within the 1.2 s, and one more may wait behind them
+    EXPECT_EQ(added, 37);  // 36 are stored within kMaxWait, and one more may wait behind them
     EXPECT_EQ(queue.retryAfterIfFull(kStart), 2s);
     auto slow = settings();
     slow.storeWritesPerSecond = 0.1;
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -1,6 +1,7 @@
-// What users are answered.
+// The responses that users get.
 #include <gtest/gtest.h>
 
+#include "coordination/api/submission_validation.h"
 #include "protocol/msgpack_codec.h"
 #include "service_controller.h"
 #include "transport/executor.h"
@@ -15,7 +16,7 @@
 
 }  // namespace
 
-TEST_F(UserApiTest, EveryStatusOfTheUsersInterface) {
+TEST_F(UserApiTest, EachRequestGetsItsStatusCode) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", "nonsense").status, 400);
@@ -40,7 +41,31 @@
     EXPECT_EQ(node.ask("GET", "/elsewhere").status, 599);
 }
 
-TEST_F(UserApiTest, NothingIsSaidThatAnOutageKeepsFromBeingKnown) {
+// Users' tools read these texts, so they stay as they are.
+TEST_F(UserApiTest, EachErrorHasItsText) {
+    ServiceNode node(io, stub);
+    node.until([&] { return node.watcher.synced(); });
+    const auto error = [&](const char* method, const std::string& path, std::string body = {}) {
+        const auto response = node.ask(method, path, std::move(body));
+        return protocol::MapReader(protocol::unpackBody(response.body).get()).text("error");
+    };
+    const auto rejection = [&](std::string body) { return error("POST", "/submissions", std::move(body)); };
+    EXPECT_EQ(rejection(submission("wk-1", 1, "nobody")), "unknown team");
+    EXPECT_EQ(rejection(submission("wk-1", 8, "team", 3, protocol::JobKind::gang)),
+              "more than the team's limit");
+    EXPECT_EQ(rejection(submission("wk-1", 9)), "fits no allowed machine type");
+    EXPECT_EQ(rejection(submissionAfter("wk-1", {"wk-2"})), "needs wk-2, which was never accepted");
+    EXPECT_EQ(coordination::textOf(coordination::RejectionReason::recordTooLarge),
+              "larger than the state service takes");
+    EXPECT_EQ(error("GET", "/submissions/wk-1"), "no such job");
+    EXPECT_EQ(error("GET", "/submissions"), "method not allowed");
+    EXPECT_EQ(node.ask("GET", "/submissions").allow, "POST");
+    EXPECT_EQ(node.ask("POST", "/submissions/wk-1").allow, "GET");
+    stub.outage = true;
+    EXPECT_EQ(error("GET", "/submissions/wk-1"), "the state service does not answer");
+}
+
+TEST_F(UserApiTest, OnlyTerminalStatesAreToldDuringAnOutage) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
@@ -49,16 +74,16 @@
     EXPECT_EQ(node.bearing("wk-2"), "cancelled");
     stub.outage = true;
     EXPECT_EQ(node.bearing("wk-1"), "503");
-    EXPECT_EQ(node.bearing("wk-3"), "503");        // another node may have accepted it
-    EXPECT_EQ(node.bearing("wk-2"), "cancelled");  // final, so it stays true
+    EXPECT_EQ(node.bearing("wk-3"), "503");        // another controller may have accepted it
+    EXPECT_EQ(node.bearing("wk-2"), "cancelled");  // a terminal state never changes
     const auto refused = node.ask("POST", "/submissions", submission("wk-3"));
     EXPECT_EQ(refused.status, 503);
     EXPECT_GE(refused.retryAfter, 1s);
     EXPECT_EQ(node.ask("POST", "/submissions/wk-1/cancel").status, 503);
 }
 
-// Each node sees at once what another has acknowledged.
-TEST_F(UserApiTest, NodesNeverAnswerWithOlderStates) {
+// Each controller sees at once what another has acknowledged.
+TEST_F(UserApiTest, ControllersNeverReplyWithOlderStates) {
     ServiceNode a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (int i = 0; i < 20; ++i) {
@@ -72,8 +97,8 @@
     }
 }
 
-// A write that was carried out without an answer is found again by the user's retry.
-TEST_F(UserApiTest, UnansweredWritesAreNotTakenForFailures) {
+// A write that was carried out without an answer is found when the user submits again.
+TEST_F(UserApiTest, ResubmissionAfterUnansweredWriteFindsTheJob) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.swallowWrites = true;
@@ -82,7 +107,7 @@
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 200);
 }
 
-TEST_F(UserApiTest, ANodeThatCannotDecideSaysSo) {
+TEST_F(UserApiTest, SubmissionWithoutMachineTypesIsUnavailable) {
     asio::io_context other{1};
     StoreStub empty(other);
     ServiceNode node(other, empty);
@@ -90,7 +115,7 @@
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 503);  // no machine types yet
 }
 
-TEST_F(UserApiTest, AStoreReadInPagesIsWhole) {
+TEST_F(UserApiTest, ReplicaReadInPagesIsComplete) {
     ServiceNode writer(io, stub);
     writer.until([&] { return writer.watcher.synced(); });
     for (int i = 0; i < 25; ++i)
@@ -101,8 +126,8 @@
     EXPECT_EQ(reader.replica.jobs().size(), 25u);
 }
 
-// The node that confirmed a cancellation knows it at once, though no read comes through any more.
-TEST_F(UserApiTest, AConfirmedCancellationIsKnownWhereItWasConfirmed) {
+// The controller that acknowledged a cancellation knows it at once, even if no read succeeds any more.
+TEST_F(UserApiTest, AcknowledgedCancellationIsKnownToItsControllerDuringAnOutage) {
     ServiceNode node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
@@ -116,8 +141,8 @@
     EXPECT_EQ(node.replica.cancelled()[0]->version, stub.store.revision);
 }
 
-// Whether a job was accepted is asked of the store, however short ago and by whichever node that was.
-TEST_F(UserApiTest, AJobMayNeedOnlyWhatWasAccepted) {
+// Dependencies are looked up in the store: another controller may have accepted them a moment ago.
+TEST_F(UserApiTest, DependencyThatWasNeverAcceptedIsRejected) {
     ServiceNode a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter("wk-1", {"wk-1"})).status, 422);
@@ -135,8 +160,8 @@
     EXPECT_GE(answer.retryAfter, 1s);
 }
 
-// One record cancels all that need the job: on every node, for those submitted later, and after restarts.
-TEST_F(UserApiTest, WhatNeedsACancelledJobIsCancelledWithIt) {
+// One record cancels all dependents: on every controller, for jobs submitted later, and after restarts.
+TEST_F(UserApiTest, DependentsOfACancelledJobAreCancelled) {
     ServiceNode a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (const auto& job : {submission("wk-1"), submissionAfter("wk-2", {"wk-1"}), submission("wk-9"),
@@ -157,7 +182,7 @@
     EXPECT_EQ(b.ask("POST", "/submissions", submissionAfter("wk-5", {"wk-3"})).status, 201);
     EXPECT_EQ(a.bearing("wk-5"), "cancelled");
     EXPECT_EQ(a.ask("POST", "/submissions/wk-5/cancel").status, 200);
-    // Once it is done there is nothing to cancel, and what needs it goes on.
+    // A job that is done is not cancelled, and its dependents go on.
     auto record =
         storage::decodeJob(protocol::unpackBody(stub.store.values.at(storage::keys::job("wk-9")).data).get());
     record.terminalState = storage::TerminalState::done;
@@ -168,7 +193,7 @@
     EXPECT_EQ(b.bearing("wk-9"), "done");
     EXPECT_EQ(b.bearing("wk-4"), "pending");
     EXPECT_TRUE(b.replica.find("wk-4")->ready());
-    // In an outage a node answers what it knows to be final.
+    // In an outage a controller still tells the terminal states that it knows.
     stub.outage = true;
     EXPECT_EQ(b.bearing("wk-3"), "cancelled");
 }
