--- a/src/coordination/scheduling/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -40,7 +40,8 @@
 
 }  // namespace
 
-AcceleratorPolicy::AcceleratorPolicy(const MachineTypes& types, const CapacityErrors& capacityErrors)
+AcceleratorPolicy::AcceleratorPolicy(const bookkeeping::MachineTypes& types,
+                                     const CapacityErrors& capacityErrors)
     : types_(types), capacityErrors_(capacityErrors) {}
 
 void AcceleratorPolicy::recordDemand(const Job& job) {
--- a/src/protocol/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -16,9 +16,9 @@
     return response;
 }
 
-Response retryLater(int status, std::string_view reason, std::chrono::seconds after) {
-    auto response = respond(status, errorReply(reason));
-    response.retryAfter = after;
+Response retryLater(int status, std::string_view why, std::chrono::seconds retryAfter) {
+    auto response = respond(status, errorReply(why));
+    response.retryAfter = retryAfter;
     return response;
 }
 
