--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -77,7 +77,7 @@
 
 void StateWatcher::watch() {
     if (watchOpen_ || load_.underWay) return;
-    if (!state_.requests().take(0, kReservedRequests, Clock::now())) return watchAgainAfter(spacing_ * 2);
+    if (!state_.requests().tryTake(0, kReservedRequests, Clock::now())) return watchAgainAfter(spacing_ * 2);
     watchOpen_ = true;
     state_.watch(storage::keys::kAll, replica_.revision, kWatchWait, kWatchTimeout,
                  [this, sent = Clock::now()](ReadStatus status, const KeyPage& page) {
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -21,14 +21,14 @@
     return static_cast<std::size_t>(std::max(0.0, budget_.available(now)));
 }
 
-void WritePacing::noteSent(std::size_t writes, Time now) { budget_.force(static_cast<double>(writes), now); }
+void WritePacing::noteSent(std::size_t writes, Time now) { budget_.takeUnconditionally(static_cast<double>(writes), now); }
 
 void WritePacing::noteAnswered(Time now) { nextWrite_ = now + kPause; }
 
 void WritePacing::noteRefused(Time now) { nextWrite_ = now + kPauseAfterRefusal; }
 
 void WritePacing::noteTooMany(Time now) {
-    budget_.refused(now);
+    budget_.recordRefusal(now);
     noteRefused(now);
 }
 
