--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -196,7 +196,7 @@
                                                    bool cancellationsCurrent) {
     if (!machine.acknowledged) return stopsOfTerminatedJobs(heartbeat, replica_);
     std::vector<WorkerCommand> commands;
-    if (!addSettlingCommands(heartbeat, replica_, commands)) return commands;
+    if (addCleanupCommands(heartbeat, replica_, commands) == CommandFit::truncated) return commands;
     for (auto& command : stopCommands(machine)) commands.push_back(std::move(command));
     // A leader cut off from the store is entitled for some seconds yet, in which others may tell users that
     // jobs are cancelled: what runs goes on, and nothing new starts.
@@ -267,7 +267,7 @@
 
 void Leader::removeMachine(Machine& machine) {
     const auto id = machine.id;
-    tombstones_.note(machine);
+    tombstones_.add(machine);
     completion_.endAll(machine, now_);
     registry_.forget(machine);
     fleet_.erase(id);
@@ -289,7 +289,8 @@
         spdlog::info("{} is silent and is given up", machine->id);
         machine->deletionRequested = true;
     }
-    if (findings.resignation) actions_.push_back(Resign{*findings.resignation, true});
+    if (findings.isolation != Isolation::none)
+        actions_.push_back(Resign{describe(findings.isolation), true});
 }
 
 // --- users and the key-value store
--- a/src/coordination/controller/leader_cloud.cpp
+++ b/src/coordination/controller/leader_cloud.cpp
@@ -44,7 +44,7 @@
     if (!event.ok) return;
     for (const auto& id : event.machines) {
         if (auto* machine = fleet_.find(id)) removeMachine(*machine);
-        tombstones_.noteDeleted(id);
+        tombstones_.addDeleted(id);
     }
 }
 
--- a/src/coordination/workers/attempt_completion.cpp
+++ b/src/coordination/workers/attempt_completion.cpp
@@ -25,22 +25,26 @@
 constexpr Clock::duration kMaxFailureBackoff = 60s;
 constexpr Clock::duration kRefusalBackoff = 2s;
 
-/// None of the job's tasks is on a machine or has been done.
-bool hasNothing(const Job& job) {
+bool noTaskPlacedOrFinished(const Job& job) {
     return job.run->placedTotal == 0 && job.doneCount == 0 && job.run->unpersistedTasks.empty();
 }
 
+/// The worker did not begin the attempt, as far as the reason tells.
+bool neverBegan(ExitReason reason) {
+    return reason == ExitReason::none || reason == ExitReason::noRoom || reason == ExitReason::busy;
+}
+
 }  // namespace
 
-AttemptCompletion::AttemptCompletion(Fleet& fleet, const GangPlanner& gangs, JobQueue& jobQueue,
+AttemptCompletion::AttemptCompletion(Fleet& fleet, const GangPlanner& gangPlanner, JobQueue& jobQueue,
                                      TaskTerminator& terminator)
-    : fleet_(fleet), gangPlanner_(gangs), jobQueue_(jobQueue), terminator_(terminator) {}
+    : fleet_(fleet), gangPlanner_(gangPlanner), jobQueue_(jobQueue), terminator_(terminator) {}
 
-void AttemptCompletion::end(Machine& machine, const AttemptKey& key, ExitReason why, Time now) {
+void AttemptCompletion::end(Machine& machine, const AttemptKey& key, ExitReason reason, Time now) {
     const auto at = machine.placements.find(key);
     const Placement placement = at->second;
     fleet_.remove(machine, at);
-    ended(machine, placement, why, now);
+    noteEnded(machine, placement, reason, now);
 }
 
 void AttemptCompletion::endIf(Machine& machine, const std::function<bool(const Placement&)>& isGone,
@@ -52,6 +56,7 @@
         }
         const auto key = at->first;
         end(machine, key, ExitReason::none, now);
+        // Placements of the same gang may have been removed too, so `at` may be invalid.
         at = machine.placements.upper_bound(key);
     }
 }
@@ -59,32 +64,27 @@
 void AttemptCompletion::endAll(Machine& machine, Time now) {
     fleet_.setReconciled(machine, true);
     jobQueue_.markStale();
-    fleet_.removeAll(machine,
-                     [&](const Placement& placement) { ended(machine, placement, ExitReason::none, now); });
+    fleet_.removeAll(
+        machine, [&](const Placement& placement) { noteEnded(machine, placement, ExitReason::none, now); });
 }
 
-/// The attempt has been taken off the machine.
-void AttemptCompletion::ended(Machine& machine, const Placement& placement, ExitReason why, Time now) {
+/// Called after the placement has been removed from the machine.
+void AttemptCompletion::noteEnded(Machine& machine, const Placement& placement, ExitReason reason, Time now) {
     Job& job = *placement.job;
-    auto& run = *job.run;
     jobQueue_.markStale();
-    spdlog::debug("gone {}/{} attempt {} from {}, state {}, reason {}", job.spec.id, placement.task,
-                  placement.attempt, machine.id, static_cast<int>(placement.state), static_cast<int>(why));
+    spdlog::debug("attempt ended job={} task={} attempt={} machine={} state={} reason={}", job.spec.id,
+                  placement.task, placement.attempt, machine.id, static_cast<int>(placement.state),
+                  static_cast<int>(reason));
     if (machine.placements.empty()) machine.lastBusyAt = now;
-    noteReason(machine, job, why, now);
+    noteReason(machine, job, reason, now);
     if (job.terminalState != TerminalState::none) return;
-    if (run.firstOverdueTask == placement.task) run.firstOverdueTask.reset();
-    // Stopped again at once, it has not begun: were its place among the overdue spent, it might wait for
-    // ever.
-    if (why == ExitReason::stopped && hasNothing(job) && startedRecently(placement, now))
-        run.launchedTasks = run.pacedFetches = 0;
-    if (run.waiting > 0) run.waitingSince = now;
-    if (job.spec.kind == JobKind::gang) noteGangTaskGone(machine, placement, why, now);
+    updateWaiting(placement, reason, now);
+    if (job.spec.kind == JobKind::gang) noteGangTaskEnded(machine, placement, reason, now);
 }
 
-/// What the end of a task tells of its machine and its job.
-void AttemptCompletion::noteReason(Machine& machine, Job& job, ExitReason why, Time now) {
-    switch (why) {
+/// What the end of an attempt says about its machine and its job.
+void AttemptCompletion::noteReason(Machine& machine, Job& job, ExitReason reason, Time now) {
+    switch (reason) {
         case ExitReason::done:
             machine.errorJobs.clear();
             break;
@@ -115,14 +115,25 @@
     job.run->backoffUntil = now + std::min(kFailureBackoff * times, kMaxFailureBackoff);
 }
 
-/// Without one of its tasks a gang's attempt comes to nothing, unless it had not begun and another can stand
-/// in. The next attempt waits until all have left.
-void AttemptCompletion::noteGangTaskGone(Machine& machine, const Placement& placement, ExitReason why,
-                                         Time now) {
+/// Brings the run's state as a waiting job up to date.
+void AttemptCompletion::updateWaiting(const Placement& placement, ExitReason reason, Time now) {
+    const Job& job = *placement.job;
+    auto& run = *job.run;
+    if (run.firstOverdueTask == placement.task) run.firstOverdueTask.reset();
+    // Stopped right after its start, the job counts as not begun. Otherwise it would lose its place among the
+    // overdue jobs each time and could starve.
+    if (reason == ExitReason::stopped && noTaskPlacedOrFinished(job) && startedRecently(placement, now))
+        run.launchedTasks = run.pacedFetches = 0;
+    if (run.waiting > 0) run.waitingSince = now;
+}
+
+/// A gang's attempt fails without one of its tasks, unless that task had not begun and can be replaced. The
+/// gang's next attempt waits until all tasks of this one have ended.
+void AttemptCompletion::noteGangTaskEnded(Machine& machine, const Placement& placement, ExitReason reason,
+                                          Time now) {
     Job& job = *placement.job;
     job.run->machinesLeft.insert(machine.id);
-    const bool neverBegan = why == ExitReason::none || why == ExitReason::noRoom || why == ExitReason::busy;
-    const bool replaceable = neverBegan && gangPlanner_.mayComplete(job, now);
+    const bool replaceable = neverBegan(reason) && gangPlanner_.mayComplete(job, now);
     if (!job.isFinished(placement.task) && !replaceable) terminator_.stopJob(job, job.spec.saveTime, now);
     if (job.run->placedTotal == 0) job.run->gangAttempt = 0;
 }
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -1,75 +1,79 @@
 #pragma once
 
-// Machines from which nothing is heard: whose lease is over, whom to ask directly, whom to give up, and
-// whether the silence is rather this node's own, so that it should not lead. This module owns what the leader
-// remembers of being reached at all; what is known of each machine is in the fleet. It sends and removes
-// nothing itself: the leader acts on what it finds.
+// Failure detection for worker machines, as a leader runs it: which machines are suspected and probed, which
+// have failed, and whose lease has expired. Whether missing heartbeats are rather the fault of this
+// controller's own network is decided by the IsolationDetector that this class owns. What is known of each
+// machine is in the fleet. This module sends and removes nothing: the leader acts on its findings. Used on
+// the thread that owns the leader.
 
 #include <cstddef>
 #include <cstdint>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
+#include "coordination/workers/isolation_detector.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
 
 class FailureDetector {
   public:
-    /// Machines that heartbeat, or of which an earlier leader's tasks are to be settled, at one moment.
+    /// Counts over the monitored machines at one moment. Monitored are those that send heartbeats, and those
+    /// that may still hold tasks of an earlier leader.
     struct Census {
-        std::size_t reporting = 0;
+        std::size_t alive = 0;
         std::size_t suspected = 0;
-        std::vector<bookkeeping::Machine*>
-            expired;  // whose lease is over: nothing sent to them counts any more
+        /// Their lease has expired, so nothing that was sent to them is on them any more.
+        std::vector<bookkeeping::Machine*> expired;
     };
     struct Findings {
-        std::vector<bookkeeping::Machine*> toProbe;  // to be asked directly; some may have no known address
+        std::vector<bookkeeping::Machine*> toProbe;  // some may have no known address
         std::vector<bookkeeping::Machine*> failedMachines;
-        std::optional<std::string> resignation;  // why this node should not lead, if so
+        Isolation isolation = Isolation::none;  // unless none, this controller should not lead
     };
 
-    /// The references must outlive the monitor. `fencingToken` and `began` are the leadership's; `leaseBound`
-    /// is how long a worker's lease may last after a heartbeat of it was answered.
+    /// The references must outlive the detector. `fencingToken` and `began` are those of the leadership;
+    /// `leaseBound` is the longest that a worker's lease may last after a heartbeat of it was answered.
     FailureDetector(const protocol::Settings& settings, bookkeeping::Fleet& fleet, std::uint64_t fencingToken,
                     Time began, Clock::duration leaseBound);
 
-    /// News came from a worker, by a heartbeat.
+    /// A heartbeat arrived that was newer than all before it from the same worker.
     void noteHeartbeat(Time now);
-    /// To be called with every tick. A long gap since the one before was this node's own, so that the silence
-    /// meanwhile is held against no machine.
+    /// To be called with every tick. A long gap since the tick before means that this controller was
+    /// suspended, so the heartbeats missing in that time count against no machine.
     void noteTick(Time now);
 
-    /// Is it time to look at all machines again?
-    bool isDue(Time now) const { return now >= nextCheck_; }
-    /// Counts the machines and finds those whose lease is over, which the leader clears before it asks for
-    /// the findings. The next time is due half a second later.
+    /// Is the next census due?
+    bool isDue(Time now) const { return now >= nextCensus_; }
+    /// Counts the machines and finds those whose lease has expired. The leader clears these before it calls
+    /// evaluate(). The next census is due half a second later.
     Census takeCensus(Time now);
-    /// What follows from a census taken at `now`, whose lapsed machines have been cleared since.
+    /// What follows from a census taken at `now`, whose expired machines have been cleared since.
     Findings evaluate(const Census& census, Time now);
 
   private:
-    void evaluateMachine(bookkeeping::Machine& machine, bool fewAreSuspected, Time now,
+    /// Whether suspected machines may be declared failed.
+    enum class FailurePolicy {
+        allow,   // few machines are suspected
+        suspend  // many are suspected at once, so that the cause is probably not in the machines
+    };
+    static FailurePolicy failurePolicy(const Census& census);
+    std::optional<Clock::duration> suspectedFor(const bookkeeping::Machine& machine, Time now) const;
+    void evaluateMachine(bookkeeping::Machine& machine, FailurePolicy policy, Time now,
                          Findings& findings) const;
-    std::optional<std::string> evaluateOwnReachability(const Census& census, Time now);
+    bool hasFailed(const bookkeeping::Machine& machine, Clock::duration suspected, Time now) const;
 
     bookkeeping::Fleet& fleet_;
-    const std::size_t nodes_;
-    const std::uint64_t fencingToken_;
     const Time began_;
-    const Clock::duration leaseBound_;
-    const Clock::duration suspicionTimeout_;  // a machine that is not heard for longer is silent
-    const Clock::duration failureTimeout_;    // one that no probe reaches either is given up after this
+    const Clock::duration suspicionTimeout_;  // without a heartbeat for longer, a machine is suspected
+    const Clock::duration failureTimeout_;    // suspected for longer without answering a probe, it has failed
     const Clock::duration heartbeatInterval_;
+    IsolationDetector isolation_;
 
-    Time nextCheck_;
+    Time nextCensus_;
     Time lastTick_{};
-    Time lastHeartbeat_;         // of any worker, or the end of this node's own absence
-    bool anyHeartbeat_ = false;  // a worker has reached this leader
-    bool leadsWithoutWorkers_ = false;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -2,6 +2,8 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
+
 namespace burlpoint::coordination {
 
 using bookkeeping::AttemptKey;
@@ -18,8 +20,8 @@
 
 namespace {
 
-// A task of an array goes on until its machine is taken if it should have done so much of its estimate by
-// then.
+// A task of an array keeps running on an interrupted machine if it will have run for this share of its
+// estimated run time when the machine is taken.
 constexpr double kWorthFinishing = 0.7;
 
 PlacementState placementState(TaskState state) {
@@ -37,24 +39,36 @@
 
 bool isPlanned(const Placement& placement) { return placement.state == PlacementState::planned; }
 
+/// Is the array task likely to be done when its machine is interrupted?
+bool isWorthFinishing(const Placement& placement, Time interruptionAt, Time now) {
+    const bool running = placement.state == PlacementState::running;
+    const Seconds ran = running ? Seconds(now - placement.runningSince) : Seconds(0);
+    const Seconds left = interruptionAt - now;
+    return ran + left >= placement.job->spec.estimatedRunTime * kWorthFinishing;
+}
+
 }  // namespace
 
 HeartbeatReconciler::HeartbeatReconciler(const ReconcilerContext& context) : context_(context) {}
 
-void HeartbeatReconciler::apply(Machine& machine, const Heartbeat& heartbeat, StatusSource kind, Time now) {
-    if (heartbeat.incarnation > machine.incarnation && machine.acknowledged) {
-        if (machine.sendsHeartbeats && machine.incarnation > 0) noteUndeliveredResponse(machine, now);
-        // The worker killed and forgot all its tasks; planned ones never reached it.
-        context_.ends.endIf(
-            machine, [](const Placement& placement) { return !isPlanned(placement); }, now);
-    }
+void HeartbeatReconciler::apply(Machine& machine, const Heartbeat& heartbeat, StatusSource source, Time now) {
+    if (heartbeat.incarnation > machine.incarnation && machine.acknowledged)
+        endTasksOfEarlierIncarnation(machine, now);
     noteMessage(machine, heartbeat, now);
     if (!machine.acknowledged) return;
-    settlePlacements(machine, heartbeat, kind, now);
+    reconcilePlacements(machine, heartbeat, source, now);
     if (machine.interruptionAt) drainForInterruption(machine, now);
     if (!machine.placements.empty()) machine.lastBusyAt = now;
 }
 
+/// A new incarnation of the worker has killed and forgotten all tasks. Planned ones had not been sent.
+void HeartbeatReconciler::endTasksOfEarlierIncarnation(Machine& machine, Time now) {
+    // Its lease should not have expired yet, so probably it did not get the responses that renewed it.
+    if (machine.sendsHeartbeats && machine.incarnation > 0) noteUndeliveredResponse(machine, now);
+    context_.completion.endIf(
+        machine, [](const Placement& placement) { return !isPlanned(placement); }, now);
+}
+
 void HeartbeatReconciler::noteMessage(Machine& machine, const Heartbeat& heartbeat, Time now) {
     machine.incarnation = heartbeat.incarnation;
     machine.sequence = heartbeat.sequence;
@@ -63,45 +77,47 @@
     if (!heartbeat.interruptionNotice)
         machine.interruptionAt.reset();
     else if (!machine.interruptionAt)
-        machine.interruptionAt =
-            now + std::chrono::duration_cast<Clock::duration>(*heartbeat.interruptionNotice);
-    if (heartbeat.fencingToken == context_.fencingToken && !machine.acknowledged) {
-        machine.acknowledged = true;
-        context_.fleet.setReconciled(machine, true);
-        context_.jobQueue.markStale();
-    }
+        machine.interruptionAt = now + toClockDuration(*heartbeat.interruptionNotice);
+    noteFencingToken(machine, heartbeat.fencingToken);
 }
 
-/// What was sent to the machine has not arrived. After a few times it counts as unreachable until it answers.
+void HeartbeatReconciler::noteFencingToken(Machine& machine, std::uint64_t token) {
+    if (token != context_.fencingToken || machine.acknowledged) return;
+    machine.acknowledged = true;
+    context_.fleet.setReconciled(machine, true);
+    context_.jobQueue.markStale();
+}
+
+/// A response to the machine did not arrive. After a few in a row it counts as unreachable until it answers.
 void HeartbeatReconciler::noteUndeliveredResponse(Machine& machine, Time now) {
     if (++machine.undeliveredResponses < kMaxUndeliveredResponses || machine.unreachableSince) return;
-    spdlog::info("{} reports but nothing reaches it", machine.id);
+    spdlog::info("worker sends heartbeats but cannot be reached machine={}", machine.id);
     machine.unreachableSince = now;
 }
 
-/// Brings what is taken to be on the machine in line with the heartbeat's list.
-void HeartbeatReconciler::settlePlacements(Machine& machine, const Heartbeat& heartbeat, StatusSource kind,
-                                           Time now) {
+/// Adopts what the status lists and ends what it lacks.
+void HeartbeatReconciler::reconcilePlacements(Machine& machine, const Heartbeat& heartbeat,
+                                              StatusSource source, Time now) {
     for (auto& [key, placement] : machine.placements) placement.seen = isPlanned(placement);
     for (const auto& task : heartbeat.tasks) applyTask(machine, task, now);
-    bool undeliveredResponses = false;
+    bool startUndelivered = false;
     const auto isGone = [&](const Placement& placement) {
-        // A start that left with a heartbeat's response may still be on its way when a direct command's reply
-        // comes in. Only the worker's next heartbeat shows that it was taken or dropped.
+        // A start that left with a heartbeat's response may still be on its way when the answer to a direct
+        // command arrives. Only the worker's next heartbeat shows whether the start arrived.
         const bool mayBeOnItsWay =
-            kind == StatusSource::answer || heartbeat.sequence <= placement.sentSequence;
+            source == StatusSource::answer || heartbeat.sequence <= placement.sentSequence;
         const bool inFlight = placement.state == PlacementState::sent && mayBeOnItsWay;
         const bool gone = !placement.seen && !inFlight;
-        undeliveredResponses |= gone && placement.state == PlacementState::sent;
+        startUndelivered |= gone && placement.state == PlacementState::sent;
         return gone;
     };
-    context_.ends.endIf(machine, isGone, now);
-    if (undeliveredResponses) noteUndeliveredResponse(machine, now);
+    context_.completion.endIf(machine, isGone, now);
+    if (startUndelivered) noteUndeliveredResponse(machine, now);
 }
 
 void HeartbeatReconciler::applyTask(Machine& machine, const TaskStatus& task, Time now) {
     auto* job = context_.replica.find(task.attempt.job);
-    if (!job || task.attempt.task >= job->spec.tasks) return;  // addSettlingCommands() has it stopped
+    if (!job || task.attempt.task >= job->spec.tasks) return;  // addCleanupCommands() has it stopped
     const AttemptKey key{job, task.attempt.task, task.attempt.number};
     if (task.state == TaskState::exited) return applyExit(machine, *job, key, task.why, now);
     const auto state = placementState(task.state);
@@ -114,29 +130,35 @@
         const double cacheGb = machine.typeInfo ? machine.typeInfo->cacheGb : 0;
         context_.fleet.useImage(machine, job->image(), job->spec.imageGb, cacheGb);
     }
-    // Cancelled, or done elsewhere under an earlier leader. Gang tasks end with their gang.
-    const bool over = job->terminalState != TerminalState::none;
-    const bool doneElsewhere = job->isFinished(key.task) && job->spec.kind != JobKind::gang;
-    if (over || doneElsewhere) context_.terminator.stop(machine, placement, Seconds(0));
+    stopIfObsolete(machine, placement);
+}
+
+/// Stops a task whose job was cancelled or that is done elsewhere, under an earlier leader. Gang tasks end
+/// with their gang.
+void HeartbeatReconciler::stopIfObsolete(Machine& machine, Placement& placement) {
+    const Job& job = *placement.job;
+    const bool terminated = job.terminalState != TerminalState::none;
+    const bool doneElsewhere = job.isFinished(placement.task) && job.spec.kind != JobKind::gang;
+    if (terminated || doneElsewhere) context_.terminator.stop(machine, placement, Seconds(0));
 }
 
-void HeartbeatReconciler::applyExit(Machine& machine, Job& job, const AttemptKey& key, ExitReason why,
+void HeartbeatReconciler::applyExit(Machine& machine, Job& job, const AttemptKey& key, ExitReason reason,
                                     Time now) {
-    if (why == ExitReason::done) noteTaskDone(job, key.task, now);
-    if (machine.placements.contains(key)) context_.ends.end(machine, key, why, now);
+    if (reason == ExitReason::done) noteTaskDone(job, key.task, now);
+    if (machine.placements.contains(key)) context_.completion.end(machine, key, reason, now);
 }
 
-/// An attempt that an earlier leader started.
+/// Adds a placement for an attempt that an earlier leader started.
 Placement& HeartbeatReconciler::adopt(Machine& machine, Job& job, const AttemptKey& key, PlacementState state,
                                       Time now) {
-    if (!job.run) context_.runs.begin(job, true, now);
+    if (!job.run) context_.activator.begin(job, true, now);
     auto& placement = context_.fleet.place(machine, job, key.task, key.attempt, state, now);
     if (job.spec.kind == JobKind::gang) job.run->gangAttempt = std::max(job.run->gangAttempt, key.attempt);
     context_.jobQueue.markStale();
     return placement;
 }
 
-/// A heartbeat shows the attempt in `state`.
+/// The status shows the attempt in `state`.
 void HeartbeatReconciler::noteProgress(Machine& machine, Placement& placement, PlacementState state,
                                        Time now) {
     if (placement.state == PlacementState::sent) {
@@ -146,51 +168,48 @@
     if (placement.state == PlacementState::fetching && state != PlacementState::fetching)
         context_.pacing.recordFetchTime(now - placement.since);
     if (placement.state != state)
-        spdlog::debug("{}/{} on {} turns from {} to {}", placement.job->spec.id, placement.task, machine.id,
-                      static_cast<int>(placement.state), static_cast<int>(state));
+        spdlog::debug("attempt state changed job={} task={} machine={} from={} to={}", placement.job->spec.id,
+                      placement.task, machine.id, static_cast<int>(placement.state), static_cast<int>(state));
     context_.fleet.setState(placement, state, now);
 }
 
-/// The task is done, whichever attempt did it. Its bit is to be stored before anybody hears of it.
+/// The task is done, whichever attempt did it. Its bit has to be stored before users are told.
 void HeartbeatReconciler::noteTaskDone(Job& job, std::uint32_t task, Time now) {
     if (job.terminalState != TerminalState::none || job.spec.kind == JobKind::service) return;
-    if (!job.run) context_.runs.begin(job, true, now);
-    bool fresh = false;
-    if (job.spec.kind == JobKind::gang) {
-        // They complete together: when one is done, all are.
-        for (std::uint32_t each = 0; each < job.spec.tasks; ++each) fresh |= job.finish(each);
-    } else {
-        fresh = job.finish(task);
-    }
-    if (!fresh) return;
+    if (!job.run) context_.activator.begin(job, true, now);
+    if (!finish(job, task)) return;
     context_.writer.noteUnstored(job);
     job.run->errorMachines.clear();
     job.run->succeeded = true;
 }
 
-/// The cloud takes the machine back: what would not be done by then saves or stops, and nothing new starts.
+/// Marks the task as finished, and with a task of a gang all tasks of it, as they complete together. False if
+/// that was known.
+bool HeartbeatReconciler::finish(Job& job, std::uint32_t task) {
+    if (job.spec.kind != JobKind::gang) return job.finish(task);
+    bool fresh = false;
+    for (std::uint32_t each = 0; each < job.spec.tasks; ++each) fresh |= job.finish(each);
+    return fresh;
+}
+
+/// A spot interruption notice: tasks that would not be done by then save or stop, and nothing new starts.
 void HeartbeatReconciler::drainForInterruption(Machine& machine, Time now) {
     machine.draining = true;
     for (auto& [key, placement] : machine.placements)
         if (!isPlanned(placement)) stopForInterruption(machine, placement, now);
-    context_.ends.endIf(machine, isPlanned, now);
+    context_.completion.endIf(machine, isPlanned, now);
 }
 
 void HeartbeatReconciler::stopForInterruption(Machine& machine, Placement& placement, Time now) {
     const auto& spec = placement.job->spec;
     if (bookkeeping::isLargeGang(spec)) {
-        // Its save needs all of them told within a short time; one alone would lose the progress of all.
+        // A gang saves only if all its tasks are stopped within a short time; stopping one alone would lose
+        // the progress of all.
         context_.terminator.stopJob(*placement.job, spec.saveTime, now);
     } else if (spec.checkpointInterval > Seconds(0)) {
         context_.terminator.stop(machine, placement, spec.saveTime);
-    } else if (spec.kind != JobKind::array) {
+    } else if (spec.kind != JobKind::array || !isWorthFinishing(placement, *machine.interruptionAt, now)) {
         context_.terminator.stop(machine, placement, Seconds(0));
-    } else {
-        const bool running = placement.state == PlacementState::running;
-        const Seconds ran = running ? Seconds(now - placement.runningSince) : Seconds(0);
-        const Seconds left = *machine.interruptionAt - now;
-        if (ran + left < spec.estimatedRunTime * kWorthFinishing)
-            context_.terminator.stop(machine, placement, Seconds(0));
     }
 }
 
--- a/src/coordination/workers/machine_tombstones.cpp
+++ b/src/coordination/workers/machine_tombstones.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Newer than any message.
+/// Not older than any heartbeat.
 constexpr HeartbeatVersion kDeleted{std::numeric_limits<std::uint64_t>::max(),
                                     std::numeric_limits<std::uint64_t>::max()};
 
 }  // namespace
 
-void MachineTombstones::note(const Machine& machine) {
+void MachineTombstones::add(const Machine& machine) {
     auto& newest = newest_[machine.id];
     newest = std::max(newest, machine.latestVersion());
 }
 
-void MachineTombstones::noteDeleted(const std::string& id) { newest_[id] = kDeleted; }
+void MachineTombstones::addDeleted(const std::string& id) { newest_[id] = kDeleted; }
 
 bool MachineTombstones::isDeleted(const std::string& id) const {
     const auto found = newest_.find(id);
--- a/src/coordination/workers/worker_commands.cpp
+++ b/src/coordination/workers/worker_commands.cpp
@@ -5,6 +5,7 @@
 namespace burlpoint::coordination {
 
 using bookkeeping::Job;
+using bookkeeping::Placement;
 using bookkeeping::PlacementState;
 using protocol::CommandKind;
 using protocol::ExitReason;
@@ -15,24 +16,33 @@
 
 namespace {
 
-/// No job that is known has such a task.
-bool isStray(const TaskStatus& task, const Job* job) { return !job || task.attempt.task >= job->spec.tasks; }
+/// The task belongs to no known job.
+bool isUnknown(const TaskStatus& task, const Job* job) {
+    return !job || task.attempt.task >= job->spec.tasks;
+}
 
-/// A result is cleared only once its bit is stored: until then the heartbeat is the only record.
-bool isSettled(const TaskStatus& task, const Job& job) {
+/// May the worker forget the exited task? Until a result is stored, the heartbeat is its only record.
+bool mayAcknowledge(const TaskStatus& task, const Job& job) {
     return task.why != ExitReason::done || job.terminalState != TerminalState::none ||
            job.isDone(task.attempt.task) || job.spec.kind == protocol::JobKind::service;
 }
 
+/// The worker's status shows that it has received the stop and is saving the task's progress.
+bool isStopReceived(const Placement& placement) {
+    return placement.state == PlacementState::saving && placement.grace > Seconds(0);
+}
+
+bool needsStop(const Placement& placement) {
+    return placement.stopping && placement.state != PlacementState::planned && !isStopReceived(placement);
+}
+
 }  // namespace
 
 std::vector<WorkerCommand> stopCommands(const bookkeeping::Machine& machine) {
     std::vector<WorkerCommand> commands;
     for (const auto& [key, placement] : machine.placements) {
         if (commands.size() >= kMaxCommands) break;
-        if (!placement.stopping || placement.state == PlacementState::planned) continue;
-        if (placement.state == PlacementState::saving && placement.grace > Seconds(0))
-            continue;  // it is at it
+        if (!needsStop(placement)) continue;
         commands.push_back({CommandKind::stop,
                             {placement.job->spec.id, placement.task, placement.attempt},
                             placement.grace});
@@ -42,8 +52,8 @@
 
 std::vector<WorkerCommand> stopsOfTerminatedJobs(const protocol::Heartbeat& heartbeat,
                                                  bookkeeping::StateReplica& replica) {
-    // The answer renews the lease. Without stops, what is cancelled would go on for one lease more with each
-    // change of leader. Stopping an attempt of a job that is over is right however old the list is.
+    // The response renews the worker's lease. Without these stops, cancelled tasks would run on for another
+    // lease with each change of leader. Stopping a task of a terminated job is right however old the list is.
     std::vector<WorkerCommand> commands;
     for (const auto& task : heartbeat.tasks) {
         if (commands.size() >= kMaxCommands) break;
@@ -54,19 +64,19 @@
     return commands;
 }
 
-bool addSettlingCommands(const protocol::Heartbeat& heartbeat, bookkeeping::StateReplica& replica,
-                         std::vector<WorkerCommand>& commands) {
+CommandFit addCleanupCommands(const protocol::Heartbeat& heartbeat, bookkeeping::StateReplica& replica,
+                              std::vector<WorkerCommand>& commands) {
     for (const auto& task : heartbeat.tasks) {
-        if (commands.size() >= kMaxCommands) return false;
+        if (commands.size() >= kMaxCommands) return CommandFit::truncated;
         const auto* job = replica.find(task.attempt.job);
-        const bool stray = isStray(task, job);
+        const bool unknown = isUnknown(task, job);
         if (task.state != TaskState::exited) {
-            if (stray) commands.push_back({CommandKind::stop, task.attempt, Seconds(0)});
-        } else if (stray || isSettled(task, *job)) {
+            if (unknown) commands.push_back({CommandKind::stop, task.attempt, Seconds(0)});
+        } else if (unknown || mayAcknowledge(task, *job)) {
             commands.push_back({CommandKind::acknowledge, task.attempt, Seconds(0)});
         }
     }
-    return true;
+    return CommandFit::complete;
 }
 
 }  // namespace burlpoint::coordination
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -8,16 +8,17 @@
 using namespace std::chrono_literals;
 using bookkeeping::Machine;
 using coordination::FailureDetector;
+using coordination::Isolation;
 
 namespace {
 
 using Machines = std::vector<Machine*>;
 
-struct SilenceMonitorTest : testing::Test {
-    SilenceMonitorTest() {
-        settings.heartbeatInterval = Seconds(2);  // silent after 4.5 s
-        settings.workerLease = Seconds(30);       // given up after 12 s
-        settings.peers.resize(2);                 // three nodes
+struct FailureDetectorTest : testing::Test {
+    FailureDetectorTest() {
+        settings.heartbeatInterval = Seconds(2);  // suspected after 4.5 s
+        settings.workerLease = Seconds(30);       // failed after 12 s
+        settings.peers.resize(2);                 // three controllers
     }
 
     protocol::Settings settings;
@@ -25,15 +26,15 @@
     const Time began{1000s};
     Time now = began;
     std::uint64_t fencingToken = 5;
-    std::optional<FailureDetector> made;
+    std::optional<FailureDetector> created;
 
-    /// Made on first use, so that a test can choose the fencing token before.
-    FailureDetector& monitor() {
-        if (!made) made.emplace(settings, fleet, fencingToken, began, 31s);
-        return *made;
+    /// Created on first use, so that a test can choose the fencing token before.
+    FailureDetector& detector() {
+        if (!created) created.emplace(settings, fleet, fencingToken, began, 31s);
+        return *created;
     }
     /// Its last heartbeat came now.
-    Machine& reporting(const std::string& id) {
+    Machine& sendingHeartbeats(const std::string& id) {
         auto& machine = fleet.add(id, now);
         machine.reconciled = true;
         machine.sendsHeartbeats = true;
@@ -41,46 +42,46 @@
         return machine;
     }
     /// An earlier leader's tasks may be on it.
-    Machine& unheard(const std::string& id) {
+    Machine& unreconciled(const std::string& id) {
         auto& machine = fleet.add(id, now);
         machine.reconciled = false;
         machine.lastHeartbeat = began;
         return machine;
     }
     FailureDetector::Findings findings() {
-        const auto census = monitor().takeCensus(now);
-        return monitor().evaluate(census, now);
+        const auto census = detector().takeCensus(now);
+        return detector().evaluate(census, now);
     }
 };
 
 }  // namespace
 
-TEST_F(SilenceMonitorTest, ChecksComeEveryHalfSecond) {
-    EXPECT_TRUE(monitor().isDue(now));
-    monitor().takeCensus(now);
-    EXPECT_FALSE(monitor().isDue(now + 499ms));
-    EXPECT_TRUE(monitor().isDue(now + 500ms));
+TEST_F(FailureDetectorTest, CensusTakenThenTheNextIsDueAfterHalfASecond) {
+    EXPECT_TRUE(detector().isDue(now));
+    detector().takeCensus(now);
+    EXPECT_FALSE(detector().isDue(now + 499ms));
+    EXPECT_TRUE(detector().isDue(now + 500ms));
 }
 
-TEST_F(SilenceMonitorTest, ASilentMachineIsProbedAndOneThatHeartbeatsIsNot) {
-    auto& suspected = reporting("silent");
+TEST_F(FailureDetectorTest, MachineSuspectedThenOnlyItIsProbed) {
+    auto& suspected = sendingHeartbeats("suspected");
     now += 4600ms;
-    reporting("heard");
+    sendingHeartbeats("alive");
     EXPECT_EQ(findings().toProbe, Machines{&suspected});
     suspected.probing = true;
     EXPECT_TRUE(findings().toProbe.empty()) << "one probe at a time";
 }
 
-TEST_F(SilenceMonitorTest, ATakeOverWaitsForHeartbeatsBeforeItProbes) {
-    auto& machine = unheard("m1");
+TEST_F(FailureDetectorTest, LeadershipBeginsThenProbesWaitForHeartbeats) {
+    auto& machine = unreconciled("m1");
     now = began + 1500ms;
     EXPECT_TRUE(findings().toProbe.empty());
     now = began + 1501ms;
     EXPECT_EQ(findings().toProbe, Machines{&machine});
 }
 
-TEST_F(SilenceMonitorTest, AMachineThatNoProbeReachesIsGivenUp) {
-    auto& machine = unheard("m1");
+TEST_F(FailureDetectorTest, MachineAnswersNoProbeThenItHasFailed) {
+    auto& machine = unreconciled("m1");
     now = began + 12s;
     EXPECT_TRUE(findings().failedMachines.empty());
     now = began + 12001ms;
@@ -89,87 +90,87 @@
     EXPECT_TRUE(findings().failedMachines.empty()) << "it answers";
     machine.probedAt = {};
     machine.deletionRequested = true;
-    EXPECT_TRUE(findings().failedMachines.empty()) << "it was given up before";
+    EXPECT_TRUE(findings().failedMachines.empty()) << "its deletion was requested before";
 }
 
-TEST_F(SilenceMonitorTest, ASilentMachineWithoutTasksIsOnlyProbed) {
-    reporting("m1");
+TEST_F(FailureDetectorTest, SuspectedMachineWithoutTasksThenItIsOnlyProbed) {
+    sendingHeartbeats("m1");
     now += 20s;
     const auto found = findings();
     EXPECT_EQ(found.toProbe.size(), 1u);
     EXPECT_TRUE(found.failedMachines.empty());
 }
 
-// A machine may report and not get what it is sent.
-TEST_F(SilenceMonitorTest, AnUnreachableMachineCountsAsSilent) {
-    auto& unreachable = reporting("unreachable");
+// Heartbeats of such a machine arrive, but it does not receive what it is sent.
+TEST_F(FailureDetectorTest, UnreachableMachineSendsHeartbeatsThenItIsSuspectedAndFails) {
+    auto& unreachable = sendingHeartbeats("unreachable");
     unreachable.unreachableSince = now;
     now += 13s;
     unreachable.lastHeartbeat = now;
-    const auto census = monitor().takeCensus(now);
+    const auto census = detector().takeCensus(now);
     EXPECT_EQ(census.suspected, 1u);
-    EXPECT_EQ(monitor().evaluate(census, now).failedMachines, Machines{&unreachable});
+    EXPECT_EQ(detector().evaluate(census, now).failedMachines, Machines{&unreachable});
 }
 
-TEST_F(SilenceMonitorTest, ManyMachinesAtOnceAreNotGivenUp) {
-    for (const auto* id : {"m1", "m2", "m3"}) unheard(id);
+TEST_F(FailureDetectorTest, ManyMachinesSuspectedThenNoneHasFailed) {
+    for (const auto* id : {"m1", "m2", "m3"}) unreconciled(id);
     now = began + 13s;
-    for (int i = 0; i < 8; ++i) reporting("up" + std::to_string(i));
+    for (int i = 0; i < 8; ++i) sendingHeartbeats("up" + std::to_string(i));
     EXPECT_TRUE(findings().failedMachines.empty()) << "three of eleven";
-    reporting("up8");
+    sendingHeartbeats("up8");
     EXPECT_EQ(findings().failedMachines.size(), 3u) << "three of twelve";
 }
 
-TEST_F(SilenceMonitorTest, ALeaseThatIsOverIsFoundOnce) {
-    auto& machine = reporting("m1");
+TEST_F(FailureDetectorTest, LeaseExpiresThenItIsFoundUntilCleared) {
+    auto& machine = sendingHeartbeats("m1");
     machine.leaseUntil = now + 30s;
     now += 30s;
-    EXPECT_TRUE(monitor().takeCensus(now).expired.empty());
+    EXPECT_TRUE(detector().takeCensus(now).expired.empty());
     now += 1ms;
-    EXPECT_EQ(monitor().takeCensus(now).expired, Machines{&machine});
+    EXPECT_EQ(detector().takeCensus(now).expired, Machines{&machine});
     machine.sendsHeartbeats = false;  // as the leader clears it
-    EXPECT_TRUE(monitor().takeCensus(now).expired.empty());
+    EXPECT_TRUE(detector().takeCensus(now).expired.empty());
 }
 
-TEST_F(SilenceMonitorTest, ALeaderThatNobodyReachesMakesWay) {
-    unheard("m1");
-    unheard("m2");
-    now = began + 10500ms;  // patience of 4.5 s and 6 s
-    EXPECT_FALSE(findings().resignation);
+TEST_F(FailureDetectorTest, NoWorkerReachesTheLeaderThenItIsIsolated) {
+    unreconciled("m1");
+    unreconciled("m2");
+    now = began + 10500ms;  // the suspicion timeout of 4.5 s and 6 s
+    EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
-    EXPECT_TRUE(findings().resignation);
+    EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
 }
 
-TEST_F(SilenceMonitorTest, SomeLeaderStaysUntilTheLeasesAreOver) {
-    fencingToken = 8;  // one leadership in four, with three nodes
-    unheard("m1");
-    unheard("m2");
+TEST_F(FailureDetectorTest, LeaderStaysWithoutWorkersThenItIsIsolatedAfterTheLeases) {
+    fencingToken = 8;  // one leadership in four stays, with three controllers
+    unreconciled("m1");
+    unreconciled("m2");
     now = began + 51s;  // the leases and 20 s
-    EXPECT_FALSE(findings().resignation);
+    EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
-    EXPECT_TRUE(findings().resignation);
-    monitor().noteHeartbeat(now);
-    EXPECT_FALSE(findings().resignation);
+    EXPECT_EQ(findings().isolation, Isolation::neverReached);
+    detector().noteHeartbeat(now);
+    EXPECT_EQ(findings().isolation, Isolation::none);
 }
 
-TEST_F(SilenceMonitorTest, ALeaderThatHasHeardWorkersDoesNotStayWithoutThem) {
+TEST_F(FailureDetectorTest, LeaderLosesItsWorkersThenItDoesNotStay) {
     fencingToken = 8;
-    reporting("m1");
-    reporting("m2");
-    monitor().noteHeartbeat(now);
+    sendingHeartbeats("m1");
+    sendingHeartbeats("m2");
+    detector().noteHeartbeat(now);
     now += 10501ms;
-    EXPECT_TRUE(findings().resignation);
+    EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
 }
 
-TEST_F(SilenceMonitorTest, SilenceWhileThisNodeStoodStillIsItsOwn) {
-    auto& first = reporting("m1");
-    reporting("m2");
-    monitor().noteHeartbeat(now);
-    monitor().noteTick(now);
+TEST_F(FailureDetectorTest, ControllerWasSuspendedThenNoMachineIsSuspected) {
+    auto& first = sendingHeartbeats("m1");
+    sendingHeartbeats("m2");
+    detector().noteHeartbeat(now);
+    detector().noteTick(now);
     now += 20s;
-    monitor().noteTick(now);
+    detector().noteTick(now);
     EXPECT_EQ(first.lastHeartbeat, now - 2s);
     const auto found = findings();
     EXPECT_TRUE(found.toProbe.empty());
-    EXPECT_FALSE(found.resignation);
+    EXPECT_EQ(found.isolation, Isolation::none);
 }
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -20,10 +20,10 @@
 
 namespace {
 
-class ReconcilerTest : public PlacementFixture {
+class HeartbeatReconcilerTest : public PlacementFixture {
   protected:
-    /// A message of the machine's present incarnation, newer than those before.
-    Heartbeat message(const Machine& from, std::vector<TaskStatus> tasks = {}) const {
+    /// A status of the machine's current incarnation, newer than those before.
+    Heartbeat status(const Machine& from, std::vector<TaskStatus> tasks = {}) const {
         return {from.id,          from.id,           from.type, from.zone, from.spot,
                 from.incarnation, from.sequence + 1, kToken,    {},        std::move(tasks)};
     }
@@ -31,9 +31,9 @@
                            ExitReason why = ExitReason::none) {
         return {{placement.job->spec.id, placement.task, placement.attempt}, state, why, false};
     }
-    void apply(Machine& from, const Heartbeat& heartbeat, StatusSource kind = StatusSource::heartbeat) {
+    void apply(Machine& from, const Heartbeat& heartbeat, StatusSource source = StatusSource::heartbeat) {
         now += 1s;
-        reconciler.apply(from, heartbeat, kind, now);
+        reconciler.apply(from, heartbeat, source, now);
     }
     bookkeeping::Placement& sent(Machine& on, Job& job, std::uint32_t number) {
         auto& placement = place(on, job, number, PlacementState::sent);
@@ -44,51 +44,51 @@
 
 }  // namespace
 
-TEST_F(ReconcilerTest, AHeartbeatWithoutTheTaskSettlesAStart) {
+TEST_F(HeartbeatReconcilerTest, HeartbeatWithoutASentTaskThenItsPlacementEnds) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     sent(on, job, 0);
-    apply(on, message(on));
+    apply(on, status(on));
     EXPECT_EQ(count(on, job), 0u);
     EXPECT_TRUE(job.isWaiting(0));
 }
 
 // The start may still be on its way in the response to a heartbeat.
-TEST_F(ReconcilerTest, AnAnswerToACommandSettlesNoStart) {
+TEST_F(HeartbeatReconcilerTest, CommandAnswerWithoutASentTaskThenItsPlacementStays) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     sent(on, job, 0);
-    apply(on, message(on), StatusSource::answer);
+    apply(on, status(on), StatusSource::answer);
     EXPECT_EQ(count(on, job), 1u);
 }
 
-TEST_F(ReconcilerTest, WhatAMachineIsNotKnownToHaveIsTakenOver) {
+TEST_F(HeartbeatReconcilerTest, HeartbeatListsAnUnknownAttemptThenItIsAdopted) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
-    apply(on, message(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}}));
+    apply(on, status(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}}));
     ASSERT_EQ(count(on, job), 1u);
     EXPECT_EQ(on.placements.begin()->second.attempt, 77u);
     EXPECT_EQ(job.run->running, 1u);
     EXPECT_TRUE(on.hasImage("class"));
 }
 
-TEST_F(ReconcilerTest, TasksOfAMachineThatHasNotShownTheTokenDoNotCount) {
+TEST_F(HeartbeatReconcilerTest, HeartbeatWithAnOlderTokenThenItsTasksAreNotAdopted) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     on.acknowledged = false;
-    auto heartbeat = message(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
+    auto heartbeat = status(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
     heartbeat.fencingToken = kToken - 1;
     apply(on, heartbeat);
     EXPECT_EQ(count(on, job), 0u);
     EXPECT_FALSE(on.acknowledged);
 }
 
-TEST_F(ReconcilerTest, ANewIncarnationHasNoneOfTheTasksBefore) {
+TEST_F(HeartbeatReconcilerTest, NewIncarnationThenAllButPlannedPlacementsEnd) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     place(on, job, 0);
     place(on, job, 1, PlacementState::planned);
-    auto heartbeat = message(on);
+    auto heartbeat = status(on);
     heartbeat.incarnation = 2;
     heartbeat.sequence = 1;
     apply(on, heartbeat);
@@ -96,74 +96,74 @@
     EXPECT_EQ(on.incarnation, 2u);
 }
 
-TEST_F(ReconcilerTest, AnExitFreesTheTaskAndADoneOneIsToBeStored) {
+TEST_F(HeartbeatReconcilerTest, TasksExitThenDoneIsFinishedAndStoppedWaitsAgain) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     const auto done = task(place(on, job, 0), TaskState::exited, ExitReason::done);
     const auto stopped = task(place(on, job, 1), TaskState::exited, ExitReason::stopped);
-    apply(on, message(on, {done, stopped}));
+    apply(on, status(on, {done, stopped}));
     EXPECT_EQ(count(on, job), 0u);
     EXPECT_TRUE(job.isFinished(0));
     EXPECT_FALSE(job.isDone(0));
     EXPECT_TRUE(job.isWaiting(1));
 }
 
-TEST_F(ReconcilerTest, AGangThatIsDoneIsDoneWhole) {
+TEST_F(HeartbeatReconcilerTest, OneGangTaskDoneThenAllAreFinished) {
     auto& job = accept(spec("wk-1", JobKind::gang));
     auto& on = machine("m1");
-    apply(on, message(on, {task(place(on, job, 0), TaskState::exited, ExitReason::done)}));
+    apply(on, status(on, {task(place(on, job, 0), TaskState::exited, ExitReason::done)}));
     for (std::uint32_t each = 0; each < job.spec.tasks; ++each) EXPECT_TRUE(job.isFinished(each));
 }
 
-TEST_F(ReconcilerTest, ATaskDoneElsewhereIsStopped) {
+TEST_F(HeartbeatReconcilerTest, RunningTaskAlreadyFinishedThenItIsStopped) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     const auto running = task(place(on, job, 0), TaskState::running);
     job.finish(0);
-    apply(on, message(on, {running}));
+    apply(on, status(on, {running}));
     EXPECT_EQ(countStopping(on), 1u);
 }
 
-TEST_F(ReconcilerTest, ATaskOfACancelledJobIsStopped) {
+TEST_F(HeartbeatReconcilerTest, RunningTaskOfACancelledJobThenItIsStoppedAtOnce) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     const auto running = task(place(on, job, 0), TaskState::running);
     job.terminalState = storage::TerminalState::cancelled;
-    apply(on, message(on, {running}));
+    apply(on, status(on, {running}));
     EXPECT_EQ(countStopping(on), 1u);
     EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
-TEST_F(ReconcilerTest, StartsThatNeverArriveMakeAMachineUnreachableUntilOneDoes) {
+TEST_F(HeartbeatReconcilerTest, StartsDoNotArriveThenTheMachineIsUnreachableUntilOneDoes) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     for (std::uint32_t i = 0; i < coordination::kMaxUndeliveredResponses; ++i) {
         EXPECT_FALSE(on.unreachableSince);
         sent(on, job, 0);
-        apply(on, message(on));
+        apply(on, status(on));
     }
     EXPECT_TRUE(on.unreachableSince);
-    apply(on, message(on, {task(sent(on, job, 0), TaskState::fetching)}));
+    apply(on, status(on, {task(sent(on, job, 0), TaskState::fetching)}));
     EXPECT_FALSE(on.unreachableSince);
 }
 
-TEST_F(ReconcilerTest, ALostTaskStopsAGangThatHasBegun) {
+TEST_F(HeartbeatReconcilerTest, TaskOfABegunGangLostThenTheWholeGangIsStopped) {
     auto& job = accept(spec("wk-1", JobKind::gang));
     auto& on = machine("m1");
     auto& other = machine("m2");
     for (std::uint32_t each = 0; each < 2; ++each) place(on, job, each);
     for (std::uint32_t each = 2; each < 4; ++each) place(other, job, each);
-    apply(on, message(on));
+    apply(on, status(on));
     EXPECT_EQ(count(on, job), 0u);
     EXPECT_EQ(countStopping(other), 2u);
     EXPECT_EQ(other.reservedFor, &job);  // for its next attempt
 }
 
-TEST_F(ReconcilerTest, FailuresOfAFewAreTheMachinesAndOfManyTheJobs) {
+TEST_F(HeartbeatReconcilerTest, FailuresOnManyMachinesThenTheJobBacksOff) {
     auto& job = accept(spec("wk-1"));
     for (const char* id : {"m1", "m2", "m3"}) {
         auto& on = machine(id);
-        apply(on, message(on, {task(place(on, job, 0), TaskState::exited, ExitReason::error)}));
+        apply(on, status(on, {task(place(on, job, 0), TaskState::exited, ExitReason::error)}));
     }
     EXPECT_EQ(fleet.find("m1")->errorJobs.size(), 1u);
     EXPECT_EQ(fleet.find("m2")->errorJobs.size(), 1u);
@@ -171,7 +171,7 @@
     EXPECT_EQ(job.run->backoffUntil, now + 5s);
 }
 
-TEST_F(ReconcilerTest, AInterruptionStopsWhatWouldNotBeDone) {
+TEST_F(HeartbeatReconcilerTest, InterruptionNoticeThenOnlyTasksNotDoneInTimeAreStopped) {
     auto array = spec("wk-1");
     array.estimatedRunTime = Seconds(100);
     auto& nearlyDone = accept(array);
@@ -184,14 +184,14 @@
     const auto old = task(place(on, nearlyDone, 0), TaskState::running);
     now += 60s;
     const auto fresh = task(place(on, begun, 0), TaskState::running);
-    auto heartbeat = message(on, {old, fresh});
+    auto heartbeat = status(on, {old, fresh});
     heartbeat.interruptionNotice = Seconds(15);
     apply(on, heartbeat);
     EXPECT_TRUE(on.draining);
     for (const auto& [key, placement] : on.placements) EXPECT_EQ(placement.stopping, key.job == &begun);
 }
 
-TEST_F(ReconcilerTest, NothingIsLeftOfAMachineWhoseLeaseIsOver) {
+TEST_F(HeartbeatReconcilerTest, LeaseExpiredThenAllPlacementsEnd) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     fleet.setReconciled(on, false);
@@ -202,56 +202,56 @@
     EXPECT_TRUE(job.isWaiting(0));
 }
 
-TEST(AttemptNumbersTest, ContainTheTokenAndRise) {
-    AttemptIdGenerator numbers(3);
-    const auto first = numbers.next();
+TEST(AttemptIdGeneratorTest, IdsContainTheTokenAndIncrease) {
+    AttemptIdGenerator ids(3);
+    const auto first = ids.next();
     EXPECT_EQ(first >> 32, 3u);
-    EXPECT_GT(numbers.next(), first);
-    EXPECT_GT(AttemptIdGenerator(4).next(), numbers.next());
+    EXPECT_GT(ids.next(), first);
+    EXPECT_GT(AttemptIdGenerator(4).next(), ids.next());
 }
 
-TEST(RemovedMachinesTest, WhatIsNoNewerThanTheLastMessageIsALateCopy) {
-    MachineTombstones removed;
+TEST(MachineTombstonesTest, HeartbeatNotNewerThanTheLastThenItIsALateCopy) {
+    MachineTombstones tombstones;
     bookkeeping::Machine machine;
     machine.id = "m1";
     machine.incarnation = 2;
     machine.sequence = 5;
-    removed.note(machine);
+    tombstones.add(machine);
     Heartbeat heartbeat;
     heartbeat.machine = "m1";
     heartbeat.incarnation = 2;
     heartbeat.sequence = 5;
-    EXPECT_TRUE(removed.isLateCopy(heartbeat));
+    EXPECT_TRUE(tombstones.isLateCopy(heartbeat));
     heartbeat.sequence = 6;
-    EXPECT_FALSE(removed.isLateCopy(heartbeat));
+    EXPECT_FALSE(tombstones.isLateCopy(heartbeat));
     heartbeat.machine = "m2";
     heartbeat.incarnation = 1;
-    EXPECT_FALSE(removed.isLateCopy(heartbeat));
+    EXPECT_FALSE(tombstones.isLateCopy(heartbeat));
 }
 
-TEST(RemovedMachinesTest, OfADeletedMachineAllIsLate) {
-    MachineTombstones removed;
-    removed.noteDeleted("m1");
+TEST(MachineTombstonesTest, MachineDeletedThenEveryHeartbeatIsALateCopy) {
+    MachineTombstones tombstones;
+    tombstones.addDeleted("m1");
     Heartbeat heartbeat;
     heartbeat.machine = "m1";
     heartbeat.incarnation = 1'000'000;
-    EXPECT_TRUE(removed.isLateCopy(heartbeat));
-    EXPECT_TRUE(removed.isDeleted("m1"));
+    EXPECT_TRUE(tombstones.isLateCopy(heartbeat));
+    EXPECT_TRUE(tombstones.isDeleted("m1"));
     bookkeeping::Machine machine;
     machine.id = "m1";
-    removed.note(machine);  // does not bring it back
-    EXPECT_TRUE(removed.isDeleted("m1"));
+    tombstones.add(machine);  // it stays deleted
+    EXPECT_TRUE(tombstones.isDeleted("m1"));
 }
 
-TEST(RemovedMachinesTest, AMachineThatIsBackHasItsCounters) {
-    MachineTombstones removed;
+TEST(MachineTombstonesTest, MachineReturnsThenItsCountersAreRestored) {
+    MachineTombstones tombstones;
     bookkeeping::Machine machine;
     machine.id = "m1";
     machine.incarnation = 2;
     machine.sequence = 5;
-    removed.note(machine);
+    tombstones.add(machine);
     bookkeeping::Machine back;
     back.id = "m1";
-    removed.restoreCounters(back);
+    tombstones.restoreCounters(back);
     EXPECT_EQ(back.latestVersion(), machine.latestVersion());
 }
--- a/tests/worker_commands_test.cpp
+++ b/tests/worker_commands_test.cpp
@@ -45,33 +45,34 @@
         listed.why = why;
         heartbeat.tasks.push_back(listed);
     }
-    std::vector<protocol::WorkerCommand> settling() {
+    std::vector<protocol::WorkerCommand> cleanup() {
         std::vector<protocol::WorkerCommand> commands;
-        EXPECT_TRUE(coordination::addSettlingCommands(heartbeat, replica, commands));
+        EXPECT_EQ(coordination::addCleanupCommands(heartbeat, replica, commands),
+                  coordination::CommandFit::complete);
         return commands;
     }
 };
 
 }  // namespace
 
-TEST_F(WorkerCommandsTest, AResultIsForgottenOnlyOnceItIsStored) {
+TEST_F(WorkerCommandsTest, TaskDoneThenItIsAcknowledgedOnlyOnceItsBitIsStored) {
     auto& job = accept("wk-1", TerminalState::none);
     list("wk-1", 3, TaskState::exited, ExitReason::done);
     job.finish(3);
-    EXPECT_TRUE(settling().empty());
+    EXPECT_TRUE(cleanup().empty());
     job.setDone(3);
-    ASSERT_EQ(settling().size(), 1u);
-    EXPECT_EQ(settling().front().kind, CommandKind::acknowledge);
+    ASSERT_EQ(cleanup().size(), 1u);
+    EXPECT_EQ(cleanup().front().kind, CommandKind::acknowledge);
 }
 
-TEST_F(WorkerCommandsTest, FailuresAndStraysAreSettledAtOnce) {
+TEST_F(WorkerCommandsTest, FailedOrUnknownTasksThenTheyAreAcknowledgedOrStopped) {
     accept("wk-1", TerminalState::none, 10);
     list("wk-1", 0, TaskState::exited, ExitReason::error);
     list("wk-1", 10, TaskState::running, ExitReason::none);  // the job has no such task
     list("wk-2", 0, TaskState::running, ExitReason::none);
     list("wk-2", 1, TaskState::exited, ExitReason::done);
-    list("wk-1", 1, TaskState::running, ExitReason::none);  // as it should be
-    const auto commands = settling();
+    list("wk-1", 1, TaskState::running, ExitReason::none);  // known and running
+    const auto commands = cleanup();
     ASSERT_EQ(commands.size(), 4u);
     EXPECT_EQ(commands[0].kind, CommandKind::acknowledge);
     EXPECT_EQ(commands[1].kind, CommandKind::stop);
@@ -79,7 +80,7 @@
     EXPECT_EQ(commands[3].kind, CommandKind::acknowledge);
 }
 
-TEST_F(WorkerCommandsTest, AnOldListOnlyStopsWhatIsOver) {
+TEST_F(WorkerCommandsTest, ListMayBeOldThenOnlyTasksOfTerminatedJobsAreStopped) {
     accept("wk-1", TerminalState::none);
     accept("wk-2", TerminalState::cancelled);
     list("wk-1", 0, TaskState::running, ExitReason::none);
@@ -92,15 +93,16 @@
     EXPECT_EQ(commands.front().attempt.task, 1u);
 }
 
-TEST_F(WorkerCommandsTest, AResponseTakesABoundedNumberOfCommands) {
+TEST_F(WorkerCommandsTest, TooManyCommandsThenTheResponseIsTruncated) {
     for (std::uint32_t task = 0; task < 400; ++task)
         list("unknown", task, TaskState::running, ExitReason::none);
     std::vector<protocol::WorkerCommand> commands;
-    EXPECT_FALSE(coordination::addSettlingCommands(heartbeat, replica, commands));
+    EXPECT_EQ(coordination::addCleanupCommands(heartbeat, replica, commands),
+              coordination::CommandFit::truncated);
     EXPECT_EQ(commands.size(), coordination::kMaxCommands);
 }
 
-TEST_F(WorkerCommandsTest, StopsAreSentForWhatIsMarkedAndMayBeThere) {
+TEST_F(WorkerCommandsTest, TasksMarkedAsStoppingThenOnlySentOnesAreStopped) {
     auto& job = accept("wk-1", TerminalState::none);
     auto& machine = fleet.add("m1", Time{});
     const auto place = [&](std::uint32_t task, PlacementState state) -> bookkeeping::Placement& {
@@ -115,6 +117,6 @@
     auto commands = coordination::stopCommands(machine);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands.front().attempt.task, 2u);
-    saving.grace = Seconds(0);  // it need not be saved any more
+    saving.grace = Seconds(0);  // its progress need not be saved any more
     EXPECT_EQ(coordination::stopCommands(machine).size(), 2u);
 }
