--- a/src/bookkeeping/image.h
+++ b/src/bookkeeping/image.h
@@ -1,14 +1,16 @@
 #pragma once
 
+// Names of task images and the images in a machine's cache. Owns one copy of each name for the life of the
+// process. Used only on the thread that owns the process's state, as the names are not guarded by a lock.
+
 #include <cstddef>
 #include <functional>
 #include <string>
 
 namespace burlpoint::bookkeeping {
 
-/// A task image, by its name. Each name is kept once for the life of the process, so that images are compared
-/// and hashed by the name's address: a heartbeat compares the images of a machine with those of all waiting
-/// jobs. Only for the thread that owns the process's state.
+/// A task image, by its name. Images are compared and hashed by the address of the one copy of their name,
+/// because each heartbeat compares the images of a machine with those of all waiting jobs.
 class Image {
   public:
     Image(const std::string& name);
@@ -22,7 +24,7 @@
     };
 
   private:
-    const std::string* name_;
+    const std::string* name_;  // never null
 };
 
 /// An image in a machine's cache.
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -1,10 +1,24 @@
 #include "bookkeeping/job.h"
 
 #include <algorithm>
+#include <charconv>
 
 namespace burlpoint::bookkeeping {
 
 namespace keys = storage::keys;
+using storage::TerminalState;
+
+namespace {
+
+/// The bytes of `bits` bits as JSON: four to a hexadecimal digit, in quotes.
+std::size_t encodedBytes(std::size_t bits) { return (bits + 3) / 4 + 2; }
+
+}  // namespace
+
+const Image& Job::image() const {
+    if (!image_) image_ = Image(spec.image);
+    return *image_;
+}
 
 void Job::setDone(std::uint32_t task) {
     if (task >= spec.tasks || isDone(task) || terminalState != TerminalState::none) return;
@@ -17,18 +31,17 @@
     if (wasWaiting) --run->waiting;
 }
 
-void Job::setChunkVersion(std::size_t chunk, std::uint64_t newVersion) {
-    if (chunkVersions.empty()) chunkVersions.resize(chunks());
-    if (chunk < chunkVersions.size()) chunkVersions[chunk] = std::max(chunkVersions[chunk], newVersion);
+BitRange Job::chunkRange(std::size_t chunk) const {
+    const auto first = chunk * chunkTasks;
+    return {first, std::min<std::size_t>(first + chunkTasks, spec.tasks), chunk};
 }
 
 BitRange Job::rangeOf(std::uint32_t task, std::size_t maxBytes) const {
-    const std::size_t tasks = spec.tasks, chunk = task / chunkTasks, first = chunk * chunkTasks;
-    const auto end = std::min(first + chunkTasks, tasks);
-    if ((end - first + 3) / 4 + 2 <= maxBytes) return {first, end, chunk};  // digits and quotes
+    const auto chunk = chunkRange(task / chunkTasks);
+    if (encodedBytes(chunk.end - chunk.first) <= maxBytes) return chunk;
     const std::size_t size = storage::chunkTasks(static_cast<double>(maxBytes) / 1024);
-    const auto from = task / size * size;
-    return {from, std::min(from + size, tasks), std::nullopt};
+    const auto first = task / size * size;
+    return {first, std::min<std::size_t>(first + size, spec.tasks), std::nullopt};
 }
 
 std::string Job::keyOf(const BitRange& range) const {
@@ -36,16 +49,18 @@
                        : keys::donePart(spec.id, range.first, range.end);
 }
 
-std::uint64_t Job::versionOf(const BitRange& range) const {
-    if (range.chunk) return chunkVersion(*range.chunk);
-    const auto found = partVersions.find(range);
-    return found == partVersions.end() ? 0 : found->second;
-}
-
-void Job::setVersion(const BitRange& range, std::uint64_t newVersion) {
-    if (range.chunk) return setChunkVersion(*range.chunk, newVersion);
-    auto& known = partVersions[range];
-    known = std::max(known, newVersion);
+std::optional<BitRange> Job::parseRange(std::string_view text) const {
+    const char* const end = text.data() + text.size();
+    std::size_t first = 0;
+    const auto [stop, error] = std::from_chars(text.data(), end, first);
+    if (error != std::errc()) return std::nullopt;
+    if (stop == end) return first < chunks() ? std::optional(chunkRange(first)) : std::nullopt;
+    if (*stop != '-') return std::nullopt;
+    std::size_t last = 0;
+    const auto [lastStop, lastError] = std::from_chars(stop + 1, end, last);
+    if (lastError != std::errc() || lastStop != end) return std::nullopt;
+    if (first >= last || last > spec.tasks) return std::nullopt;
+    return BitRange{first, last, std::nullopt};
 }
 
 bool Job::finish(std::uint32_t task) {
@@ -80,9 +95,9 @@
     return run->firstWaitingHint < spec.tasks ? std::optional(run->firstWaitingHint) : std::nullopt;
 }
 
-void Job::beginRun(bool inherited, Time now) {
+void Job::beginRun(JobOrigin origin, Time now) {
     run = std::make_unique<JobRun>(spec.tasks);
-    run->inherited = inherited;
+    run->origin = origin;
     run->waitingSince = now;
     run->priority = effectivePriority;
     run->waiting = terminalState == TerminalState::none ? spec.tasks - doneCount : 0;
--- a/src/bookkeeping/machine_status.h
+++ b/src/bookkeeping/machine_status.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What the controllers' records tell of a machine's past: whether it was ever up, whether it is faulty. Owns
-// nothing.
+// What is known of a machine's past from the records of all leaders: whether it was ever up, whether it is
+// faulty. Pure functions.
 
 #include <cstddef>
 #include <string>
@@ -11,19 +11,21 @@
 
 namespace burlpoint::bookkeeping {
 
-/// May an earlier leader have given the machine a task? The machine registry entry of one that has not
-/// reported yet has no address, and no task is given under it.
+/// May an earlier leader have started a task on the machine? No task is started on a machine before it has
+/// sent a heartbeat, and until then its entry in the machine registry has no address.
 inline bool mayHoldTasks(const StateReplica& replica, const std::string& machine) {
     const auto stored = replica.registeredMachines.find(machine);
     return stored != replica.registeredMachines.end() && !stored->second.record.address.empty();
 }
 
-/// It has reported, here or to an earlier leader: if it is silent, it does not boot, it is lost.
+/// Has the machine sent a heartbeat, to this or an earlier leader? If so and it sends none any more, it is
+/// not booting but lost.
 inline bool wasUp(const Machine& machine, const StateReplica& replica) {
     return machine.incarnation > 0 || mayHoldTasks(replica, machine.id);
 }
 
-/// Tasks of several jobs have failed on it since one last worked: the machine is the likely cause.
+/// Have tasks of several jobs failed on the machine since one was last done? Then the machine is the likely
+/// cause.
 inline bool isFaulty(const Machine& machine) {
     constexpr std::size_t kFaultyAfter = 2;  // jobs; one alone may be at fault itself
     return machine.errorJobs.size() >= kFaultyAfter;
--- a/src/bookkeeping/machine_types.h
+++ b/src/bookkeeping/machine_types.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The machine types that the cloud offers, and which of them a job's owner allows. Pure functions.
+// The machine types that the cloud offers, and which of them a job's owner allows. Pure functions.
 
 #include <map>
 #include <string>
@@ -13,10 +13,10 @@
 /// The cloud's machine types by name.
 using MachineTypes = std::map<std::string, protocol::MachineType>;
 
-/// The type of that name; null: the cloud has not told of it so far.
+/// Null if the cloud has not listed a type of that name so far.
 const protocol::MachineType* findType(const MachineTypes& types, const std::string& name);
 
-/// The job's owner allows it on such a machine. Says nothing of the machine's size.
+/// Does the job's owner allow it on such a machine? Whether the machine is large enough is not checked.
 bool ownerAllows(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
 }  // namespace burlpoint::bookkeeping
--- /dev/null
+++ b/src/bookkeeping/offering.h
@@ -0,0 +1,18 @@
+#pragma once
+
+// The unit in which the cloud offers machines. Plain values.
+
+#include <compare>
+#include <string>
+
+namespace burlpoint::bookkeeping {
+
+/// What the cloud offers at one price: a machine type in a zone, as a spot machine or not.
+struct Offering {
+    std::string type;
+    std::string zone;
+    bool spot = false;
+    auto operator<=>(const Offering&) const = default;
+};
+
+}  // namespace burlpoint::bookkeeping
--- /dev/null
+++ b/src/bookkeeping/replica_change.h
@@ -0,0 +1,16 @@
+#pragma once
+
+// Notices of what has changed in the StateReplica. Plain values.
+
+#include <string>
+
+namespace burlpoint::bookkeeping {
+
+enum class ChangeKind { job, leader, machine, types };
+
+struct Change {
+    ChangeKind kind;
+    std::string id;  // of the job or the machine; otherwise empty
+};
+
+}  // namespace burlpoint::bookkeeping
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -12,6 +12,7 @@
 namespace burlpoint::coordination {
 
 using bookkeeping::heartbeatVersionOf;
+using bookkeeping::JobOrigin;
 using bookkeeping::RegistrationState;
 using storage::TerminalState;
 using namespace std::chrono_literals;
@@ -74,7 +75,8 @@
 void Leader::takeOverJobs() {
     for (const auto& [id, job] : replica_.jobs()) {
         job->run.reset();
-        if (job->terminalState == TerminalState::none && job->ready()) activator_.begin(*job, true, now_);
+        if (job->terminalState == TerminalState::none && job->ready())
+            activator_.begin(*job, JobOrigin::inherited, now_);
     }
 }
 
@@ -289,8 +291,7 @@
         spdlog::info("{} is silent and is given up", machine->id);
         machine->deletionRequested = true;
     }
-    if (findings.isolation != Isolation::none)
-        actions_.push_back(Resign{describe(findings.isolation), true});
+    if (findings.isolation != Isolation::none) actions_.push_back(Resign{describe(findings.isolation), true});
 }
 
 // --- users and the key-value store
@@ -311,7 +312,7 @@
     if (job.terminalState == TerminalState::none) {
         // One that waited for others cannot be on a machine: an earlier leader would have seen them stored as
         // done, and so would this one as it began.
-        if (!job.run && job.ready()) activator_.begin(job, false, now_);
+        if (!job.run && job.ready()) activator_.begin(job, JobOrigin::accepted, now_);
         return;
     }
     jobQueue_.remove(job);
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -125,7 +125,7 @@
     if (run.overdue && run.launchedTasks == 0 && job.doneCount == 0) run.firstOverdueTask = *task;
     ++run.launchedTasks;
     if (job.spec.kind == JobKind::gang) run.gangAttempt = attempt;
-    if (machine.reservedFor == &job) context_.fleet.reserve(machine, nullptr);
+    if (machine.reservedFor == &job) context_.fleet.cancelReservation(machine);
     machine.lastBusyAt = turn.now;
     spdlog::debug("start {}/{} attempt {} on {} after report {}.{}", job.spec.id, *task, attempt, machine.id,
                   machine.incarnation, machine.sequence);
@@ -146,7 +146,7 @@
     if (context_.fleet.reservations(job, now) >= run.waiting) return;
     const auto time =
         std::chrono::duration_cast<Clock::duration>(context_.settings.heartbeatInterval * kHeartbeatsKept);
-    context_.fleet.reserve(machine, &job, now + time, true);
+    context_.fleet.reserve(machine, job, now + time, bookkeeping::ReservationKind::waiting);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -150,7 +150,7 @@
     for (auto* machine : chosen) {
         while (!job.isWaiting(task)) ++task;
         fleet_.place(*machine, job, task, job.run->gangAttempt, PlacementState::planned, now);
-        if (machine->reservedFor == &job) fleet_.reserve(*machine, nullptr);
+        if (machine->reservedFor == &job) fleet_.cancelReservation(*machine);
     }
     zoneReservations_.release(job);
     jobQueue_.markStale();
--- a/src/coordination/scheduling/job_activator.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -27,8 +27,8 @@
                            StateWriter& writer)
     : settings_(settings), wallClock_(wallClock), jobQueue_(jobQueue), writer_(writer) {}
 
-void JobActivator::begin(Job& job, bool inherited, Time now) {
-    job.beginRun(inherited, now);
+void JobActivator::begin(Job& job, bookkeeping::JobOrigin origin, Time now) {
+    job.beginRun(origin, now);
     auto& run = *job.run;
     run.team = settings_.team(job.spec.team);
     run.shortestWaitObjective = shortestWaitAim(settings_, job.spec.jobClass);
--- a/src/coordination/scheduling/job_activator.h
+++ b/src/coordination/scheduling/job_activator.h
@@ -18,9 +18,9 @@
     JobActivator(const protocol::Settings& settings, const WallClock& wallClock, JobQueue& jobQueue,
                  StateWriter& writer);
 
-    /// Begins the run of a job that has none. `inherited`: it was accepted, and may have been started, before
-    /// this leader began.
-    void begin(bookkeeping::Job& job, bool inherited, Time now);
+    /// Begins the run of a job that has none. `origin` says whether an earlier
+    /// leader may have started its tasks.
+    void begin(bookkeeping::Job& job, bookkeeping::JobOrigin origin, Time now);
 
   private:
     const protocol::Settings& settings_;
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -42,7 +42,7 @@
     return known && !isFaulty(machine) && machine.typeInfo;
 }
 
-std::uint32_t maxTasksInZone(const bookkeeping::JobSpec& spec) {
+std::uint32_t maxTasksInZone(const protocol::JobSpec& spec) {
     return spec.spreadZones ? (spec.tasks + 1) / 2 : spec.tasks;
 }
 
@@ -56,7 +56,7 @@
 }
 
 bool blockedByUnreconciled(const Job& job, const Fleet& fleet) {
-    if (!job.run->inherited) return false;
+    if (job.run->origin != bookkeeping::JobOrigin::inherited) return false;
     const auto& offerings = fleet.unreconciled();
     return std::any_of(offerings.begin(), offerings.end(), [&](const auto& entry) {
         return bookkeeping::ownerAllows(job.spec, entry.first.type, entry.first.zone, entry.first.spot);
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -23,7 +23,7 @@
 
 /// How many of the job's tasks may be in one zone: half of them, rounded up, if it has to be spread, else
 /// all.
-std::uint32_t maxTasksInZone(const bookkeeping::JobSpec& spec);
+std::uint32_t maxTasksInZone(const protocol::JobSpec& spec);
 
 /// May one more of the job's tasks run in the zone, with the others where they possibly are? True unless the
 /// job has to stay in one zone and is in another, or has to be spread and half of it, rounded up, is here.
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -106,7 +106,7 @@
     spdlog::debug("room for {} of {} {} on {}: {} tasks stop", plan.tasks, job.spec.id, job.spec.jobClass,
                   machine.id, plan.victims.size());
     for (auto* victim : plan.victims) context_.terminator.stop(machine, *victim, victim->job->spec.saveTime);
-    context_.fleet.reserve(machine, &job, until, false, plan.tasks);
+    context_.fleet.reserve(machine, job, until, bookkeeping::ReservationKind::preempting, plan.tasks);
 }
 
 // --- single tasks -----------------------------------------------------------------------------------------
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -46,7 +46,8 @@
     if (machine.isReserved(now) || machine.interruptionAt) return;
     const Seconds time = grace + settings_.heartbeatInterval * kHeartbeatsUntilFree + kGangReservation;
     const auto until = now + std::chrono::duration_cast<Clock::duration>(time);
-    fleet_.reserve(machine, &job, until, false, job.run->machines.at(machine.id));
+    fleet_.reserve(machine, job, until, bookkeeping::ReservationKind::preempting,
+                   job.run->machines.at(machine.id));
 }
 
 std::set<std::string> TaskTerminator::takeUrgent() { return std::exchange(urgent_, {}); }
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -169,7 +169,7 @@
         bits.resize(job.spec.tasks);
         for (const auto task : tasks) bits[task] = true;
         auto text = storage::encodeBits(bits, range.first, range.end - range.first);
-        if (put(draft, job.keyOf(range), std::move(text), job.versionOf(range)))
+        if (put(draft, job.keyOf(range), std::move(text), job.bitmapVersions.of(range)))
             draft.contents.bitmaps.push_back({&job, range, std::move(tasks)});
     }
 }
@@ -247,7 +247,7 @@
     auto& job = *write.job;
     if (job.terminalState != TerminalState::none) return;
     for (const auto task : write.tasks) job.setDone(task);
-    job.setVersion(write.range, revision);
+    job.bitmapVersions.raise(write.range, revision);
     if (job.run->unpersistedTasks.empty() && job.doneCount < job.spec.tasks) unstored_.erase(&job);
 }
 
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -8,6 +8,7 @@
 
 using bookkeeping::AttemptKey;
 using bookkeeping::Job;
+using bookkeeping::JobOrigin;
 using bookkeeping::Machine;
 using bookkeeping::Placement;
 using bookkeeping::PlacementState;
@@ -151,7 +152,7 @@
 /// Adds a placement for an attempt that an earlier leader started.
 Placement& HeartbeatReconciler::adopt(Machine& machine, Job& job, const AttemptKey& key, PlacementState state,
                                       Time now) {
-    if (!job.run) context_.activator.begin(job, true, now);
+    if (!job.run) context_.activator.begin(job, JobOrigin::inherited, now);
     auto& placement = context_.fleet.place(machine, job, key.task, key.attempt, state, now);
     if (job.spec.kind == JobKind::gang) job.run->gangAttempt = std::max(job.run->gangAttempt, key.attempt);
     context_.jobQueue.markStale();
@@ -176,7 +177,7 @@
 /// The task is done, whichever attempt did it. Its bit has to be stored before users are told.
 void HeartbeatReconciler::noteTaskDone(Job& job, std::uint32_t task, Time now) {
     if (job.terminalState != TerminalState::none || job.spec.kind == JobKind::service) return;
-    if (!job.run) context_.activator.begin(job, true, now);
+    if (!job.run) context_.activator.begin(job, JobOrigin::inherited, now);
     if (!finish(job, task)) return;
     context_.writer.noteUnstored(job);
     job.run->errorMachines.clear();
--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -50,7 +50,7 @@
         job.spec.tasks = 20;
         job.spec.cpus = cpus;
         job.spec.gpus = gpus;
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         job.run->priority = priority;
         return job;
     }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -63,7 +63,7 @@
         job.spec.kind = protocol::JobKind::service;
         job.spec.cpus = 8;
         job.spec.tasks = tasks;
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
     }
     ScalingRequests decide(Clock::duration step = 1s) {
         now += step;
@@ -102,7 +102,7 @@
     machine("m1");
     auto& reserved = machine("m2");
     Job other;
-    fleet.reserve(reserved, &other, now + 90s);
+    fleet.reserve(reserved, other, now + 90s);
     EXPECT_EQ(scaleIn(80s), Names{});
     EXPECT_EQ(scaleIn(10s), Names{"m2"});
     order.clear();
--- a/tests/capacity_plan_test.cpp
+++ b/tests/capacity_plan_test.cpp
@@ -68,7 +68,7 @@
     Job& job(JobSpec spec) {
         auto added = std::make_unique<Job>();
         added->spec = std::move(spec);
-        added->beginRun(false, now);
+        added->beginRun(bookkeeping::JobOrigin::accepted, now);
         jobs.push_back(std::move(added));
         return *jobs.back();
     }
@@ -142,10 +142,10 @@
     auto& reserved = machine("m1");
     auto& first = job(make("wk-1", 1, 8));
     auto& second = job(make("wk-2", 1, 8));
-    fleet.reserve(reserved, &second, now + 10s);
+    fleet.reserve(reserved, second, now + 10s);
     EXPECT_EQ(plan().missingMachines(), (ToRent{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
-    fleet.reserve(reserved, &first, now);  // over
+    fleet.reserve(reserved, first, now);  // over
     second.run->waiting = 0;
     EXPECT_EQ(plan().missingMachines(), ToRent{});
 }
@@ -278,7 +278,7 @@
     job1.run->errorMachines["m3"] = now;
     EXPECT_EQ(plan().missingMachines(), ToRent{});
     job1.run->errorMachines.clear();
-    job1.terminalState = bookkeeping::TerminalState::cancelled;
+    job1.terminalState = storage::TerminalState::cancelled;
     job1.run.reset();
     EXPECT_EQ(plan().missingMachines(), ToRent{});
 }
--- a/tests/fetch_pacing_test.cpp
+++ b/tests/fetch_pacing_test.cpp
@@ -49,7 +49,7 @@
         job.spec.tasks = tasks;
         job.spec.cpus = 1;
         job.spec.estimatedRunTime = Seconds(10);
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         return job;
     }
     void refresh() {
--- a/tests/gang_planner_test.cpp
+++ b/tests/gang_planner_test.cpp
@@ -111,7 +111,7 @@
 TEST_F(GangPlannerTest, AMachineKeptForTheGangIsTheFirstChoice) {
     auto& job = accept(gang());
     for (const char* id : {"m1", "m2", "m3"}) machine(id);
-    fleet.reserve(*fleet.find("m3"), &job, now + 10s);
+    fleet.reserve(*fleet.find("m3"), job, now + 10s);
     plan();
     EXPECT_EQ(placed(job), (Names{"m1:2", "m3:2"}));
     EXPECT_EQ(fleet.find("m3")->reservedFor, nullptr);
--- a/tests/job_queue_test.cpp
+++ b/tests/job_queue_test.cpp
@@ -40,7 +40,7 @@
         job.spec.estimatedRunTime = Seconds(10);
         job.effectivePriority = priority;
         job.accepted = jobs.size();
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         job.run->readyAt = now;
         job.run->team = &free;
         jobQueue.add(job);
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -9,6 +9,7 @@
 
 using namespace burlpoint;
 using namespace burlpoint::bookkeeping;
+using storage::TerminalState;
 using namespace std::chrono_literals;
 
 namespace {
@@ -40,7 +41,7 @@
 RC_GTEST_PROP(Jobs, CountersMatchTheTasks, ()) {
     Job job;
     job.spec = arrayOf(*rc::gen::inRange<std::uint32_t>(1, 30));
-    job.beginRun(false, Time{});
+    job.beginRun(JobOrigin::accepted, Time{});
     Fleet fleet;
     auto& a = fleet.add("a", Time{});
     a.zone = "x";
@@ -135,7 +136,7 @@
     const auto* job = replica.find(spec.id);
     EXPECT_EQ(job->doneCount, 2u);
     EXPECT_TRUE(job->isDone(9) && job->isDone(17) && !job->isDone(8));
-    EXPECT_EQ(job->chunkVersion(1), 2u);
+    EXPECT_EQ(job->bitmapVersions.of(job->chunkRange(1)), 2u);
 }
 
 TEST(StateReplica, MalformedValuesChangeNothing) {
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -13,7 +13,8 @@
 using namespace burlpoint::bookkeeping;
 using protocol::MapReader;
 using protocol::MessagePacker;
-using storage::JobRecord;
+using protocol::Priority;
+using storage::TerminalState;
 
 namespace {
 
@@ -31,8 +32,8 @@
     }
 };
 
-JobSpec spec(std::size_t n, std::vector<std::string> needs = {}) {
-    JobSpec s;
+protocol::JobSpec spec(std::size_t n, std::vector<std::string> needs = {}) {
+    protocol::JobSpec s;
     s.id = idOf(n);
     s.jobClass = s.team = s.image = "x";
     s.tasks = 2;
@@ -40,7 +41,7 @@
     return s;
 }
 
-Stored record(const JobSpec& s, TerminalState terminalState, std::uint64_t version,
+Stored record(const protocol::JobSpec& s, TerminalState terminalState, std::uint64_t version,
               std::uint64_t endedMs = 0) {
     return {storage::keys::job(s.id), storage::encodeJob({s, terminalState, 1000 * version, 0, 4, endedMs}),
             version};
@@ -60,7 +61,7 @@
 /// Jobs that need others before them, and the definition of what follows from that: each answer is worked out
 /// anew from all jobs.
 struct Graph {
-    std::vector<JobSpec> specs;                 // each needs only some before it
+    std::vector<protocol::JobSpec> specs;                 // each needs only some before it
     std::vector<TerminalState> terminalWrites;  // as recorded
     std::vector<std::uint64_t> ended;           // ms, of those done
     std::vector<Priority> urgency;              // of the open ones, by `rank`
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -46,7 +46,7 @@
         job.spec.team = team.name;
         job.spec.tasks = 4;
         job.spec.cpus = 2;
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         job.run->team = &team;
         job.run->priority = priority;
         job.run->rank = static_cast<int>(priority);
@@ -133,7 +133,7 @@
 
 TEST_F(Rules, AnInheritedJobWaitsForMachinesThatItMayBeOn) {
     auto& inherited = job();
-    inherited.run->inherited = true;
+    inherited.run->origin = bookkeeping::JobOrigin::inherited;
     auto& unheard = machine("m");
     EXPECT_FALSE(blockedByUnreconciled(inherited, fleet));
     fleet.setReconciled(unheard, false);
@@ -185,7 +185,7 @@
 TEST_F(Rules, RoomKeptForAJobIsNotForOthersOfNoHigherRank) {
     auto& here = machine("m");
     auto& holder = job(Priority::high);
-    fleet.reserve(here, &holder, now + 5s, true, 2);
+    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::waiting, 2);
     EXPECT_DOUBLE_EQ(room(here, holder), 8);
     EXPECT_DOUBLE_EQ(room(here, job(Priority::high)), 4);
     EXPECT_DOUBLE_EQ(room(here, job(Priority::low)), 4);
@@ -201,9 +201,10 @@
     auto& holder = job(Priority::high);
     auto& guaranteed = job(Priority::normal);
     guaranteed.run->rank = kGuaranteedRank;
-    fleet.reserve(here, &holder, now + 5s, false, 1);
+    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::preempting, 1);
     EXPECT_DOUBLE_EQ(room(here, guaranteed), 6);
-    fleet.reserve(here, &holder, now + 5s, true, 1);  // only what came free by itself
+    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::waiting,
+                  1);  // only what came free by itself
     EXPECT_DOUBLE_EQ(room(here, guaranteed), 8);
 }
 
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -77,7 +77,7 @@
         std::vector<bookkeeping::Change> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(accepted.id), &packed.get(), ++revision}, changes));
         auto& job = *replica.find(accepted.id);
-        runs.begin(job, false, now);
+        runs.begin(job, bookkeeping::JobOrigin::accepted, now);
         return job;
     }
     /// Brings the order of jobs and the pacing up to date.
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -60,7 +60,7 @@
         std::vector<bookkeeping::Change> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(id), &packed.get(), ++revision}, changes));
         auto& job = *replica.find(id);
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         return job;
     }
     void finish(Job& job, std::uint32_t task) {
--- a/tests/worker_commands_test.cpp
+++ b/tests/worker_commands_test.cpp
@@ -35,7 +35,7 @@
         std::vector<bookkeeping::Change> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(id), &packed.get(), 1}, changes));
         auto& job = *replica.find(id);
-        job.beginRun(false, Time{});
+        job.beginRun(bookkeeping::JobOrigin::accepted, Time{});
         return job;
     }
     void list(const std::string& job, std::uint32_t task, TaskState state, ExitReason why) {
--- a/tests/zone_reservations_test.cpp
+++ b/tests/zone_reservations_test.cpp
@@ -46,7 +46,7 @@
         job.spec.tasks = 4;
         job.spec.cpus = 2;
         job.spec.gpus = gpus;
-        job.beginRun(false, now - age);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now - age);
         job.run->readyAt = now - age;
         job.run->waitingSince = now - age;
         job.run->priority = priority;
