--- a/tests/fleet_recount.h
+++ b/tests/fleet_recount.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Compares what the fleet keeps as indexes and running totals with a recount of what is on its machines.
+// Compares the indexes and running sums of the fleet with a recount of the placements on its machines.
 
 #include <algorithm>
 #include <cmath>
@@ -17,7 +17,8 @@
     return std::abs(a.cpus - b.cpus) + std::abs(a.gpus - b.gpus) + std::abs(a.memoryGb - b.memoryGb) > kSlack;
 }
 
-/// Where a machine's running totals and its entries among the images differ from a recount, in words.
+/// Describes where a machine's running sums and its image index entries differ from a recount. Empty:
+/// nowhere.
 inline std::string recountMachine(const bookkeeping::Fleet& fleet, const bookkeeping::Machine& machine) {
     bookkeeping::Machine expected;
     for (const auto& [key, placement] : machine.placements) {
@@ -43,8 +44,8 @@
     return wrong;
 }
 
-/// Where the fleet's indexes and running totals, and those of the jobs' runs, differ from a recount, in
-/// words.
+/// Describes where the indexes and running sums of the fleet and of the jobs' runs differ from a recount.
+/// Empty: nowhere.
 inline std::string recount(const bookkeeping::Fleet& fleet, const bookkeeping::StateReplica& replica) {
     using bookkeeping::Job;
     std::string wrong;
--- a/tests/jobs_test.cpp
+++ b/tests/jobs_test.cpp
@@ -37,8 +37,8 @@
 
 }  // namespace
 
-// The counters of a run are kept step by step; here they are counted anew after each step.
-RC_GTEST_PROP(Jobs, CountersMatchTheTasks, ()) {
+// The counters of a run are updated with each change; here they are compared with a recount after each.
+RC_GTEST_PROP(JobRun, CountersMatchARecountAfterEachChange, ()) {
     Job job;
     job.spec = arrayOf(*rc::gen::inRange<std::uint32_t>(1, 30));
     job.beginRun(JobOrigin::accepted, Time{});
@@ -82,8 +82,8 @@
     }
 }
 
-// Reads that cross on the way must not bring an older value back.
-TEST(StateReplica, KeepsTheNewestOfEachKey) {
+// Reads that overtake each other must not bring an older value back.
+TEST(StateReplica, OlderValueArrivesLateThenTheNewestIsKept) {
     StateReplica replica;
     const auto spec = arrayOf(20);
     const auto key = storage::keys::job(spec.id);
@@ -96,9 +96,9 @@
     EXPECT_TRUE(replica.openJobs().empty());
 }
 
-// A cancellation heard of from a peer, of a job known and of one whose record is read only afterwards,
-// perhaps as it stood before.
-TEST(StateReplica, ACancellationHeardOfStays) {
+// A cancellation that a peer has confirmed, of a known job and of one whose record is read only afterwards,
+// perhaps as it was before the cancellation.
+TEST(StateReplica, CancellationConfirmedByAPeerThenItStays) {
     StateReplica replica;
     const auto spec = arrayOf(20);
     const auto key = storage::keys::job(spec.id);
@@ -125,7 +125,7 @@
     EXPECT_EQ(replica.cancelled().size(), 2u);
 }
 
-TEST(StateReplica, ReadsBitmapsInChunks) {
+TEST(StateReplica, BitmapChunksReadThenTheirTasksAreDone) {
     StateReplica replica;
     const auto spec = arrayOf(20);
     EXPECT_TRUE(store(replica, storage::keys::job(spec.id), record(spec, TerminalState::none), 1));
@@ -139,36 +139,36 @@
     EXPECT_EQ(job->bitmapVersions.of(job->chunkRange(1)), 2u);
 }
 
-TEST(StateReplica, MalformedValuesChangeNothing) {
+TEST(StateReplica, MalformedValueThenNothingChanges) {
     StateReplica replica;
     const auto spec = arrayOf(3);
     EXPECT_FALSE(store(replica, storage::keys::job("wk-2"), record(spec, TerminalState::none),
-                       1));  // under another's key
+                       1));  // under another job's key
     EXPECT_FALSE(store(replica, storage::keys::kToken, protocol::MessagePacker().value(7).take(), 1));
     EXPECT_EQ(replica.find("wk-2"), nullptr);
     EXPECT_EQ(replica.tokenVersion, 0u);
 }
 
-TEST(LeaderLease, CountsFromTheSendingOfTheRenewal) {
-    coordination::LeaderLease tenure;
+TEST(LeaderLease, RenewedThenItLastsFromWhenTheRenewalWasSent) {
+    coordination::LeaderLease lease;
     const Time start{1000s};
-    EXPECT_FALSE(tenure.valid(start));
-    tenure.begin(start, 8000ms);
-    EXPECT_TRUE(tenure.valid(start + 7800ms));
-    EXPECT_FALSE(tenure.valid(start + 7900ms));  // before the key-value store's 8 s are over
-    tenure.renewed(start + 5s);
-    EXPECT_TRUE(tenure.valid(start + 12s));
-    tenure.renewed(start + 2s);  // an answer that was overtaken shortens nothing
-    EXPECT_TRUE(tenure.valid(start + 12s));
-    tenure.end();
-    EXPECT_FALSE(tenure.valid(start));
+    EXPECT_FALSE(lease.valid(start));
+    lease.begin(start, 8000ms);
+    EXPECT_TRUE(lease.valid(start + 7800ms));
+    EXPECT_FALSE(lease.valid(start + 7900ms));  // before the key-value store's 8 s are over
+    lease.renewed(start + 5s);
+    EXPECT_TRUE(lease.valid(start + 12s));
+    lease.renewed(start + 2s);  // an answer that was overtaken shortens nothing
+    EXPECT_TRUE(lease.valid(start + 12s));
+    lease.end();
+    EXPECT_FALSE(lease.valid(start));
 }
 
-TEST(Machine, CacheKeepsTheLatestImagesWithinItsSize) {
+TEST(Fleet, ImagesUsedThenTheCacheKeepsTheLatestWithinItsSize) {
     Fleet fleet;
-    auto& m = fleet.add("m", Time{});
-    for (const char* image : {"a", "b", "a", "c"}) fleet.useImage(m, image, 10, 25);
-    EXPECT_TRUE(m.hasImage("a") && m.hasImage("c") && !m.hasImage("b"));
+    auto& machine = fleet.add("m", Time{});
+    for (const char* image : {"a", "b", "a", "c"}) fleet.useImage(machine, image, 10, 25);
+    EXPECT_TRUE(machine.hasImage("a") && machine.hasImage("c") && !machine.hasImage("b"));
     EXPECT_EQ(fleet.withImage("a").size(), 1u);
     EXPECT_TRUE(fleet.withImage("b").empty());
 }
