--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -83,7 +83,7 @@
 }
 
 bool blockedByUnreconciled(const Job& job, const Fleet& fleet) {
-    if (!job.run->inherited) return false;
+    if (job.run->origin != bookkeeping::JobOrigin::inherited) return false;
     const auto& offerings = fleet.unreconciled();
     return std::any_of(offerings.begin(), offerings.end(), [&](const auto& entry) {
         const auto& offering = entry.first;
--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -52,7 +52,7 @@
         job.spec.tasks = 20;
         job.spec.cpus = cpus;
         job.spec.gpus = gpus;
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         job.run->priority = priority;
         return job;
     }
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -47,7 +47,7 @@
         job.spec.team = team.name;
         job.spec.tasks = 4;
         job.spec.cpus = 2;
-        job.beginRun(false, now);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         job.run->team = &team;
         job.run->priority = priority;
         job.run->rank = static_cast<int>(rankOfPriority(priority));
@@ -138,7 +138,7 @@
 
 TEST_F(PlacementConstraintsTest, InheritedJobIsBlockedByUnreconciledMachinesItMayBeOn) {
     auto& inherited = job();
-    inherited.run->inherited = true;
+    inherited.run->origin = bookkeeping::JobOrigin::inherited;
     auto& unheard = machine("m");
     EXPECT_FALSE(blockedByUnreconciled(inherited, fleet));
     fleet.setReconciled(unheard, false);
--- a/tests/zone_reservations_test.cpp
+++ b/tests/zone_reservations_test.cpp
@@ -47,7 +47,7 @@
         job.spec.tasks = 4;
         job.spec.cpus = 2;
         job.spec.gpus = gpus;
-        job.beginRun(false, now - age);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now - age);
         job.run->readyAt = now - age;
         job.run->waitingSince = now - age;
         job.run->priority = priority;
