--- /dev/null
+++ b/tests/combined_failures/cancellations_and_pipelines_test.cpp
@@ -0,0 +1,94 @@
+// Cancellations that race with the end of jobs, and jobs with dependencies, under combined failures.
+#include <gtest/gtest.h>
+
+#include "base/clock.h"
+#include "combined_failures/scenario.h"
+
+using namespace burlpoint;
+using namespace burlpoint::tests;
+using simulation::Faults;
+using simulation::Occurrences;
+using simulation::SimulatedCluster;
+
+namespace {
+
+Scenario pipelineScenario() {
+    Scenario scenario;
+    scenario.generateJob = randomJobWithDependencies;
+    scenario.prepare = [](SimulatedCluster& cluster) { cluster.workers.longestRun = Seconds(6); };
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return occurrences.startsAfterDependencies;
+    };
+    return scenario;
+}
+
+void askAboutAllJobs(SimulatedCluster& cluster) {
+    for (const auto& [id, spec] : cluster.jobs) cluster.users.ask(id);
+}
+
+/// Cancels, with a chance of one half each, the first job whose tasks have all completed and that is not
+/// stored as done yet.
+void cancelAJobThatEnds(SimulatedCluster& cluster) {
+    for (const auto& [id, spec] : cluster.jobs) {
+        const bool ends = spec.kind != protocol::JobKind::service &&
+                          cluster.environment.jobs.allTasksCompleted(id) &&
+                          cluster.store.terminalStateOf(id) == storage::TerminalState::none;
+        if (ends && cluster.random.below(2) == 0) return cluster.users.cancel(id);
+    }
+}
+
+}  // namespace
+
+TEST(History, CancellationsQuestionsAndRepetitionsMeetTheEndOfTheLastTask) {
+    Scenario scenario;
+    scenario.faults = Faults::none();
+    scenario.faults.userActionsAtJobEndProbability = 0.8;
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return occurrences.cancellationsAtJobEnd;
+    };
+    checkScenario(scenario);
+}
+
+// Dependencies end while leaders come and go and transactions are carried out late.
+TEST(History, WhatIsFreedStartsOnlyAfterItsDependenciesAreStored) {
+    auto scenario = pipelineScenario();
+    scenario.faults.unansweredWriteProbability = 0.1;
+    scenario.faults.taskErrorProbability = 0.02;
+    scenario.script = [](SimulatedCluster& cluster, int second) {
+        if (second % 9 == 4) cluster.leaders.endLeadership(cluster.random.seconds(0.1, 4));
+        if (second % 5 == 0) askAboutAllJobs(cluster);
+    };
+    checkScenario(scenario);
+}
+
+// Jobs are cancelled at the moment at which their last task ends, and while no leader hears of it.
+TEST(History, WhatNeedsACancelledJobNeverStartsAndIsCancelledOnEveryNode) {
+    auto scenario = pipelineScenario();
+    scenario.faults.unansweredWriteProbability = 0.05;
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return occurrences.cancellationsByDependency;
+    };
+    scenario.script = [](SimulatedCluster& cluster, int second) {
+        cancelAJobThatEnds(cluster);
+        if (second % 17 == 8) cluster.leaders.loseStore(Seconds(6));
+        if (second % 23 == 11) cluster.leaders.endLeadership(cluster.random.seconds(0.1, 6));
+        if (second % 31 == 20) cluster.beginStoreOutage(cluster.random.seconds(2, 15));
+        askAboutAllJobs(cluster);
+    };
+    checkScenario(scenario);
+}
+
+TEST(History, PipelinesGoOnAcrossOutagesAndLoweredLimits) {
+    auto scenario = pipelineScenario();
+    scenario.prepare = [](SimulatedCluster& cluster) {
+        cluster.workers.longestRun = Seconds(6);
+        cluster.store.lowerLimits(Seconds(20 + cluster.random.below(50)), {3, 1024, 4});
+        if (cluster.random.below(2) == 0) cluster.settings.nextStoreLimits = protocol::StoreLimits{4, 1, 3};
+    };
+    scenario.script = [](SimulatedCluster& cluster, int second) {
+        if (second % 30 == 12) cluster.beginStoreOutage(cluster.random.seconds(2, 20));
+        if (second % 19 == 6) cluster.leaders.endLeadership(cluster.random.seconds(0.1, 6));
+        if (second % 5 == 0) askAboutAllJobs(cluster);
+    };
+    checkScenario(scenario);
+}
--- /dev/null
+++ b/tests/combined_failures/late_messages_test.cpp
@@ -0,0 +1,89 @@
+// Messages and transactions that arrive or are carried out late, or only one way.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+
+#include "base/clock.h"
+#include "combined_failures/scenario.h"
+
+using namespace burlpoint;
+using namespace burlpoint::tests;
+using simulation::Occurrences;
+using simulation::SimulatedCluster;
+
+TEST(History, OldHeartbeatsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes) {
+    Scenario scenario;
+    scenario.faults.heartbeatDuplicateProbability = 0.4;
+    scenario.faults.heartbeatHeldForNextLeaderProbability = 0.2;
+    scenario.faults.workerRestartsPerSecond = 0.02;
+    scenario.faults.leaderCrashesPerSecond = 0.03;
+    scenario.faults.taskErrorProbability = 0.1;
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return occurrences.heartbeatsOfEarlierIncarnations;
+    };
+    checkScenario(scenario);
+}
+
+TEST(History, AHeartbeatIsHeldBackUntilANewLeaderHasActed) {
+    Scenario scenario;
+    scenario.faults.heartbeatHeldForNextLeaderProbability = 0.6;
+    scenario.faults.workerRestartsPerSecond = 0.01;
+    scenario.faults.leaderCrashesPerSecond = 0.05;
+    scenario.faults.taskErrorProbability = 0.1;
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return occurrences.heartbeatsSeenByNextLeader;
+    };
+    checkScenario(scenario);
+}
+
+TEST(History, TransactionsAreCarriedOutAfterNewerOnesOfTheSameController) {
+    Scenario scenario;
+    scenario.faults.unansweredWriteProbability = 0.35;
+    scenario.faults.workerDeathsPerSecond = 0.01;
+    scenario.faults.workerRestartsPerSecond = 0.01;
+    scenario.faults.leaderCrashesPerSecond = 0.01;
+    scenario.moreHistories = {136};
+    scenario.countOccurrences = [](const Occurrences& occurrences) { return occurrences.lateWritesRejected; };
+    checkScenario(scenario);
+}
+
+TEST(History, CommandsAndAnswersAreHeldUpAndTheMachineGoesOn) {
+    Scenario scenario;
+    scenario.prepare = useLongTasks;
+    scenario.faults.messageHeldUntilRecoveryProbability = 0.8;
+    scenario.faults.workerHangsPerSecond = 0.02;
+    scenario.faults.workerPartitionsPerSecond = 0.01;
+    scenario.script = [](SimulatedCluster& cluster, int second) {
+        if (second % 15 != 12) return;
+        const double longestHang = cluster.settings.workerLease.count() * 1.1;
+        for (int i = 0; i < 4; ++i) {  // cancelled as their machines begin to hang
+            const auto id = chooseRunningJob(cluster);
+            if (id.empty()) return;
+            for (const auto& machine : cluster.workers.workersWithTasks(id))
+                cluster.workers.hang(machine, cluster.random.seconds(1, longestHang));
+            cluster.users.cancel(id);
+        }
+    };
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return std::min(occurrences.commandsAfterRecovery, occurrences.cancellationsOnUnreachableMachines);
+    };
+    checkScenario(scenario);
+}
+
+TEST(History, WorkersThatReachNoControllerTakeDirectCommands) {
+    Scenario scenario;
+    scenario.prepare = useLongTasks;
+    scenario.faults.outboundLinkFailuresPerSecond = 0.02;
+    scenario.faults.leaderCrashesPerSecond = 0.02;
+    scenario.script = [](SimulatedCluster& cluster, int second) {
+        if (second % 20 != 15) return;
+        forHalfOfBusyMachines(cluster, [&](const std::string& machine) {
+            cluster.workers.breakOutboundLink(machine, cluster.random.seconds(5, 45));
+        });
+        cancelRunningJobs(cluster, 2);
+    };
+    scenario.countOccurrences = [](const Occurrences& occurrences) {
+        return occurrences.commandsWithoutOutboundLink;
+    };
+    checkScenario(scenario);
+}
--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -18,8 +18,14 @@
 namespace burlpoint::tests {
 namespace {
 
+using protocol::Heartbeat;
+using protocol::JobKind;
+using protocol::JobSpec;
+using protocol::WorkerCommand;
+using simulation::Faults;
+using simulation::SimulatedCluster;
+
 constexpr std::uint64_t kDefaultHistories = 200;
-constexpr std::uint64_t kSeedFactor = 0x9e3779b97f4a7c15u;  // spreads consecutive numbers over all seeds
 
 std::string hex(std::string_view bytes) {
     std::ostringstream out;
@@ -65,46 +71,47 @@
 
 struct HistoryKind {
     std::string name;
-    World::Faults faults;
-    Make makeJob;
+    Faults faults;
+    JobGenerator generateJob;
 };
 
 std::vector<HistoryKind> historyKinds() {
-    World::Faults crashing;
-    crashing.crash = 0.12;
-    World::Faults cutOff;
-    cutOff.cut = 0.03;
-    cutOff.hang = 0.02;
-    cutOff.late = 0.12;
-    cutOff.lose = 0.1;
-    cutOff.crash = 0.03;
-    World::Faults lateCopies;
-    lateCopies.unreachable = 0.02;
-    lateCopies.copy = 0.4;
-    lateCopies.back = 0.01;
-    lateCopies.anew = 0.004;
-    lateCopies.sever = 0.03;
-    lateCopies.crash = 0.03;
+    Faults crashing;
+    crashing.leaderCrashesPerSecond = 0.12;
+    Faults cutOff;
+    cutOff.workerPartitionsPerSecond = 0.03;
+    cutOff.workerHangsPerSecond = 0.02;
+    cutOff.lateExecutionProbability = 0.12;
+    cutOff.messageLossProbability = 0.1;
+    cutOff.leaderCrashesPerSecond = 0.03;
+    Faults lateCopies;
+    lateCopies.inboundLinkFailuresPerSecond = 0.02;
+    lateCopies.heartbeatDuplicateProbability = 0.4;
+    lateCopies.workerRestartsPerSecond = 0.01;
+    lateCopies.workerCounterResetsPerSecond = 0.004;
+    lateCopies.leaderStoreLossesPerSecond = 0.03;
+    lateCopies.leaderCrashesPerSecond = 0.03;
     return {{"every-failure", {}, randomJob},
-            {"pipelines", {}, partOfAGraph},
+            {"pipelines", {}, randomJobWithDependencies},
             {"crashing-leaders", crashing, randomJob},
             {"cut-off-workers", cutOff, randomJob},
-            {"late-copies", lateCopies, partOfAGraph}};
+            {"late-copies", lateCopies, randomJobWithDependencies}};
 }
 
 /// Plays the history of that number; false if a rule was broken in it.
 bool traceHistory(std::uint64_t number, const HistoryKind& kind) {
     std::cout << "history " << number << " " << kind.name << "\n";
-    World world(number * kSeedFactor, kind.faults);
-    const auto began = world.now();
-    world.onAction = [&](const coordination::Action& action) {
-        const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(world.now() - began);
+    SimulatedCluster cluster(seedOf(number), kind.faults);
+    const auto& environment = cluster.environment;
+    const auto began = environment.now();
+    cluster.leaders.onAction = [&](const coordination::Action& action) {
+        const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(environment.now() - began);
         std::cout << at.count() << " " << std::visit([](const auto& a) { return describe(a); }, action)
                   << "\n";
     };
-    const auto wrong = play(world, Seconds(100), {}, kind.makeJob);
-    std::cout << "starts " << world.starts << " take-overs " << world.takeOvers << " verdict " << wrong
-              << "\n";
+    const auto wrong = playHistory(cluster, Seconds(100), {}, kind.generateJob);
+    std::cout << "starts " << cluster.occurrences.startedTasks << " take-overs "
+              << cluster.occurrences.failovers << " verdict " << wrong << "\n";
     return wrong.empty();
 }
 
--- /dev/null
+++ b/tests/simulation/event_queue.h
@@ -0,0 +1,34 @@
+#pragma once
+
+// Simulated time, and what is to happen at later moments of it.
+
+#include <functional>
+#include <map>
+
+#include "base/clock.h"
+
+namespace burlpoint::simulation {
+
+class EventQueue {
+  public:
+    Time now() const { return now_; }
+    void advance(Clock::duration step) { now_ += step; }
+
+    void schedule(Clock::duration delay, std::function<void()> event) {
+        events_.emplace(now_ + delay, std::move(event));
+    }
+    /// Runs the events that are due, those scheduled meanwhile included, in the order of their times.
+    void runDue() {
+        while (!events_.empty() && events_.begin()->first <= now_) {
+            const auto event = std::move(events_.begin()->second);
+            events_.erase(events_.begin());
+            event();
+        }
+    }
+
+  private:
+    Time now_{std::chrono::seconds(1000)};
+    std::multimap<Time, std::function<void()>> events_;
+};
+
+}  // namespace burlpoint::simulation
--- /dev/null
+++ b/tests/simulation/simulated_leaders.cpp
@@ -0,0 +1,168 @@
+#include "simulation/simulated_leaders.h"
+
+#include <map>
+
+#include "fleet_recount.h"
+
+namespace burlpoint::simulation {
+
+using namespace std::chrono_literals;
+using coordination::LeaderEvent;
+
+namespace {
+
+constexpr std::uint64_t kRecountEvery = 16;  // events; a recount takes long
+
+}  // namespace
+
+void SimulatedLeaders::step(double seconds) {
+    auto& random = environment_.random;
+    const auto& faults = environment_.faults;
+    const auto now = environment_.now();
+    if (!leadership_ && now >= nextElection_ && !store_.isOut()) elect();
+    if (leadership_ && random.chance(faults.leaderCrashesPerSecond * seconds)) crash();
+    if (leadership_ && leadership_->reachesStore() &&
+        random.chance(faults.leaderStoreLossesPerSecond * seconds))
+        leadership_->leaseEnd = now + random.delay(1, 8);
+    if (leadership_ && now >= leadership_->leaseEnd) crash();
+    if (!leadership_) return;
+    const auto longestPause = 400ms + toClockDuration(store_.latency());
+    const bool reads = random.chance(0.5) || now - leadership_->lastRead >= longestPause;
+    if (reads && leadership_->reachesStore() && !store_.isOut()) readStore(*leadership_);
+    handle(coordination::Tick{});
+}
+
+void SimulatedLeaders::elect() {
+    ++environment_.occurrences.failovers;
+    noteTeamsAtMaximum();
+    auto leadership = std::make_shared<Leadership>();
+    leadership->fencingToken = store_.fencingToken() + 1;
+    store_.commitAtOnce({}, {{storage::keys::kToken, storage::encodeToken(leadership->fencingToken), 0}});
+    readStore(*leadership);
+    leadership->leader = std::make_unique<coordination::Leader>(environment_.settings, environment_.policy,
+                                                                leadership->replica, leadership->fencingToken,
+                                                                environment_.now(), 0);
+    leadership_ = std::move(leadership);
+    network_.releaseHeldHeartbeats();
+}
+
+void SimulatedLeaders::crash() {
+    leadership_.reset();
+    // Back at once, or another controller after the lease; messages on the way are not lost by this.
+    auto& random = environment_.random;
+    nextElection_ = environment_.now() + (random.chance(0.3) ? Clock::duration(200ms) : random.delay(1, 8));
+}
+
+void SimulatedLeaders::endLeadership(Seconds pause) {
+    leadership_.reset();
+    nextElection_ = environment_.now() + toClockDuration(pause);
+}
+
+void SimulatedLeaders::loseStore(Seconds longest) {
+    if (leadership_ && leadership_->reachesStore())
+        leadership_->leaseEnd = environment_.now() + environment_.random.delay(0.5, longest.count());
+}
+
+void SimulatedLeaders::moveIntoCutZone() {
+    if (!leadership_) return;
+    leadership_->insideCutZone = true;
+    loseStore(Seconds(8));
+}
+
+void SimulatedLeaders::readStoreBeforeOutage() {
+    if (leadership_ && leadership_->reachesStore()) readStore(*leadership_);
+}
+
+void SimulatedLeaders::noteTeamsAtMaximum() {
+    std::map<std::string, double> cpusOfTeams;
+    bool someOutOfReach = false;
+    for (const auto& [id, worker] : workers_.all()) {
+        if (!workers_.holdsLease(worker)) continue;
+        someOutOfReach |= !worker.tasks.empty() && !workers_.findReachable(id);
+        for (const auto& [attempt, task] : worker.tasks) {
+            const auto& spec = environment_.jobs.specs.at(attempt.job);
+            if (task.state != protocol::TaskState::exited) cpusOfTeams[spec.team] += spec.cpus;
+        }
+    }
+    constexpr double kCpusOfLargestTask = 3;
+    for (const auto& [name, cpus] : cpusOfTeams) {
+        const double maximum = environment_.settings.team(name)->maxCpus;
+        const bool nearMaximum = maximum > 0 && cpus + kCpusOfLargestTask > maximum;
+        environment_.occurrences.failoversAtTeamMaximum += someOutOfReach && nearMaximum;
+    }
+}
+
+void SimulatedLeaders::readStore(Leadership& leadership) {
+    leadership.lastRead = environment_.now();
+    coordination::JobsChanged jobs;
+    for (const auto& change : store_.readChanges(leadership.replica, leadership.replicaPosition))
+        if (change.kind == bookkeeping::ChangeKind::job) jobs.ids.push_back(change.id);
+    if (leadership.leader && !jobs.ids.empty()) handle(std::move(jobs));
+}
+
+void SimulatedLeaders::handle(LeaderEvent event) {
+    if (!leadership_) return;
+    const auto leadership = leadership_;  // it may end while its actions are carried out
+    auto actions = leadership->leader->handle(std::move(event), environment_.now());
+    if (++handledEvents_ % kRecountEvery == 0) {
+        const auto differences = tests::recount(leadership->leader->fleet(), leadership->replica);
+        if (!differences.empty()) environment_.brokenRules.push_back("recount: " + differences);
+    }
+    for (const auto& action : actions) {
+        if (leadership_ != leadership) return;
+        if (onAction) onAction(action);
+        std::visit([this](const auto& decided) { perform(decided); }, action);
+    }
+}
+
+Requester SimulatedLeaders::requester() {
+    Requester requester;
+    requester.fencingToken = leadership_->fencingToken;
+    requester.insideCutZone = leadership_->insideCutZone;
+    requester.reachesStore = leadership_->reachesStore();
+    requester.respond = [this, token = leadership_->fencingToken](Clock::duration delay, LeaderEvent event) {
+        environment_.events.schedule(delay, [this, token, event = std::move(event)]() mutable {
+            if (leadership_ && leadership_->fencingToken == token) handle(std::move(event));
+        });
+    };
+    return requester;
+}
+
+void SimulatedLeaders::perform(const coordination::RefreshReplica&) {
+    environment_.events.schedule(20ms, [this, token = leadership_->fencingToken] {
+        if (!leadership_ || leadership_->fencingToken != token) return;
+        if (!leadership_->reachesStore() || store_.isOut())
+            return handle(coordination::ReplicaRefreshed{false});
+        readStore(*leadership_);
+        handle(coordination::ReplicaRefreshed{true});
+    });
+}
+
+void SimulatedLeaders::receiveHeartbeat(const protocol::Heartbeat& heartbeat, std::uint64_t request) {
+    if (leadership_ && network_.areConnected(workers_.at(heartbeat.machine), leadership_->insideCutZone))
+        handle(coordination::HeartbeatReceived{request, heartbeat});
+}
+
+std::string SimulatedLeaders::describe(const std::string& id) const {
+    if (!leadership_) return "no leader";
+    const auto* job = leadership_->replica.find(id);
+    std::string text = "done " + std::to_string(job->doneCount);
+    if (job->run)
+        text += " waiting " + std::to_string(job->run->waiting) + " placed " +
+                std::to_string(job->run->placedTotal) + " unpersisted " +
+                std::to_string(job->run->unpersistedTasks.size()) + " errors on " +
+                std::to_string(job->run->errorMachines.size());
+    text += "; last conflict " + store_.lastFailedKey() + "; " + leadership_->leader->stateWriter().summary();
+    for (const auto& [machineId, machine] : leadership_->leader->fleet().machines())
+        text += "\n  " + machineId + " " + machine->type + "/" + machine->zone +
+                (machine->spot ? "/spot" : "") + " acknowledged " + std::to_string(machine->acknowledged) +
+                " reconciled " + std::to_string(machine->reconciled) + " registration " +
+                std::to_string(static_cast<int>(machine->registration)) + " draining " +
+                std::to_string(machine->draining) + " deletion requested " +
+                std::to_string(machine->deletionRequested) + " errors " +
+                std::to_string(machine->errorJobs.size()) + " tasks " +
+                std::to_string(machine->placements.size());
+    return text;
+}
+
+}  // namespace burlpoint::simulation
