--- a/tests/combined_failures/cancellations_and_pipelines_test.cpp
+++ b/tests/combined_failures/cancellations_and_pipelines_test.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST(History, CancellationsQuestionsAndRepetitionsMeetTheEndOfTheLastTask) {
+TEST(History, RulesHoldWhenUsersCancelAskAndResubmitAsTheLastTaskEnds) {
     Scenario scenario;
     scenario.faults = Faults::none();
     scenario.faults.userActionsAtJobEndProbability = 0.8;
@@ -50,7 +50,7 @@
 }
 
 // Dependencies end while leaders come and go and transactions are carried out late.
-TEST(History, WhatIsFreedStartsOnlyAfterItsDependenciesAreStored) {
+TEST(History, DependentJobsStartOnlyAfterTheirDependenciesAreStored) {
     auto scenario = pipelineScenario();
     scenario.faults.unansweredWriteProbability = 0.1;
     scenario.faults.taskErrorProbability = 0.02;
@@ -62,7 +62,7 @@
 }
 
 // Jobs are cancelled at the moment at which their last task ends, and while no leader hears of it.
-TEST(History, WhatNeedsACancelledJobNeverStartsAndIsCancelledOnEveryNode) {
+TEST(History, DependentsOfACancelledJobNeverStartAndAreCancelledOnEveryController) {
     auto scenario = pipelineScenario();
     scenario.faults.unansweredWriteProbability = 0.05;
     scenario.countOccurrences = [](const Occurrences& occurrences) {
@@ -78,7 +78,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, PipelinesGoOnAcrossOutagesAndLoweredLimits) {
+TEST(History, PipelinesFinishAcrossStoreOutagesAndLoweredLimits) {
     auto scenario = pipelineScenario();
     scenario.prepare = [](SimulatedCluster& cluster) {
         cluster.workers.longestRun = Seconds(6);
--- a/tests/combined_failures/capacity_and_zones_test.cpp
+++ b/tests/combined_failures/capacity_and_zones_test.cpp
@@ -9,7 +9,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, MoreWorkThanRoomUrgentAndNotOverSlowLinks) {
+TEST(History, RulesHoldWhenWorkOfAllPrioritiesExceedsCapacityAndFetchesAreSlow) {
     Scenario scenario;
     scenario.maxJobs = 25;
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
@@ -25,7 +25,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, JobsBoundToOneZoneLoseMachines) {
+TEST(History, RulesHoldWhenJobsBoundToOneZoneLoseMachines) {
     Scenario scenario;
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
         auto spec = randomJob(cluster, number);
@@ -49,7 +49,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, AZoneWithWorkersAndAControllerIsCutOffForLongerThanALease) {
+TEST(History, RulesHoldWhenAZoneWithWorkersAndAControllerIsCutOffForLongerThanALease) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(130);
--- a/tests/combined_failures/late_messages_test.cpp
+++ b/tests/combined_failures/late_messages_test.cpp
@@ -11,7 +11,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, OldHeartbeatsOfEarlierSessionsAndAttemptsArriveAfterNewerOnes) {
+TEST(History, RulesHoldWhenHeartbeatsOfEarlierIncarnationsArriveAfterNewerOnes) {
     Scenario scenario;
     scenario.faults.heartbeatDuplicateProbability = 0.4;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.2;
@@ -24,7 +24,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, AHeartbeatIsHeldBackUntilANewLeaderHasActed) {
+TEST(History, RulesHoldWhenHeartbeatsArriveOnlyAfterANewLeaderHasActed) {
     Scenario scenario;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.6;
     scenario.faults.workerRestartsPerSecond = 0.01;
@@ -36,7 +36,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, TransactionsAreCarriedOutAfterNewerOnesOfTheSameController) {
+TEST(History, RulesHoldWhenTransactionsAreCarriedOutAfterNewerOnesOfTheSameController) {
     Scenario scenario;
     scenario.faults.unansweredWriteProbability = 0.35;
     scenario.faults.workerDeathsPerSecond = 0.01;
@@ -47,7 +47,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, CommandsAndAnswersAreHeldUpAndTheMachineGoesOn) {
+TEST(History, RulesHoldWhenMessagesAreHeldUntilTheirMachineRecovers) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.messageHeldUntilRecoveryProbability = 0.8;
@@ -70,7 +70,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, WorkersThatReachNoControllerTakeDirectCommands) {
+TEST(History, RulesHoldWhenWorkersReachNoControllerButTakeDirectCommands) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.outboundLinkFailuresPerSecond = 0.02;
--- a/tests/combined_failures/leader_changes_test.cpp
+++ b/tests/combined_failures/leader_changes_test.cpp
@@ -9,7 +9,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, ALeaderEndsWhileMachinesWithLongTasksCannotBeReached) {
+TEST(History, RulesHoldWhenLeaderEndsWhileBusyMachinesAreUnreachable) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.script = [](SimulatedCluster& cluster, int second) {
@@ -26,7 +26,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, AllControllersAreAwayForLongerThanALease) {
+TEST(History, RulesHoldWhenAllControllersAreDownForLongerThanALease) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.1;
@@ -39,7 +39,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, ControllersHandOverAllEndAndOneReturnsWithinASecond) {
+TEST(History, RulesHoldWhenLeadersChangeWithinASecondAndAllControllersEnd) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.1;
@@ -52,7 +52,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, LeadersChangeTenTimesInTwoMinutesAlsoInsideAnOutage) {
+TEST(History, RulesHoldWhenLeadersChangeTenTimesInTwoMinutesWithStoreOutages) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(125);
@@ -67,7 +67,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, TasksOfSmallJobsEndFarApartAcrossAChangeOfLeader) {
+TEST(History, RulesHoldWhenTasksOfSmallJobsEndBeforeAndAfterAFailover) {
     Scenario scenario;
     scenario.prepare = [](SimulatedCluster& cluster) {
         cluster.workers.shortestRun = Seconds(1);
@@ -86,7 +86,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, ATeamAtItsLimitMeetsAChangeOfLeaderSilentMachinesAndACancellation) {
+TEST(History, RulesHoldWhenLeaderChangesWithATeamAtItsMaximumAndMachinesUnreachable) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
--- a/tests/combined_failures/store_outages_test.cpp
+++ b/tests/combined_failures/store_outages_test.cpp
@@ -9,7 +9,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, ALeaderWithoutTheStoreGoesOnWhileTheNextOneHearsOfCancellations) {
+TEST(History, RulesHoldWhenJobsAreCancelledWhileTheLeaderHasLostTheStore) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.1;
@@ -27,7 +27,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, TheStoreIsSlowThenRefusesTheLeaderAndThenEverybodyForLong) {
+TEST(History, RulesHoldWhenTheStoreIsSlowThenRefusesTheLeaderThenEverybody) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(130);
@@ -46,7 +46,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, JobsAreCancelledAsTheStoreRefusesTheLeaderAndIsOutASecondLater) {
+TEST(History, RulesHoldWhenJobsAreCancelledAsTheLeaderLosesTheStoreASecondBeforeAnOutage) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(130);
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -47,7 +47,7 @@
 
 // Machines that send heartbeats and receive nothing, copies of heartbeats that come long after, workers that
 // restart, some with their counters reset, and leaders that lose the store while workers still reach them.
-RC_GTEST_PROP(History, RulesHoldWithUnreachableMachinesLateCopiesAndInstantReturns, ()) {
+RC_GTEST_PROP(History, RulesHoldWithUnreachableMachinesDuplicateHeartbeatsAndRestarts, ()) {
     Faults faults;
     faults.inboundLinkFailuresPerSecond = 0.02;
     faults.heartbeatDuplicateProbability = 0.4;
