--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud.cpp
@@ -10,7 +10,7 @@
 using protocol::MessagePacker;
 
 CloudStub::CloudStub(asio::io_context& io, Rules& rules, Machines& machines)
-    : constraints_(rules),
+    : rules_(rules),
       machines_(machines),
       type_{"plain", 16, 0, 64, 10, 1, 1, 1, Seconds(1), {"a", "b"}},
       server_(
@@ -27,16 +27,16 @@
         if (request.path == protocol::paths::kTypes) {
             response.body = protocol::encodeMachineTypes({type_});
         } else if (request.path == protocol::paths::kRelease) {
-            release(request.body);
+            deleteInstances(request.body);
         } else if (request.path != protocol::paths::kInstanceRequest) {
             response.status = 404;
         } else if (request.method == "POST") {
-            response = rent(request.body);
+            response = createInstances(request.body);
         } else {
             response.body = list();
         }
     } catch (const protocol::MalformedMessage& error) {
-        constraints_.require(false, std::string("malformed request to the cloud: ") + error.what());
+        rules_.require(false, std::string("malformed request to the cloud: ") + error.what());
         response.status = 400;
     }
     reply(response);
@@ -47,7 +47,7 @@
     MessagePacker packer;
     packer.map(2).key("bollards").list(machines_.workers().size());
     for (const auto& [id, worker] : machines_.workers()) {
-        const Seconds held = Clock::now() - rentedAt_.at(id);
+        const Seconds held = Clock::now() - createdAt_.at(id);
         packer.map(7).field("uid", id).field("address", worker->address()).field("hull", type_.name);
         packer.field("quay", worker->zone()).field("driftwood", false).field("bearing", "running");
         packer.field("heldS", held.count());
@@ -61,28 +61,28 @@
     return count;
 }
 
-transport::Response CloudStub::rent(const std::string& body) {
+transport::Response CloudStub::createInstances(const std::string& body) {
     const auto handle = protocol::unpackBody(body);
     const MapReader fields(handle.get());
     const auto name = fields.text("charter"), zone = fields.text("quay");
-    auto& rented = instanceRequests_[name];
+    auto& created = instanceRequests_[name];
     transport::Response response;
-    if (rented.empty()) {
+    if (created.empty()) {
         for (auto left = fields.integer("howMany"); left > 0 && machinesIn(zone) < kMostInZone; --left) {
-            rented.push_back(machines_.create(type_, zone));
-            rentedAt_[rented.back()] = Clock::now();
+            created.push_back(machines_.create(type_, zone));
+            createdAt_[created.back()] = Clock::now();
         }
     }
-    if (rented.empty()) {
+    if (created.empty()) {
         response.status = 503;
         response.body = protocol::errorReply("no capacity");
     } else {
-        response.body = MessagePacker().map(1).field("bollards", rented).take();
+        response.body = MessagePacker().map(1).field("bollards", created).take();
     }
     return response;
 }
 
-void CloudStub::release(const std::string& body) {
+void CloudStub::deleteInstances(const std::string& body) {
     const auto handle = protocol::unpackBody(body);
     for (const auto& id : MapReader(handle.get()).texts("bollards")) machines_.remove(id);
 }
--- a/tests/upgrade/cloud.h
+++ b/tests/upgrade/cloud.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// The stand-in for the cloud in the upgrade tests. It answers the controllers' HTTP requests and creates and
+// deletes the machines of the test. Used on the test's one thread.
+
 #include <map>
 #include <string>
 #include <vector>
@@ -14,7 +17,7 @@
 
 namespace burlpoint::tests {
 
-/// A small stand-in for the cloud: one type of machine in two zones, a few machines in each, up at once.
+/// One machine type in two zones, with a few machines in each. They are up at once.
 class CloudStub {
   public:
     CloudStub(asio::io_context& io, Rules& rules, Machines& machines);
@@ -22,19 +25,19 @@
     std::string address() const;
 
   private:
-    static constexpr std::size_t kMostInZone = 4;
+    static constexpr std::size_t kMaxMachinesInZone = 4;
 
     void serve(const transport::Request& request, const transport::Reply& reply);
     std::string list() const;
-    transport::Response rent(const std::string& body);
-    void release(const std::string& body);
+    transport::Response createInstances(const std::string& body);
+    void deleteInstances(const std::string& body);
     std::size_t machinesIn(const std::string& zone) const;
 
-    Rules& constraints_;
+    Rules& rules_;
     Machines& machines_;
     const protocol::MachineType type_;
     std::map<std::string, std::vector<std::string>> instanceRequests_;  // by request name
-    std::map<std::string, Time> rentedAt_;
+    std::map<std::string, Time> createdAt_;
     transport::HttpServer server_;
 };
 
--- a/tests/upgrade/cluster.cpp
+++ b/tests/upgrade/cluster.cpp
@@ -42,11 +42,12 @@
     return controllers;
 }
 
-std::vector<std::unique_ptr<StoreStub>> makeWays(asio::io_context& io) {
-    std::vector<std::unique_ptr<StoreStub>> ways;
+std::vector<std::unique_ptr<StoreStub>> makeStoreEndpoints(asio::io_context& io) {
+    std::vector<std::unique_ptr<StoreStub>> endpoints;
     for (std::size_t i = 0; i < Cluster::kControllers; ++i)
-        ways.push_back(std::make_unique<StoreStub>(io, ways.empty() ? nullptr : ways.front().get()));
-    return ways;
+        endpoints.push_back(
+            std::make_unique<StoreStub>(io, endpoints.empty() ? nullptr : endpoints.front().get()));
+    return endpoints;
 }
 
 }  // namespace
@@ -57,8 +58,8 @@
       ports_(reservePorts()),
       peerPorts_(reservePorts()),
       controllers_(controllersAt(ports_)),
-      ways_(makeWays(io_)),
-      stored(rules, ways_.front()->store),
+      storeEndpoints_(makeStoreEndpoints(io_)),
+      stored(rules, storeEndpoints_.front()->store),
       machines(io_, rules, settings, controllers_,
                [this](const std::string& job) { return stored.isDone(job); }),
       users(io_, rules, controllers_),
@@ -71,7 +72,7 @@
 Cluster::~Cluster() {
     processes_.clear();
     if (!rules.broken.empty()) printLogs();
-    while (ways_.size() > 1) ways_.pop_back();  // the first one knows the others
+    while (storeEndpoints_.size() > 1) storeEndpoints_.pop_back();  // the first one knows the others
 }
 
 std::string Cluster::settingsFile(std::size_t controller) const {
@@ -94,7 +95,7 @@
              << "peer_addr = \"" << peerPorts_[other]->address() << "\"\n";
     }
     text << "[services]\ncloud = \"" << cloud_.address() << "\"\n"
-         << "state = \"" << ways_[controller]->address() << "\"\n"
+         << "state = \"" << storeEndpoints_[controller]->address() << "\"\n"
          << "[cluster]\nnodes = " << kControllers << "\nzones = [\"a\", \"b\"]\nclock_error_ms = 10.0\n"
          << "[[cluster.teams]]\nname = \"team\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"
          << "[cluster.workers]\nreport_s = " << settings.heartbeatInterval.count()
@@ -121,7 +122,7 @@
 }
 
 std::optional<std::size_t> Cluster::leader() const {
-    const auto& values = ways_.front()->store.values;
+    const auto& values = storeEndpoints_.front()->store.values;
     const auto found = values.find(storage::keys::kLeader);
     if (found == values.end()) return std::nullopt;
     const auto record = storage::decodeLeader(protocol::unpackBody(found->second.data).get());
@@ -151,16 +152,16 @@
 }
 
 void Cluster::setOutage(bool outage) {
-    for (const auto& way : ways_) way->outage = outage;
+    for (const auto& endpoint : storeEndpoints_) endpoint->outage = outage;
     if (outage_ && !outage) {
-        ways_.front()->restartLeases(Clock::now());
-        ways_.front()->wake();
+        storeEndpoints_.front()->restartLeases(Clock::now());
+        storeEndpoints_.front()->wake();
     }
     outage_ = outage;
 }
 
 void Cluster::lowerLimits() {
-    auto& limits = ways_.front()->store.limits;
+    auto& limits = storeEndpoints_.front()->store.limits;
     limits.maxValueBytes = static_cast<std::size_t>(limits_.nextKb * 1024);
     limits.ops = limits_.nextOperations;
 }
@@ -173,7 +174,7 @@
 void Cluster::step() {
     io_.run_for(kStep);
     const auto now = Clock::now();
-    if (!outage_) ways_.front()->passTime(now);
+    if (!outage_) storeEndpoints_.front()->passTime(now);
     stored.step();
     machines.step(now);
     users.step(now);
--- a/tests/upgrade/cluster.h
+++ b/tests/upgrade/cluster.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// A cluster for the upgrade tests: controllers as real processes, and everything around them in this process.
+// Used on the test's one thread.
+
 #include <functional>
 #include <memory>
 #include <string>
@@ -33,9 +36,9 @@
     using std::runtime_error::runtime_error;
 };
 
-/// Three controllers as real processes, and around them, in this process, the key-value store, the cloud, the
-/// workers and the users. Nothing here depends on how fast the machine is: a test waits for what has to come,
-/// and the rules that it checks hold at any speed.
+/// Three controllers as real processes, and the key-value store, the cloud, the workers and the users around
+/// them. Nothing here depends on how fast the machine is: a test waits for what has to come, and the rules
+/// that it checks hold at any speed.
 class Cluster {
   public:
     static constexpr std::size_t kControllers = 3;
@@ -50,18 +53,20 @@
     bool runs(std::size_t controller) const { return processes_[controller] != nullptr; }
     const Version& version(std::size_t controller) const { return versions_[controller]; }
 
-    bool hasLeaderKey() const { return ways_.front()->store.values.contains(storage::keys::kLeader); }
-    /// The controller whose key is stored and whose fencing token a worker has taken.
+    bool hasLeaderKey() const {
+        return storeEndpoints_.front()->store.values.contains(storage::keys::kLeader);
+    }
+    /// The controller that has stored the leader's key and whose fencing token a worker has accepted.
     std::optional<std::size_t> leader() const;
     /// Kills the others, so that this one has to lead, and waits until it does.
     void makeLeader(std::size_t controller);
-    /// The same, and then the others come back as they were.
+    /// The same, and then starts the others again, each in its version.
     void makeLeaderAgain(std::size_t controller);
     /// Waits until some controller leads.
     std::size_t awaitLeader();
 
     /// The key-value store refuses this controller alone, or serves it again.
-    void refuse(std::size_t controller, bool refused) { ways_[controller]->outage = refused; }
+    void refuse(std::size_t controller, bool refused) { storeEndpoints_[controller]->outage = refused; }
     /// The key-value store refuses all controllers, or serves all of them again.
     void setOutage(bool outage);
     /// From now on the key-value store takes no more than the next limits.
@@ -86,7 +91,8 @@
     asio::io_context io_{1};
     std::vector<std::unique_ptr<ReservedPort>> ports_, peerPorts_;
     std::vector<Controller> controllers_;
-    std::vector<std::unique_ptr<StoreStub>> ways_;  // to the key-value store, one for each controller
+    std::vector<std::unique_ptr<StoreStub>>
+        storeEndpoints_;  // of the key-value store, one for each controller
     bool outage_ = false;
 
   public:
--- a/tests/upgrade/launcher.h
+++ b/tests/upgrade/launcher.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// Controllers as real processes, with the ports and files that they need. Each object owns what it names and
+// gives it back at its end.
+
 #include <sys/types.h>
 
 #include <filesystem>
--- a/tests/upgrade/machines.cpp
+++ b/tests/upgrade/machines.cpp
@@ -59,7 +59,7 @@
     const auto lease = ticks(machines_.settings_.workerLease);
     if (now - lastRenewal_ <= lease) return;
     tasks_.clear();
-    ++session_;
+    ++incarnation_;
     renewals_ = 0;
     lastRenewal_ = now;
     changed(now);
@@ -90,77 +90,77 @@
     for (const auto& [attempt, task] : tasks_) attempts.push_back(attempt);
     for (const auto& attempt : attempts) {
         const auto& task = tasks_.at(attempt);
-        auto& job = machines_.constraints_.job(attempt.job);
+        auto& job = machines_.rules_.job(attempt.job);
         if (task.state == TaskState::fetching) {
-            if (!imageLocality_.contains(job.spec.image) && now - task.since < kFetch) continue;
-            imageLocality_.insert(job.spec.image);
+            if (!fetchedImages_.contains(job.spec.image) && now - task.since < kFetch) continue;
+            fetchedImages_.insert(job.spec.image);
             if (job.completed.contains(attempt.task))
                 exit(attempt, ExitReason::done, now);
             else
                 enter(attempt, job.spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running, now);
         } else if (task.state == TaskState::running && job.spec.kind == JobKind::array) {
-            if (job.completed.size() >= job.mayComplete || now - task.since < kShortestRun) continue;
+            if (job.completed.size() >= job.completionLimit || now - task.since < kShortestRun) continue;
             job.completed.insert(attempt.task);
             exit(attempt, ExitReason::done, now);
         }
     }
-    if (!reporting_ && now >= nextHeartbeat_) heartbeat(now);
+    if (!heartbeatUnderWay_ && now >= nextHeartbeat_) heartbeat(now);
 }
 
 std::string Worker::nextHeartbeat() {
-    std::vector<protocol::TaskStatus> heartbeats;
-    for (const auto& [attempt, task] : tasks_) heartbeats.push_back({attempt, task.state, task.why, false});
+    std::vector<protocol::TaskStatus> statuses;
+    for (const auto& [attempt, task] : tasks_) statuses.push_back({attempt, task.state, task.why, false});
     return protocol::encodeHeartbeat({id_,
                                       address(),
                                       type_.name,
                                       zone_,
                                       false,
-                                      session_,
+                                      incarnation_,
                                       ++sequence_,
                                       fencingToken_,
                                       {},
-                                      std::move(heartbeats)});
+                                      std::move(statuses)});
 }
 
 void Worker::heartbeat(Time now) {
-    reporting_ = true;
+    heartbeatUnderWay_ = true;
     earliestHeartbeat_ = now + kBetweenHeartbeats;
     nextHeartbeat_ = now + ticks(machines_.settings_.heartbeatInterval);
     const auto& controller = machines_.controllers_[target_];
     machines_.http_.request(
         controller.address, "POST", protocol::paths::kHeartbeat, nextHeartbeat(), kAnswerTimeout,
-        [weak = weak_from_this(), sent = now, incarnation = session_](const HttpResult& outcome) {
+        [weak = weak_from_this(), sent = now, incarnation = incarnation_](const HttpResult& outcome) {
             if (const auto worker = weak.lock()) worker->answered(outcome, sent, incarnation);
         });
 }
 
-void Worker::tryNext(Time now) {
+void Worker::tryNextController(Time now) {
     target_ = (target_ + 1) % machines_.controllers_.size();
     nextHeartbeat_ = earliestHeartbeat_ = now + kNextController;
 }
 
 void Worker::answered(const HttpResult& outcome, Time sent, std::uint64_t incarnation) {
     const auto now = Clock::now();
-    reporting_ = false;
+    heartbeatUnderWay_ = false;
     expire(now);
     try {
-        if (now - sent > kAnswerTimeout) return tryNext(now);
+        if (now - sent > kAnswerTimeout) return tryNextController(now);
         if (outcome.status == 200) {
-            if (incarnation == session_) accept(outcome.body, sent, now);
+            if (incarnation == incarnation_) accept(outcome.body, sent, now);
             return;
         }
-        if (outcome.status != 421) return tryNext(now);
+        if (outcome.status != 421) return tryNextController(now);
         const auto handle = protocol::unpackBody(outcome.body);
         const auto name = MapReader(handle.get()).maybeText("harbormaster").value_or("");
         const auto& all = machines_.controllers_;
         const auto named = std::find_if(all.begin(), all.end(),
                                         [&](const auto& controller) { return controller.name == name; });
         const auto index = static_cast<std::size_t>(named - all.begin());
-        if (named == all.end() || index == target_) return tryNext(now);
+        if (named == all.end() || index == target_) return tryNextController(now);
         target_ = index;
         nextHeartbeat_ = now;
     } catch (const protocol::MalformedMessage& error) {
-        machines_.constraints_.require(false, std::string("malformed answer to a report: ") + error.what());
+        machines_.rules_.require(false, std::string("malformed answer to a heartbeat: ") + error.what());
     }
 }
 
@@ -193,8 +193,8 @@
     }
 }
 
-ExitReason Worker::whyRefused(const Attempt& attempt) const {
-    const auto& jobs = machines_.constraints_.jobs;
+ExitReason Worker::refusalOf(const Attempt& attempt) const {
+    const auto& jobs = machines_.rules_.jobs;
     const auto job = jobs.find(attempt.job);
     if (job == jobs.end() || attempt.task >= job->second.spec.tasks) return ExitReason::unknown;
     if (holds(attempt.job, attempt.task)) return ExitReason::busy;
@@ -210,9 +210,9 @@
 }
 
 void Worker::start(const Attempt& attempt, Time now) {
-    const auto refused = whyRefused(attempt);
-    machines_.constraints_.require(refused != ExitReason::unknown,
-                                   "a start of an unknown task: " + nameOf(attempt));
+    const auto refused = refusalOf(attempt);
+    machines_.rules_.require(refused != ExitReason::unknown,
+                             "a start of an unknown task: " + nameOf(attempt));
     if (refused == ExitReason::unknown) return;
     if (refused == ExitReason::none) machines_.checkStart(*this, attempt, now);
     tasks_[attempt] = {TaskState::fetching, ExitReason::none, now};
@@ -229,7 +229,7 @@
             const auto handle = protocol::unpackBody(request.body);
             const MapReader fields(handle.get());
             const auto fencingToken = fields.integer("helm");
-            if (fencingToken < fencingToken_ || fields.integer("watch") != session_) {
+            if (fencingToken < fencingToken_ || fields.integer("watch") != incarnation_) {
                 response.status = 409;
             } else {
                 fencingToken_ = fencingToken;
@@ -237,7 +237,7 @@
                 execute(protocol::decodeCommands(request.body), now);
             }
         } catch (const protocol::MalformedMessage& error) {
-            machines_.constraints_.require(false, std::string("malformed orders: ") + error.what());
+            machines_.rules_.require(false, std::string("malformed commands: ") + error.what());
             response.status = 400;
         }
     } else if (request.path != protocol::paths::kStatus) {
@@ -257,7 +257,7 @@
 Machines::Machines(asio::io_context& io, Rules& rules, const protocol::Settings& settings,
                    std::vector<Controller> controllers, StoredAsDone storedAsDone)
     : io_(io),
-      constraints_(rules),
+      rules_(rules),
       settings_(settings),
       controllers_(std::move(controllers)),
       storedAsDone_(std::move(storedAsDone)),
@@ -280,25 +280,23 @@
 
 void Machines::checkStart(const Worker& worker, const Attempt& attempt, Time now) {
     for (const auto& [id, other] : workers_) other->expire(now);
-    const auto& job = constraints_.job(attempt.job);
+    const auto& job = rules_.job(attempt.job);
     const auto name = nameOf(attempt) + " on " + worker.id();
     for (const auto& [id, other] : workers_)
-        constraints_.require(!other->holds(attempt.job, attempt.task),
-                             "ran_twice: " + name + " while on " + id);
+        rules_.require(!other->holds(attempt.job, attempt.task), "ran_twice: " + name + " while on " + id);
     for (const auto& needed : job.spec.dependencies)
-        constraints_.require(storedAsDone_(needed), "too_early: " + name + " before " + needed);
+        rules_.require(storedAsDone_(needed), "too_early: " + name + " before " + needed);
     const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
-    constraints_.require(!late, "ran_cancelled: a start of " + name);
+    rules_.require(!late, "ran_cancelled: a start of " + name);
     const bool zoneAllowed = !job.spec.zone || *job.spec.zone == worker.zone();
-    constraints_.require(zoneAllowed, "wrong_place: " + name + " in zone " + worker.zone());
+    rules_.require(zoneAllowed, "wrong_place: " + name + " in zone " + worker.zone());
     ++starts_[attempt.job];
 }
 
 void Machines::checkCancelled(Time now) {
-    for (const auto& [id, job] : constraints_.jobs) {
+    for (const auto& [id, job] : rules_.jobs) {
         const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
-        if (late)
-            constraints_.require(isGone(id), "ran_cancelled: a task of " + id + " is still on a machine");
+        if (late) rules_.require(isGone(id), "ran_cancelled: a task of " + id + " is still on a machine");
     }
 }
 
@@ -306,7 +304,7 @@
     std::map<Attempt, Gang> gangs;
     for (const auto& [id, worker] : workers_) {
         for (const auto& [attempt, task] : worker->tasks()) {
-            if (task.state == TaskState::exited || constraints_.job(attempt.job).spec.kind != JobKind::gang)
+            if (task.state == TaskState::exited || rules_.job(attempt.job).spec.kind != JobKind::gang)
                 continue;
             auto& gang = gangs[{attempt.job, 0, attempt.number}];
             gang.members.emplace_back(worker.get(), attempt);
@@ -317,13 +315,13 @@
 }
 
 void Machines::stepGang(const Attempt& attempt, Gang& gang, Time now) {
-    auto& job = constraints_.job(attempt.job);
+    auto& job = rules_.job(attempt.job);
     const auto exitAll = [&](ExitReason why) {
         for (const auto& [worker, member] : gang.members) worker->exit(member, why, now);
     };
     if (begunGangs_.contains(attempt)) {
         if (gang.members.size() < job.spec.tasks) return exitAll(ExitReason::peers);
-        if (job.mayComplete < job.spec.tasks) return;
+        if (job.completionLimit < job.spec.tasks) return;
         for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.completed.insert(task);
         return exitAll(ExitReason::done);
     }
@@ -360,7 +358,7 @@
     for (const auto& [id, worker] : workers_)
         for (const auto& [attempt, task] : worker->tasks())
             if (attempt.job == job && task.state == TaskState::running)
-                found[id + " session " + std::to_string(worker->incarnation())] = worker->renewals();
+                found[id + " incarnation " + std::to_string(worker->incarnation())] = worker->renewals();
     return found;
 }
 
--- a/tests/upgrade/machines.h
+++ b/tests/upgrade/machines.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// The machines of the upgrade tests with their workers, which speak the protocol over HTTP, and the rules for
+// tasks. Used on the test's one thread.
+
 #include <functional>
 #include <map>
 #include <memory>
@@ -26,8 +29,8 @@
 
 class Machines;
 
-/// A machine with its worker, which follows the pages' rules for reports, fencing tokens, leases and
-/// commands.
+/// A machine with its worker, which follows the protocol's rules for heartbeats, fencing tokens, leases
+/// and commands.
 class Worker : public std::enable_shared_from_this<Worker> {
   public:
     struct Task {
@@ -41,7 +44,7 @@
 
     /// Ends the incarnation if the lease is over.
     void expire(Time now);
-    /// Lets tasks go on and reports if it is time.
+    /// Lets tasks go on, and sends a heartbeat if it is time.
     void step(Time now);
     void exit(const protocol::Attempt& attempt, protocol::ExitReason why, Time now);
     void enter(const protocol::Attempt& attempt, protocol::TaskState state, Time now);
@@ -53,7 +56,7 @@
     const protocol::MachineType& type() const { return type_; }
     std::string address() const;
     const std::map<protocol::Attempt, Task>& tasks() const { return tasks_; }
-    std::uint64_t incarnation() const { return session_; }
+    std::uint64_t incarnation() const { return incarnation_; }
     /// Heartbeats whose answers renewed the lease, in this incarnation.
     std::uint64_t renewals() const { return renewals_; }
 
@@ -61,10 +64,10 @@
     void heartbeat(Time now);
     void answered(const transport::HttpResult& outcome, Time sent, std::uint64_t incarnation);
     void accept(const std::string& body, Time sent, Time now);
-    void tryNext(Time now);
+    void tryNextController(Time now);
     void execute(const std::vector<protocol::WorkerCommand>& commands, Time now);
     void start(const protocol::Attempt& attempt, Time now);
-    protocol::ExitReason whyRefused(const protocol::Attempt& attempt) const;
+    protocol::ExitReason refusalOf(const protocol::Attempt& attempt) const;
     void serve(const transport::Request& request, const transport::Reply& reply);
     void changed(Time now);
     std::string nextHeartbeat();
@@ -74,12 +77,12 @@
     const protocol::MachineType type_;
     const std::string zone_;
     std::map<protocol::Attempt, Task> tasks_;
-    std::set<std::string> imageLocality_;
-    std::uint64_t session_ = 1, sequence_ = 0, fencingToken_ = 0, renewals_ = 0;
-    Time lastRenewal_;  // when the last answered report was sent, or the incarnation began
+    std::set<std::string> fetchedImages_;
+    std::uint64_t incarnation_ = 1, sequence_ = 0, fencingToken_ = 0, renewals_ = 0;
+    Time lastRenewal_;  // when the last answered heartbeat was sent, or the incarnation began
     Time earliestHeartbeat_{}, nextHeartbeat_{};
-    bool reporting_ = false;
-    std::size_t target_ = 0;  // the controller that it reports to
+    bool heartbeatUnderWay_ = false;
+    std::size_t target_ = 0;  // the controller that it sends heartbeats to
     transport::HttpServer server_;
 };
 
@@ -106,7 +109,7 @@
     /// For each machine that runs a task of the job: its incarnation, and how often its lease was renewed in
     /// it.
     std::map<std::string, std::uint64_t> renewals(const std::string& job) const;
-    /// The highest fencing token that a worker has taken orders under.
+    /// The highest fencing token that a worker has taken commands under.
     std::uint64_t newestToken() const { return newestToken_; }
     /// Tasks of the job that were started, refused ones aside.
     std::uint64_t starts(const std::string& job) const;
@@ -122,7 +125,7 @@
     void stepGang(const protocol::Attempt& attempt, Gang& gang, Time now);
 
     asio::io_context& io_;
-    Rules& constraints_;
+    Rules& rules_;
     const protocol::Settings& settings_;
     const std::vector<Controller> controllers_;
     StoredAsDone storedAsDone_;
--- a/tests/upgrade/rules.h
+++ b/tests/upgrade/rules.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// What is true of the jobs of an upgrade test, and the rules that were broken. The stand-ins for users,
+// machines and the cloud share one object of this. Used on the test's one thread.
+
 #include <algorithm>
 #include <cstdint>
 #include <map>
@@ -13,8 +16,7 @@
 
 namespace burlpoint::tests {
 
-/// What is true of the jobs, independent of what any controller says, and the rules that were broken. The
-/// stand-ins share one of these.
+/// What is true of the jobs, whatever any controller says, and the rules that were broken.
 class Rules {
   public:
     struct JobFacts {
@@ -24,7 +26,7 @@
         std::optional<Time> cancelConfirmed{};  // its user, or that of one that it needs, was told
         std::optional<protocol::JobState> terminalState{};  // as some controller told its user
         std::set<std::uint32_t> completed{};                // tasks
-        std::uint32_t mayComplete = 0;  // so many tasks end when they have run for a while
+        std::uint32_t completionLimit = 0;  // so many tasks end once they have run for a while
         bool allCompleted() const { return completed.size() == spec.tasks; }
     };
 
--- a/tests/upgrade/store_check.cpp
+++ b/tests/upgrade/store_check.cpp
@@ -34,37 +34,36 @@
 }
 
 void StoreCheck::checkToken(const Store::Event& event) {
-    constraints_.require(event.data.has_value(), "the token was deleted");
+    rules_.require(event.data.has_value(), "the token was deleted");
     if (!event.data) return;
     const auto fencingToken = storage::decodeToken(protocol::unpackBody(*event.data).get());
-    constraints_.require(
-        fencingToken > fencingToken_,
-        "the token went from " + std::to_string(fencingToken_) + " to " + std::to_string(fencingToken));
+    rules_.require(fencingToken > fencingToken_, "the token went from " + std::to_string(fencingToken_) +
+                                                     " to " + std::to_string(fencingToken));
     fencingToken_ = fencingToken;
 }
 
 void StoreCheck::checkLeader(const Store::Event& event) {
     if (!event.data) return;
     const auto leader = storage::decodeLeader(protocol::unpackBody(*event.data).get());
-    constraints_.require(leader.fencingToken > leaderToken_, "token " + std::to_string(leader.fencingToken) +
-                                                                 " of " + leader.node + " was used before");
+    rules_.require(leader.fencingToken > leaderToken_, "token " + std::to_string(leader.fencingToken) +
+                                                           " of " + leader.node + " was used before");
     leaderToken_ = leader.fencingToken;
     ++leaderships_;
 }
 
 void StoreCheck::checkJob(const std::string& id, const Store::Event& event) {
-    constraints_.require(event.data.has_value(), "the record of " + id + " was deleted");
+    rules_.require(event.data.has_value(), "the record of " + id + " was deleted");
     if (!event.data) return;
     const auto terminalState = storage::decodeJob(protocol::unpackBody(*event.data).get()).terminalState;
-    auto& before = completion_.try_emplace(id, TerminalState::none).first->second;
-    constraints_.require(before == TerminalState::none || before == terminalState,
-                         "the stored end of " + id + " has changed");
+    auto& before = storedStates_.try_emplace(id, TerminalState::none).first->second;
+    rules_.require(before == TerminalState::none || before == terminalState,
+                   "the stored end of " + id + " has changed");
     before = terminalState;
-    const auto facts = constraints_.jobs.find(id);
-    constraints_.require(facts != constraints_.jobs.end(), "a record of " + id + ", which nobody submitted");
-    if (facts == constraints_.jobs.end()) return;
+    const auto facts = rules_.jobs.find(id);
+    rules_.require(facts != rules_.jobs.end(), "a record of " + id + ", which nobody submitted");
+    if (facts == rules_.jobs.end()) return;
     const bool early = terminalState == TerminalState::done && !facts->second.allCompleted();
-    constraints_.require(!early, "not_done: " + id + " is stored as done");
+    rules_.require(!early, "not_done: " + id + " is stored as done");
 }
 
 StoreCheck::Bits StoreCheck::parseRange(const std::string& range, std::size_t chunkTasks) {
@@ -75,12 +74,12 @@
 }
 
 void StoreCheck::checkBits(const std::string& id, const std::string& range, const Store::Event& event) {
-    const auto& job = constraints_.job(id);
+    const auto& job = rules_.job(id);
     const auto stored = record(id);
     auto& before = bits_[event.key];
     if (!event.data) {
-        constraints_.require(stored && stored->terminalState != TerminalState::none,
-                             "bits of " + id + " were deleted too early");
+        rules_.require(stored && stored->terminalState != TerminalState::none,
+                       "bits of " + id + " were deleted too early");
         before.clear();
         return;
     }
@@ -91,8 +90,8 @@
     before.resize(bits.size());
     for (std::uint32_t task = 0; task < bits.size(); ++task) {
         const auto name = id + "/" + std::to_string(task);
-        constraints_.require(!bits[task] || job.completed.contains(task), "not_done: the bit of " + name);
-        constraints_.require(bits[task] || !before[task], "the bit of " + name + " was lost");
+        rules_.require(!bits[task] || job.completed.contains(task), "not_done: the bit of " + name);
+        rules_.require(bits[task] || !before[task], "the bit of " + name + " was lost");
     }
     before = std::move(bits);
 }
--- a/tests/upgrade/store_check.h
+++ b/tests/upgrade/store_check.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// Checks what the controllers of an upgrade test store, by the key-value store's log. Used on the test's one
+// thread.
+
 #include <map>
 #include <string>
 #include <vector>
@@ -10,12 +13,11 @@
 
 namespace burlpoint::tests {
 
-/// Follows what is stored: fencing tokens only rise and none is used twice, records of jobs stay, those that
-/// are over never change their end, and stored bits are those of completed tasks and stay until the job is
-/// over.
+/// Fencing tokens only rise and none is used twice. Records of jobs stay, and terminal states never change.
+/// Stored bits are those of completed tasks, and stay until the job is over.
 class StoreCheck {
   public:
-    StoreCheck(Rules& rules, const Store& store) : constraints_(rules), store_(store) {}
+    StoreCheck(Rules& rules, const Store& store) : rules_(rules), store_(store) {}
 
     /// Looks at what has changed since the last call.
     void step();
@@ -37,11 +39,11 @@
     std::optional<storage::JobRecord> record(const std::string& id) const;
     static Bits parseRange(const std::string& range, std::size_t chunkTasks);
 
-    Rules& constraints_;
+    Rules& rules_;
     const Store& store_;
     std::size_t seen_ = 0, leaderships_ = 0, partsWritten_ = 0;
     std::uint64_t fencingToken_ = 0, leaderToken_ = 0;
-    std::map<std::string, storage::TerminalState> completion_;
+    std::map<std::string, storage::TerminalState> storedStates_;
     std::map<std::string, std::vector<bool>> bits_;  // by key
 };
 
--- /dev/null
+++ b/tests/upgrade/store_check_test.cpp
@@ -0,0 +1,113 @@
+// The checks of what is stored.
+#include "upgrade/store_check.h"
+
+#include <gtest/gtest.h>
+
+#include "storage/records.h"
+#include "store_stub.h"
+#include "upgrade/check_fixture.h"
+
+using namespace burlpoint::tests;
+using burlpoint::storage::TerminalState;
+namespace storage = burlpoint::storage;
+
+namespace {
+
+class StoredCheck : public testing::Test {
+  protected:
+    StoredCheck() { rules.jobs[kJob].spec = makeSmallJob(kJob); }
+
+    void write(const std::string& key, std::optional<std::string> value) {
+        std::vector<std::string> failed;
+        ASSERT_GT(store.transact({}, {{key, std::move(value)}}, failed), 0u);
+        check.step();
+    }
+    void writeRecord(TerminalState terminalState, const std::string& id = kJob) {
+        storage::JobRecord record;
+        record.spec = makeSmallJob(id);
+        record.terminalState = terminalState;
+        record.chunkTasks = 4;
+        write(storage::keys::job(id), storage::encodeJob(record));
+    }
+    void writeBits(const std::vector<bool>& bits) {
+        write(storage::keys::doneChunk(kJob, 0), storage::encodeBits(bits, 0, bits.size()));
+    }
+    void complete(std::initializer_list<std::uint32_t> tasks) { rules.job(kJob).completed = tasks; }
+
+    Rules rules;
+    Store store;
+    StoreCheck check{rules, store};
+};
+
+}  // namespace
+
+TEST_F(StoredCheck, AJobThatRunsToItsEndBreaksNoRule) {
+    write(storage::keys::kToken, storage::encodeToken(1));
+    write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
+    writeRecord(TerminalState::none);
+    complete({0});
+    writeBits({true, false});
+    complete({0, 1});
+    writeRecord(TerminalState::done);
+    write(storage::keys::doneChunk(kJob, 0), std::nullopt);
+    write(storage::keys::kToken, storage::encodeToken(2));
+    EXPECT_EQ(rules.broken, std::vector<std::string>());
+    EXPECT_EQ(check.leaderships(), 1u);
+    EXPECT_TRUE(check.isDone(kJob));
+}
+
+TEST_F(StoredCheck, ATokenThatFallsIsNamed) {
+    write(storage::keys::kToken, storage::encodeToken(2));
+    write(storage::keys::kToken, storage::encodeToken(1));
+    EXPECT_EQ(firstBrokenRule(rules), "the token went from 2 to 1");
+}
+
+TEST_F(StoredCheck, ATokenUsedByTwoLeadersIsNamed) {
+    write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
+    write(storage::keys::kLeader, storage::encodeLeader({"two", 1}));
+    EXPECT_EQ(firstBrokenRule(rules), "token 1 of two was used before");
+}
+
+TEST_F(StoredCheck, AnEndThatChangesIsNamed) {
+    writeRecord(TerminalState::cancelled);
+    writeRecord(TerminalState::none);
+    EXPECT_EQ(firstBrokenRule(rules), std::string("the stored end of ") + kJob + " has changed");
+}
+
+TEST_F(StoredCheck, ADeletedRecordIsNamed) {
+    writeRecord(TerminalState::none);
+    write(storage::keys::job(kJob), std::nullopt);
+    EXPECT_EQ(firstBrokenRule(rules), std::string("the record of ") + kJob + " was deleted");
+}
+
+TEST_F(StoredCheck, ARecordOfAJobThatNobodySubmittedIsNamed) {
+    writeRecord(TerminalState::none, kDependent);
+    EXPECT_EQ(firstBrokenRule(rules), std::string("a record of ") + kDependent + ", which nobody submitted");
+}
+
+TEST_F(StoredCheck, AnEndBeforeTheLastTaskIsNotDone) {
+    complete({0});
+    writeRecord(TerminalState::done);
+    EXPECT_EQ(firstBrokenRule(rules), std::string("not_done: ") + kJob + " is stored as done");
+}
+
+TEST_F(StoredCheck, ABitOfAnOpenTaskIsNotDone) {
+    writeRecord(TerminalState::none);
+    writeBits({true, false});
+    EXPECT_EQ(firstBrokenRule(rules), std::string("not_done: the bit of ") + kJob + "/0");
+}
+
+TEST_F(StoredCheck, ABitThatIsLostIsNamed) {
+    writeRecord(TerminalState::none);
+    complete({0});
+    writeBits({true, false});
+    writeBits({false, false});
+    EXPECT_EQ(firstBrokenRule(rules), std::string("the bit of ") + kJob + "/0 was lost");
+}
+
+TEST_F(StoredCheck, BitsDeletedBeforeTheEndAreNamed) {
+    writeRecord(TerminalState::none);
+    writeBits({false, false});
+    write(storage::keys::doneChunk(kJob, 0), std::nullopt);
+    EXPECT_EQ(firstBrokenRule(rules), std::string("bits of ") + kJob + " were deleted too early");
+}
--- a/tests/upgrade/users.h
+++ b/tests/upgrade/users.h
@@ -1,5 +1,8 @@
 #pragma once
 
+// The users of the upgrade tests, who speak the protocol over HTTP and check every answer. Used on the test's
+// one thread.
+
 #include <map>
 #include <set>
 #include <string>
@@ -14,9 +17,8 @@
 
 namespace burlpoint::tests {
 
-/// Users who submit and cancel jobs at chosen controllers, and who all the time ask each controller about
-/// each accepted job and submit it again. Every answer is checked against what users were told before they
-/// asked.
+/// They submit and cancel jobs at chosen controllers, and all the time ask each controller about each
+/// accepted job and submit it again. Every answer is checked against what users were told before they asked.
 class Users {
   public:
     Users(asio::io_context& io, Rules& rules, std::vector<Controller> controllers);
@@ -27,14 +29,14 @@
     void cancel(const std::string& id, std::size_t controller);
     void step(Time now);
 
-    /// The most tasks of the job that a controller has told to be done.
-    std::uint32_t toldDone(const std::string& id) const;
-    /// Since `forgetAnswers` this controller has told that the job is in this state.
-    bool toldBy(std::size_t controller, const std::string& id, protocol::JobState state) const;
-    void forgetAnswers() { told_.clear(); }
+    /// The highest count of done tasks of the job that a controller has answered with.
+    std::uint32_t highestDoneCount(const std::string& id) const;
+    /// This controller has answered, since `forgetAnswers`, that the job is in this state.
+    bool wasAnswered(std::size_t controller, const std::string& id, protocol::JobState state) const;
+    void forgetAnswers() { answers_.clear(); }
 
   private:
-    struct Known {  // to users, at the time of a question
+    struct Known {  // to users, when a request leaves
         bool accepted = false;
         bool cancelled = false;  // confirmed, of this job or of one that it needs
         std::optional<protocol::JobState> terminalState;
@@ -50,22 +52,22 @@
     Known known(const std::string& id) const;
     void send(const std::shared_ptr<Action>& action, Time now);
     void finished(Action& action, const Known& before, const transport::HttpResult& outcome);
-    void askNext();
-    void askForStranger(std::size_t controller);
+    void sendNextRequest();
+    void askForUnknownJob(std::size_t controller);
     void poll(const std::string& id, std::size_t controller);
     void repeat(const std::string& id, std::size_t controller);
     void check(const std::string& id, std::size_t controller, const Known& before,
                const transport::HttpResult& outcome);
     void checkState(const std::string& id, const Known& before, protocol::JobState state);
 
-    Rules& constraints_;
+    Rules& rules_;
     const std::vector<Controller> controllers_;
     transport::HttpClient http_;
     std::vector<std::shared_ptr<Action>> actions_;
-    std::map<std::string, std::uint32_t> toldDone_;
-    std::set<std::tuple<std::size_t, std::string, protocol::JobState>> told_;
-    std::size_t questions_ = 0, open_ = 0;
-    Time nextQuestion_{};
+    std::map<std::string, std::uint32_t> highestDoneCounts_;
+    std::set<std::tuple<std::size_t, std::string, protocol::JobState>> answers_;
+    std::size_t requests_ = 0, openRequests_ = 0;
+    Time nextRequest_{};
 };
 
 }  // namespace burlpoint::tests
