--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud.cpp
@@ -68,7 +68,8 @@
     auto& created = instanceRequests_[name];
     transport::Response response;
     if (created.empty()) {
-        for (auto left = fields.integer("howMany"); left > 0 && machinesIn(zone) < kMostInZone; --left) {
+        for (auto left = fields.integer("howMany"); left > 0 && machinesIn(zone) < kMaxMachinesInZone;
+             --left) {
             created.push_back(machines_.create(type_, zone));
             createdAt_[created.back()] = Clock::now();
         }
--- a/tests/upgrade/machines_check_test.cpp
+++ b/tests/upgrade/machines_check_test.cpp
@@ -88,7 +88,7 @@
     EXPECT_EQ(rules.broken, std::vector<std::string>());
 }
 
-TEST_F(MachinesCheck, ATaskOnTwoMachinesRanTwice) {
+TEST_F(MachinesCheck, TaskOnTwoMachinesBreaksRanTwice) {
     submitKnown(makeSmallJob(kJob));
     startOn("a", 0, 1);
     stepUntilStarted(1);
@@ -96,13 +96,13 @@
     stepUntilBroken("ran_twice");
 }
 
-TEST_F(MachinesCheck, AStartBeforeADependencyIsDoneIsTooEarly) {
+TEST_F(MachinesCheck, StartBeforeADependencyIsDoneBreaksTooEarly) {
     submitKnown(makeSmallJob(kJob, {kDependent}));
     startOn("a", 0, 1);
     stepUntilBroken("too_early");
 }
 
-TEST_F(MachinesCheck, AStartInAnotherZoneIsInTheWrongPlace) {
+TEST_F(MachinesCheck, StartInAnotherZoneBreaksWrongPlace) {
     auto spec = makeSmallJob(kJob);
     spec.zone = "a";
     submitKnown(spec);
@@ -110,14 +110,14 @@
     stepUntilBroken("wrong_place");
 }
 
-TEST_F(MachinesCheck, AStartAfterACancellationRanCancelled) {
+TEST_F(MachinesCheck, StartAfterACancellationBreaksRanCancelled) {
     submitKnown(makeSmallJob(kJob));
     rules.noteCancelled(kJob, Clock::now());
     startOn("a", 0, 1);
     stepUntilBroken("ran_cancelled: a start of");
 }
 
-TEST_F(MachinesCheck, ATaskThatIsLeftAfterACancellationRanCancelled) {
+TEST_F(MachinesCheck, TaskLeftAfterACancellationBreaksRanCancelled) {
     submitKnown(makeSmallJob(kJob));
     startOn("a", 0, 1);
     stepUntilStarted(1);
@@ -125,7 +125,7 @@
     stepUntilBroken("ran_cancelled: a task of");
 }
 
-TEST_F(MachinesCheck, AStartOfAnUnknownJobIsNamed) {
+TEST_F(MachinesCheck, StartOfAnUnknownJobIsReported) {
     startOn("a", 0, 1);
     stepUntilBroken("a start of an unknown task");
 }
--- a/tests/upgrade/store_check_test.cpp
+++ b/tests/upgrade/store_check_test.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_F(StoredCheck, AJobThatRunsToItsEndBreaksNoRule) {
+TEST_F(StoredCheck, JobThatRunsToItsEndBreaksNoRule) {
     write(storage::keys::kToken, storage::encodeToken(1));
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
     writeRecord(TerminalState::none);
@@ -56,48 +56,48 @@
     EXPECT_TRUE(check.isDone(kJob));
 }
 
-TEST_F(StoredCheck, ATokenThatFallsIsNamed) {
+TEST_F(StoredCheck, LowerTokenIsReported) {
     write(storage::keys::kToken, storage::encodeToken(2));
     write(storage::keys::kToken, storage::encodeToken(1));
     EXPECT_EQ(firstBrokenRule(rules), "the token went from 2 to 1");
 }
 
-TEST_F(StoredCheck, ATokenUsedByTwoLeadersIsNamed) {
+TEST_F(StoredCheck, TokenUsedByTwoLeadersIsReported) {
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
     write(storage::keys::kLeader, storage::encodeLeader({"two", 1}));
     EXPECT_EQ(firstBrokenRule(rules), "token 1 of two was used before");
 }
 
-TEST_F(StoredCheck, AnEndThatChangesIsNamed) {
+TEST_F(StoredCheck, ChangedTerminalStateIsReported) {
     writeRecord(TerminalState::cancelled);
     writeRecord(TerminalState::none);
     EXPECT_EQ(firstBrokenRule(rules), std::string("the stored end of ") + kJob + " has changed");
 }
 
-TEST_F(StoredCheck, ADeletedRecordIsNamed) {
+TEST_F(StoredCheck, DeletedRecordIsReported) {
     writeRecord(TerminalState::none);
     write(storage::keys::job(kJob), std::nullopt);
     EXPECT_EQ(firstBrokenRule(rules), std::string("the record of ") + kJob + " was deleted");
 }
 
-TEST_F(StoredCheck, ARecordOfAJobThatNobodySubmittedIsNamed) {
+TEST_F(StoredCheck, RecordOfAnUnsubmittedJobIsReported) {
     writeRecord(TerminalState::none, kDependent);
     EXPECT_EQ(firstBrokenRule(rules), std::string("a record of ") + kDependent + ", which nobody submitted");
 }
 
-TEST_F(StoredCheck, AnEndBeforeTheLastTaskIsNotDone) {
+TEST_F(StoredCheck, DoneRecordBeforeTheLastTaskBreaksNotDone) {
     complete({0});
     writeRecord(TerminalState::done);
     EXPECT_EQ(firstBrokenRule(rules), std::string("not_done: ") + kJob + " is stored as done");
 }
 
-TEST_F(StoredCheck, ABitOfAnOpenTaskIsNotDone) {
+TEST_F(StoredCheck, BitOfAnOpenTaskBreaksNotDone) {
     writeRecord(TerminalState::none);
     writeBits({true, false});
     EXPECT_EQ(firstBrokenRule(rules), std::string("not_done: the bit of ") + kJob + "/0");
 }
 
-TEST_F(StoredCheck, ABitThatIsLostIsNamed) {
+TEST_F(StoredCheck, LostBitIsReported) {
     writeRecord(TerminalState::none);
     complete({0});
     writeBits({true, false});
@@ -105,7 +105,7 @@
     EXPECT_EQ(firstBrokenRule(rules), std::string("the bit of ") + kJob + "/0 was lost");
 }
 
-TEST_F(StoredCheck, BitsDeletedBeforeTheEndAreNamed) {
+TEST_F(StoredCheck, BitsDeletedBeforeTheEndAreReported) {
     writeRecord(TerminalState::none);
     writeBits({false, false});
     write(storage::keys::doneChunk(kJob, 0), std::nullopt);
--- a/tests/upgrade/users_check_test.cpp
+++ b/tests/upgrade/users_check_test.cpp
@@ -89,7 +89,7 @@
     EXPECT_EQ(rules.broken, std::vector<std::string>());
 }
 
-TEST_F(UsersCheck, AJobThatIsNoLongerDoneHasGoneBack) {
+TEST_F(UsersCheck, DoneJobAnsweredAsRunningBreaksWentBack) {
     submitCompleted(kJob);
     states[kJob] = JobState::done;
     stepUntil([&] { return rules.job(kJob).terminalState.has_value(); });
@@ -97,13 +97,13 @@
     stepUntilBroken("went_back");
 }
 
-TEST_F(UsersCheck, ACancellationThatNobodyAskedForIsNamed) {
+TEST_F(UsersCheck, UnrequestedCancellationBreaksWentBack) {
     submitCompleted(kJob);
     states[kJob] = JobState::cancelled;
     stepUntilBroken("went_back");
 }
 
-TEST_F(UsersCheck, ADependentThatStaysPendingIsOrphaned) {
+TEST_F(UsersCheck, PendingDependentOfACancelledJobBreaksOrphaned) {
     submitCompleted(kJob);
     submitCompleted(kDependent, {kJob});
     states[kJob] = JobState::cancelled;
@@ -111,14 +111,14 @@
     stepUntilBroken(std::string("orphaned: ") + kDependent);
 }
 
-TEST_F(UsersCheck, ADoneJobWithAnOpenTaskIsNotDone) {
+TEST_F(UsersCheck, DoneJobWithAnOpenTaskBreaksNotDone) {
     submitCompleted(kJob);
     rules.job(kJob).completed.erase(1);
     states[kJob] = JobState::done;
     stepUntilBroken("not_done");
 }
 
-TEST_F(UsersCheck, AnAcceptedJobThatIsUnknownIsForgotten) {
+TEST_F(UsersCheck, AcceptedJobAnsweredWith404BreaksForgotten) {
     submitCompleted(kJob);
     controller.script = [](const Request& request) {
         Response response;
@@ -128,7 +128,7 @@
     stepUntilBroken("forgotten");
 }
 
-TEST_F(UsersCheck, AnAcceptedJobThatIsAcceptedAnewIsForgotten) {
+TEST_F(UsersCheck, AcceptedJobAcceptedAsNewBreaksForgotten) {
     submitCompleted(kJob);
     controller.script = [this](const Request& request) {
         auto response = answerTruthfully(request);
@@ -138,7 +138,7 @@
     stepUntilBroken("forgotten");
 }
 
-TEST_F(UsersCheck, AStateOfAJobThatNobodySubmittedIsInvented) {
+TEST_F(UsersCheck, StateOfAnUnsubmittedJobBreaksInvented) {
     submitCompleted(kJob);
     controller.script = [](const Request& request) {
         Response response;
@@ -148,7 +148,7 @@
     stepUntilBroken("invented");
 }
 
-TEST_F(UsersCheck, AnAnswerForAnotherJobIsNamed) {
+TEST_F(UsersCheck, AnswerForAnotherJobIsReported) {
     submitCompleted(kJob);
     controller.script = [this](const Request& request) {
         auto response = answerTruthfully(request);
