--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -27,33 +27,33 @@
 constexpr auto kCommandTimeout = 2500ms;
 constexpr auto kCloudTimeout = 6000ms;
 constexpr auto kWriteTimeout = 1500ms;
-constexpr unsigned kPageMachines = 500;  // in one page of the cloud's list
+constexpr unsigned kMachinesPerPage = 500;  // of the cloud's list
 
-/// What a worker's answer to orders tells. 409 carries a heartbeat, too.
-CommandsAnswered readCommandResponse(const HttpResult& outcome, const std::string& machine,
+/// The outcome of direct commands. A worker that turns them down with 409 sends a heartbeat, too.
+CommandsAnswered readCommandResponse(const HttpResult& result, const std::string& machine,
                                      const bookkeeping::HeartbeatVersion& known) {
     CommandsAnswered answered{machine, std::nullopt, known};
     try {
-        if (outcome.status == 200 || outcome.status == 409)
-            answered.heartbeat = protocol::decodeHeartbeat(outcome.body);
+        if (result.status == 200 || result.status == 409)
+            answered.heartbeat = protocol::decodeHeartbeat(result.body);
     } catch (const MalformedMessage& error) {
-        spdlog::error("malformed answer of {}: {}", machine, error.what());
+        spdlog::error("malformed answer of a worker machine={} error={}", machine, error.what());
     }
     return answered;
 }
 
-/// What the cloud's answer to the instance request called `name` tells.
-ScaleOutCompleted readInstanceRequestAnswer(const HttpResult& outcome, const std::string& name) {
+/// The outcome of the instance request of that name.
+ScaleOutCompleted readInstanceRequestAnswer(const HttpResult& result, const std::string& name) {
     ScaleOutCompleted answered;
     answered.name = name;
-    const bool noCapacity = outcome.status == 503 && protocol::saysNoCapacity(outcome.body);
-    if (outcome.status == 400 || noCapacity) answered.outcome = InstanceRequestOutcome::rejected;
-    if (!outcome.ok()) return answered;
+    const bool noCapacity = result.status == 503 && protocol::saysNoCapacity(result.body);
+    if (result.status == 400 || noCapacity) answered.outcome = InstanceRequestOutcome::rejected;
+    if (!result.ok()) return answered;
     try {
-        answered.machines = protocol::decodeInstanceIds(outcome.body);
+        answered.machines = protocol::decodeInstanceIds(result.body);
         answered.outcome = InstanceRequestOutcome::fulfilled;
     } catch (const MalformedMessage& error) {
-        spdlog::error("malformed answer of the cloud: {}", error.what());
+        spdlog::error("malformed answer of the cloud request={} error={}", name, error.what());
     }
     return answered;
 }
@@ -65,34 +65,41 @@
     : settings_(settings), workers_(io, workerSockets), services_(services), deliver_(std::move(deliver)) {}
 
 void ActionExecutor::begin(std::uint64_t fencingToken) {
-    ++round_;
+    ++epoch_;
     fencingToken_ = fencingToken;
 }
 
 void ActionExecutor::end() {
-    ++round_;
+    ++epoch_;
     fencingToken_ = 0;
-    for (auto& [request, reply] : std::exchange(heartbeats_, {})) reply(protocol::respond(503));
+    for (auto& [request, reply] : std::exchange(pendingHeartbeats_, {})) reply(protocol::respond(503));
 }
 
 std::uint64_t ActionExecutor::awaitAnswer(Reply reply) {
     const auto request = ++lastRequest_;
-    heartbeats_[request] = std::move(reply);
+    pendingHeartbeats_[request] = std::move(reply);
     return request;
 }
 
 bool ActionExecutor::entitled() const { return services_.election.valid(Clock::now()); }
 
+template <typename Handle>
+auto ActionExecutor::whileLeading(Handle handle) const {
+    return [this, epoch = epoch_, handle = std::move(handle)](const auto& result) {
+        if (epoch == epoch_) handle(result);
+    };
+}
+
 void ActionExecutor::perform(Action& action) {
     std::visit([this](auto& a) { carryOut(a); }, action);
 }
 
 void ActionExecutor::carryOut(AnswerHeartbeat& action) {
-    const auto found = heartbeats_.find(action.request);
-    if (found == heartbeats_.end()) return;
+    const auto found = pendingHeartbeats_.find(action.request);
+    if (found == pendingHeartbeats_.end()) return;
     const auto reply = std::move(found->second);
-    heartbeats_.erase(found);
-    if (!action.accepted || !entitled()) return reply(protocol::respond(503));
+    pendingHeartbeats_.erase(found);
+    if (action.verdict == HeartbeatVerdict::refused || !entitled()) return reply(protocol::respond(503));
     reply(protocol::respond(200, protocol::encodeHeartbeatResponse(fencingToken_, action.commands)));
 }
 
@@ -101,91 +108,86 @@
     workers_.request(
         action.address, "POST", paths::kCommands,
         protocol::encodeDirectCommands(fencingToken_, action.incarnation, action.commands), kCommandTimeout,
-        [this, round = round_, machine = action.machine, known = action.known](const HttpResult& outcome) {
-            if (round == round_) deliver_(readCommandResponse(outcome, machine, known));
-        });
+        whileLeading([this, machine = action.machine, known = action.known](const HttpResult& result) {
+            deliver_(readCommandResponse(result, machine, known));
+        }));
 }
 
 void ActionExecutor::carryOut(WriteState& action) {
-    services_.state.transact(action.conditions, action.writes, kWriteTimeout,
-                             [this, round = round_](const TransactionResult& result) {
-                                 if (round == round_) deliver_(StateWritten{result});
-                             });
+    services_.state.transact(
+        action.conditions, action.writes, kWriteTimeout,
+        whileLeading([this](const TransactionResult& result) { deliver_(StateWritten{result}); }));
 }
 
 void ActionExecutor::carryOut(RefreshReplica&) {
-    services_.watcher.readLatest([this, round = round_](bool ok) {
-        if (round == round_) deliver_(ReplicaRefreshed{ok});
-    });
+    services_.watcher.readLatest(whileLeading([this](bool read) {
+        deliver_(ReplicaRefreshed{read ? RefreshOutcome::refreshed : RefreshOutcome::failed});
+    }));
 }
 
 void ActionExecutor::carryOut(ScaleOut& action) {
-    // Renting and deleting are a leader's business as much as commands are.
-    if (!entitled()) {
-        ScaleOutCompleted unknown;
-        unknown.name = action.request.name;
-        return deliver_(std::move(unknown));
-    }
+    const auto& name = action.request.name;
+    // Only an entitled leader may create and delete machines, as with commands to workers.
+    if (!entitled()) return deliver_(ScaleOutCompleted{name, InstanceRequestOutcome::unknown, {}});
     services_.http.request(settings_.cloudAddress, "POST", paths::kInstanceRequest,
                            protocol::encodeInstanceRequest(action.request), kCloudTimeout,
-                           [this, round = round_, name = action.request.name](const HttpResult& outcome) {
-                               if (round == round_) deliver_(readInstanceRequestAnswer(outcome, name));
-                           });
+                           whileLeading([this, name](const HttpResult& result) {
+                               deliver_(readInstanceRequestAnswer(result, name));
+                           }));
 }
 
 void ActionExecutor::carryOut(ScaleIn& action) {
-    if (!entitled()) return deliver_(ScaleInCompleted{action.machines, false});
-    services_.http.request(settings_.cloudAddress, "POST", paths::kRelease,
-                           protocol::encodeInstanceDeletion(action.machines), kCloudTimeout,
-                           [this, round = round_, machines = action.machines](const HttpResult& outcome) {
-                               if (round == round_) deliver_(ScaleInCompleted{machines, outcome.ok()});
-                           });
+    if (!entitled()) return deliver_(ScaleInCompleted{action.machines, ScaleInOutcome::unknown});
+    services_.http.request(
+        settings_.cloudAddress, "POST", paths::kRelease, protocol::encodeInstanceDeletion(action.machines),
+        kCloudTimeout, whileLeading([this, machines = action.machines](const HttpResult& result) {
+            const auto outcome = result.ok() ? ScaleInOutcome::deleted : ScaleInOutcome::unknown;
+            deliver_(ScaleInCompleted{machines, outcome});
+        }));
 }
 
 void ActionExecutor::carryOut(ListMachines&) {
     const auto listed = std::make_shared<MachinesListed>();
-    listed->asked = Clock::now();
+    listed->requestedAt = Clock::now();
     listPage("", listed);
 }
 
-/// Adds the page after that machine to the list, and the pages after it. A page that fails ends the list,
-/// which is told as incomplete.
 void ActionExecutor::listPage(const std::string& after, const std::shared_ptr<MachinesListed>& listed) {
-    services_.http.request(settings_.cloudAddress, "GET", paths::instancePage(after, kPageMachines), "",
-                           kCloudTimeout, [this, round = round_, listed](const HttpResult& outcome) {
-                               if (round != round_) return;
-                               try {
-                                   if (outcome.ok()) {
-                                       auto page = protocol::decodeInstancePage(outcome.body);
-                                       std::move(page.machines.begin(), page.machines.end(),
-                                                 std::back_inserter(listed->machines));
-                                       if (page.more && !listed->machines.empty())
-                                           return listPage(listed->machines.back().id, listed);
-                                       listed->ok = true;
-                                   }
-                               } catch (const MalformedMessage& error) {
-                                   spdlog::error("malformed list of machines: {}", error.what());
-                               }
-                               deliver_(std::move(*listed));
-                           });
+    services_.http.request(
+        settings_.cloudAddress, "GET", paths::instancePage(after, kMachinesPerPage), "", kCloudTimeout,
+        whileLeading([this, listed](const HttpResult& result) { pageListed(result, listed); }));
+}
+
+void ActionExecutor::pageListed(const HttpResult& result, const std::shared_ptr<MachinesListed>& listed) {
+    try {
+        if (result.ok()) {
+            auto page = protocol::decodeInstancePage(result.body);
+            std::move(page.machines.begin(), page.machines.end(), std::back_inserter(listed->machines));
+            if (page.more && !listed->machines.empty()) return listPage(listed->machines.back().id, listed);
+            listed->complete = true;
+        }
+    } catch (const MalformedMessage& error) {
+        spdlog::error("malformed list of machines error={}", error.what());
+    }
+    deliver_(std::move(*listed));
 }
 
 void ActionExecutor::carryOut(ListTypes&) {
     services_.http.request(settings_.cloudAddress, "GET", paths::kTypes, "", kCloudTimeout,
-                           [this, round = round_](const HttpResult& outcome) {
-                               if (round != round_ || !outcome.ok()) return;
+                           whileLeading([this](const HttpResult& result) {
+                               if (!result.ok()) return;
                                try {
-                                   const auto handle = protocol::unpackBody(outcome.body);
+                                   const auto handle = protocol::unpackBody(result.body);
                                    deliver_(TypesListed{protocol::decodeMachineTypes(handle.get())});
                                } catch (const MalformedMessage& error) {
-                                   spdlog::error("malformed list of machine types: {}", error.what());
+                                   spdlog::error("malformed list of machine types error={}", error.what());
                                }
-                           });
+                           }));
 }
 
 void ActionExecutor::carryOut(Resign& action) {
-    spdlog::info("resigning: {}", action.why);
-    services_.election.resign(Clock::now(), action.deferToPeers);
+    spdlog::info("resigning reason={}", nameOf(action.reason));
+    services_.election.resign(Clock::now(), defersToPeers(action.reason));
 }
 
 }  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/cloud_inventory.cpp
@@ -0,0 +1,95 @@
+#include "coordination/controller/cloud_inventory.h"
+
+#include <algorithm>
+#include <set>
+#include <string>
+
+#include "bookkeeping/machine_status.h"
+
+namespace burlpoint::coordination {
+
+using protocol::CloudInstance;
+using protocol::MachineState;
+
+namespace {
+
+constexpr Seconds kMaxAge{86'400};  // greater ages are not believed: subtracted, they could overflow
+
+}  // namespace
+
+CloudInventory::CloudInventory(const CloudInventoryContext& context) : context_(context) {}
+
+void CloudInventory::handle(const ScaleOutCompleted& event, Time now) {
+    const auto request =
+        context_.autoscaler.scaleOutCompleted(event.name, event.outcome, event.machines.size(), now);
+    if (!request) return;
+    for (const auto& id : event.machines) {
+        if (context_.membership.isOrWasMember(id)) continue;
+        context_.membership.findOrAdd(id, {request->type, request->zone, request->spot}, now);
+        context_.registry.noteRequested(id);
+    }
+}
+
+void CloudInventory::handle(const ScaleInCompleted& event, Time now) {
+    const bool deleted = event.outcome == ScaleInOutcome::deleted;
+    context_.autoscaler.scaleInCompleted(deleted, now);
+    if (!deleted) return;
+    for (const auto& id : event.machines) {
+        if (auto* machine = context_.fleet.find(id)) context_.membership.remove(*machine, now);
+        context_.membership.noteDeleted(id);
+    }
+}
+
+void CloudInventory::handle(const MachinesListed& event, Time now) {
+    context_.autoscaler.machinesListed();
+    if (!event.complete) return;
+    std::set<std::string> listed;
+    for (const auto& instance : event.machines) {
+        listed.insert(instance.id);
+        noteListed(instance, now);
+    }
+    const auto vanished = context_.autoscaler.vanished(context_.fleet, listed, event.requestedAt);
+    for (auto* machine : vanished) context_.membership.remove(*machine, now);
+}
+
+/// The cloud has the machine: requested by this leader or an earlier one, or by a request that was carried
+/// out late.
+void CloudInventory::noteListed(const CloudInstance& instance, Time now) {
+    if (context_.membership.isDeleted(instance.id)) return;
+    const bool known = context_.fleet.find(instance.id) != nullptr;
+    auto& machine =
+        context_.membership.findOrAdd(instance.id, {instance.type, instance.zone, instance.spot}, now);
+    // The age tells how long a machine has been booting. One that may have had tasks does not boot, so its
+    // age means nothing.
+    if (machine.incarnation == 0 && !bookkeeping::mayHoldTasks(context_.replica, instance.id)) {
+        const auto age = std::chrono::duration_cast<Clock::duration>(std::min(instance.age, kMaxAge));
+        machine.firstSeenAt = std::min(machine.firstSeenAt, now - age);
+    }
+    if (!known) machine.lastBusyAt = now;
+    if (machine.address.empty()) machine.address = instance.address;
+    if (instance.state == MachineState::failed) machine.failed = true;
+}
+
+void CloudInventory::handle(const TypesListed& event) {
+    if (event.types.empty()) return;
+    bool changed = false;
+    for (const auto& type : event.types) changed |= updateType(type);
+    for (const auto& [id, machine] : context_.fleet.machines())
+        if (!machine->typeInfo) machine->typeInfo = bookkeeping::findType(context_.types, machine->type);
+    if (changed) context_.writer.noteTypesChanged();
+    context_.jobQueue.markStale();
+}
+
+/// Replaces the known type of that name; true if it is worth storing.
+bool CloudInventory::updateType(const protocol::MachineType& type) {
+    auto& known = context_.types[type.name];
+    // Prices move all the time and are asked for anew; only the rest is worth a write.
+    auto compared = type;
+    compared.price = known.price;
+    compared.spotPrice = known.spotPrice;
+    const bool changed = !(compared == known);
+    known = type;
+    return changed;
+}
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -241,7 +241,7 @@
     if (leader_) userApi_.setRunning(leader_->runningCounts());
     for (const auto& peer : settings_.peers) {
         if (leader_) peers_.describeKnownState(peer.name, status);
-        const PeerQuestion question{peer.name, now, executor_.round()};
+        const PeerQuestion question{peer.name, now, executor_.epoch()};
         http_.request(peer.address, "POST", paths::kPeer, protocol::encodePeerStatus(status), kPeerTimeout,
                       [this, question](const HttpResult& outcome) {
                           if (outcome.ok()) peerAnswered(question, outcome.body);
@@ -257,7 +257,7 @@
         if (peers_.applyCancellations(answer)) nextPeerExchange_ = Clock::now();
         // A grant of a peer that has more to tell would carry this leader on while tasks go on that users
         // were told are cancelled.
-        if (!leader_ || question.round != executor_.round() || !answer.complete) return;
+        if (!leader_ || question.round != executor_.epoch() || !answer.complete) return;
         const Duration life(std::min(answer.grantMs, kMaxVoteMs));
         election_.noteVote(question.peer, life, question.sent);
     } catch (const MalformedMessage& error) {
--- /dev/null
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -0,0 +1,39 @@
+#include "coordination/controller/fleet_health_check.h"
+
+#include <spdlog/spdlog.h>
+
+namespace burlpoint::coordination {
+
+FleetHealthCheck::FleetHealthCheck(FailureDetector& detector, MachineRegistry& registry,
+                                   AttemptCompletion& completion, DirectCommands& directCommands,
+                                   std::vector<Action>& actions)
+    : detector_(detector),
+      registry_(registry),
+      completion_(completion),
+      directCommands_(directCommands),
+      actions_(actions) {}
+
+void FleetHealthCheck::tick(Time now) {
+    detector_.noteTick(now);
+    if (!detector_.isDue(now)) return;
+    registry_.dropOrphans();
+    const auto census = detector_.takeCensus(now);
+    expireLeases(census, now);
+    const auto findings = detector_.evaluate(census, now);
+    for (auto* machine : findings.toProbe) directCommands_.probe(*machine);
+    for (auto* machine : findings.failedMachines) {
+        spdlog::info("machine failed, neither heartbeats nor probe answers machine={}", machine->id);
+        machine->deletionRequested = true;
+    }
+    if (findings.resignation) actions_.emplace_back(Resign{ResignationReason::noWorkersReachable});
+}
+
+void FleetHealthCheck::expireLeases(const FailureDetector::Census& census, Time now) {
+    for (auto* machine : census.expired) {
+        spdlog::info("worker lease expired machine={}", machine->id);
+        completion_.endAll(*machine, now);
+        machine->sendsHeartbeats = false;
+    }
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/heartbeat_commands.cpp
@@ -0,0 +1,30 @@
+#include "coordination/controller/heartbeat_commands.h"
+
+#include <utility>
+
+#include "coordination/scheduling/placement_constraints.h"
+#include "coordination/workers/worker_commands.h"
+
+namespace burlpoint::coordination {
+
+using protocol::WorkerCommand;
+
+HeartbeatCommands::HeartbeatCommands(bookkeeping::StateReplica& replica, SchedulingInputs& inputs,
+                                     DegradedFirstScheduler& scheduler)
+    : replica_(replica), inputs_(inputs), scheduler_(scheduler) {}
+
+std::vector<WorkerCommand> HeartbeatCommands::compose(bookkeeping::Machine& machine,
+                                                      const HeartbeatReceived& event, Time now) {
+    if (!machine.acknowledged) return stopsOfTerminatedJobs(event.heartbeat, replica_);
+    std::vector<WorkerCommand> commands;
+    if (!addSettlingCommands(event.heartbeat, replica_, commands)) return commands;
+    for (auto& command : stopCommands(machine)) commands.push_back(std::move(command));
+    // A leader cut off from the store stays entitled for some seconds, in which other controllers may confirm
+    // cancellations to users: running tasks go on, and nothing new starts.
+    if (!event.cancellationsCurrent || !usable(machine, now)) return commands;
+    inputs_.refresh(now);
+    scheduler_.schedule(machine, commands, now);
+    return commands;
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/heartbeat_intake.cpp
@@ -0,0 +1,123 @@
+#include "coordination/controller/heartbeat_intake.h"
+
+#include <utility>
+
+#include "coordination/workers/worker_commands.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::heartbeatVersionOf;
+using bookkeeping::Machine;
+using protocol::Heartbeat;
+
+namespace {
+
+constexpr std::uint32_t kProbeAfter = 2;  // stale heartbeats in a row
+
+}  // namespace
+
+HeartbeatIntake::HeartbeatIntake(const HeartbeatIntakeContext& context) : context_(context) {}
+
+bool HeartbeatIntake::hasOlderToken(const Heartbeat& heartbeat) const {
+    return heartbeat.fencingToken < context_.fencingToken;
+}
+
+bool HeartbeatIntake::hasNewerToken(const Heartbeat& heartbeat) const {
+    return heartbeat.fencingToken > context_.fencingToken;
+}
+
+void HeartbeatIntake::accept(const HeartbeatReceived& event, std::vector<protocol::WorkerCommand> commands) {
+    context_.actions.emplace_back(
+        AnswerHeartbeat{event.request, HeartbeatVerdict::accepted, std::move(commands)});
+}
+
+void HeartbeatIntake::refuse(const HeartbeatReceived& event) {
+    context_.actions.emplace_back(AnswerHeartbeat{event.request, HeartbeatVerdict::refused, {}});
+}
+
+void HeartbeatIntake::handle(const HeartbeatReceived& event, Time now) {
+    const Heartbeat& heartbeat = event.heartbeat;
+    if (hasNewerToken(heartbeat)) {
+        // Another controller leads by now: its fencing token outranks this one's wherever it was seen.
+        refuse(event);
+        context_.actions.emplace_back(Resign{ResignationReason::newerTokenSeen});
+        return;
+    }
+    if (context_.membership.isFromBeforeRemoval(heartbeat)) return refuse(event);
+    const bool wasMember = context_.fleet.find(heartbeat.machine) != nullptr;
+    auto& machine = context_.membership.findOrAdd(heartbeat.machine,
+                                                  {heartbeat.type, heartbeat.zone, heartbeat.spot}, now);
+    if (machine.quarantined) return refuse(event);
+    if (heartbeatVersionOf(heartbeat) <= machine.latestVersion()) return handleStale(machine, event);
+    if (machine.acknowledged && hasOlderToken(heartbeat)) {
+        quarantine(machine);
+        return refuse(event);
+    }
+    applyNewest(machine, event, wasMember, now);
+}
+
+/// A heartbeat that is newer than every message of its machine before.
+void HeartbeatIntake::applyNewest(Machine& machine, const HeartbeatReceived& event, bool wasMember,
+                                  Time now) {
+    machine.staleHeartbeats = 0;
+    machine.lastHeartbeat = now;
+    context_.failureDetector.noteHeartbeat(now);
+    const auto renewal = context_.leases.renew(machine, event.heartbeat, now);
+    context_.reconciler.apply(machine, event.heartbeat, StatusSource::heartbeat, now);
+    if (renewal == WorkerLeases::Renewal::mustExpire) return refuse(event);
+    // A requested machine's entry is written as it comes up, before it has taken the fencing token and can be
+    // given tasks.
+    if (machine.acknowledged || (wasMember && machine.reconciled)) context_.registry.ensureEntry(machine);
+    accept(event, context_.commands.compose(machine, event, now));
+    context_.terminator.noteAnswered(machine.id);
+}
+
+/// A heartbeat that is not newer than the machine's newest message: a late copy, or overtaken by the answer
+/// to a direct command.
+void HeartbeatIntake::handleStale(Machine& machine, const HeartbeatReceived& event) {
+    // With an older fencing token it may come from a worker that restarted its counters, which must not take
+    // this leader's token unnoticed.
+    if (machine.sendsHeartbeats && !hasOlderToken(event.heartbeat)) {
+        context_.leases.extendForStaleHeartbeat(machine);
+        // As the answer may renew the worker's lease, it carries what is to stop.
+        accept(event, stopCommands(machine));
+    } else {
+        refuse(event);
+    }
+    if (++machine.staleHeartbeats >= kProbeAfter) context_.directCommands.probe(machine);
+}
+
+void HeartbeatIntake::handle(const CommandsAnswered& event, Time now) {
+    auto* machine = context_.fleet.find(event.machine);
+    if (!machine) return;
+    machine->probing = false;
+    if (!event.heartbeat) return;
+    const Heartbeat& heartbeat = *event.heartbeat;
+    if (heartbeat.machine != machine->id) return;
+    if (hasNewerToken(heartbeat)) {
+        context_.actions.emplace_back(Resign{ResignationReason::newerTokenSeen});
+        return;
+    }
+    if (machine->quarantined) return;
+    // The answer was made after the commands were sent, so its counters must have moved on.
+    if (heartbeatVersionOf(heartbeat) <= event.known || (machine->acknowledged && hasOlderToken(heartbeat)))
+        return quarantine(*machine);
+    applyAnswer(*machine, heartbeat, now);
+}
+
+/// A trusted answer to direct commands: the worker can be reached.
+void HeartbeatIntake::applyAnswer(Machine& machine, const Heartbeat& heartbeat, Time now) {
+    machine.probedAt = now;
+    machine.unreachableSince.reset();
+    machine.undeliveredResponses = 0;
+    machine.staleHeartbeats = 0;
+    const bool namedOldIncarnation =
+        !machine.acknowledged && hasOlderToken(heartbeat) && heartbeat.incarnation != machine.incarnation;
+    if (heartbeatVersionOf(heartbeat) > machine.latestVersion())
+        context_.reconciler.apply(machine, heartbeat, StatusSource::answer, now);
+    // The worker turned the commands down for the old incarnation; with the right one it takes the fencing
+    // token.
+    if (namedOldIncarnation) context_.directCommands.probe(machine);
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/job_changes.cpp
@@ -0,0 +1,45 @@
+#include "coordination/controller/job_changes.h"
+
+namespace burlpoint::coordination {
+
+using storage::TerminalState;
+
+JobChanges::JobChanges(bookkeeping::StateReplica& replica, JobQueue& jobQueue, JobActivator& activator,
+                       StateWriter& writer, TaskTerminator& terminator)
+    : replica_(replica),
+      jobQueue_(jobQueue),
+      activator_(activator),
+      writer_(writer),
+      terminator_(terminator) {}
+
+void JobChanges::inheritAll(Time now) {
+    for (const auto& [id, job] : replica_.jobs()) {
+        job->run.reset();
+        if (job->terminalState == TerminalState::none && job->ready()) activator_.begin(*job, true, now);
+    }
+}
+
+void JobChanges::apply(const std::vector<std::string>& ids, Time now) {
+    for (const auto& id : ids)
+        if (auto* job = replica_.find(id)) apply(*job, now);
+}
+
+void JobChanges::apply(const std::vector<bookkeeping::Change>& changes, Time now) {
+    for (const auto& change : changes)
+        if (auto* job = replica_.find(change.id)) apply(*job, now);
+}
+
+void JobChanges::apply(bookkeeping::Job& job, Time now) {
+    jobQueue_.markStale();
+    if (job.terminalState == TerminalState::none) {
+        // A job that waited for others cannot be on a machine: an earlier leader would have seen those stored
+        // as done, and so would this one as it began.
+        if (!job.run && job.ready()) activator_.begin(job, false, now);
+        return;
+    }
+    jobQueue_.remove(job);
+    writer_.forget(job);
+    if (job.run) terminator_.stopJob(job, Seconds(0), now);
+}
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -1,11 +1,11 @@
 #pragma once
 
 // The decisions of a leading controller. Leader owns what one leadership knows of machines and jobs' runs,
-// and the modules that decide; it hands each command to them in turn and collects what they want done. Where
-// a start is decided: DegradedFirstScheduler, and GangPlanner for gangs of several tasks.
+// and the modules that decide; it hands each event to the module in charge and collects the actions that
+// follow. Which task starts where is decided by DegradedFirstScheduler, and by GangPlanner for gangs of
+// several tasks. Used on the event loop's thread only.
 
 #include <cstdint>
-#include <map>
 #include <string>
 #include <utility>
 #include <vector>
@@ -16,7 +16,17 @@
 #include "bookkeeping/machine_types.h"
 #include "bookkeeping/state_replica.h"
 #include "coordination/autoscaling/autoscaler.h"
-#include "coordination/controller/leader_messages.h"
+#include "coordination/controller/cloud_inventory.h"
+#include "coordination/controller/direct_commands.h"
+#include "coordination/controller/fleet_health_check.h"
+#include "coordination/controller/fleet_membership.h"
+#include "coordination/controller/heartbeat_commands.h"
+#include "coordination/controller/heartbeat_intake.h"
+#include "coordination/controller/job_changes.h"
+#include "coordination/controller/leader_actions.h"
+#include "coordination/controller/leader_events.h"
+#include "coordination/controller/scheduling_inputs.h"
+#include "coordination/controller/worker_leases.h"
 #include "coordination/scheduling/accelerator_policy.h"
 #include "coordination/scheduling/attempt_id_generator.h"
 #include "coordination/scheduling/degraded_first_scheduler.h"
@@ -35,44 +45,28 @@
 #include "coordination/workers/attempt_completion.h"
 #include "coordination/workers/failure_detector.h"
 #include "coordination/workers/heartbeat_reconciler.h"
-#include "coordination/workers/machine_tombstones.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
 
-using bookkeeping::Fleet;
-using bookkeeping::HeartbeatVersion;
-using bookkeeping::Job;
-using bookkeeping::Machine;
-using bookkeeping::Offering;
-using bookkeeping::Placement;
-using bookkeeping::PlacementState;
-using bookkeeping::Resources;
-using bookkeeping::StateReplica;
-using protocol::Heartbeat;
-using protocol::MachineType;
-using protocol::Policy;
-using protocol::Priority;
-using protocol::Settings;
-using protocol::WorkerCommand;
-
-/// A controller's leadership from take-over to resignation: a function of its state, a command and the time.
-/// It does no I/O. The replica must be fresh when it is made.
+/// One leadership of a controller, from its beginning to its resignation: a function of its state, an event
+/// and the time. It does no I/O. The replica must be fresh when it is made.
 class Leader {
   public:
     /// `wallMs` is the time of day at `now`, for the ages of jobs accepted earlier. All references are kept
     /// and have to outlive this.
-    Leader(const Settings& settings, const Policy& policy, StateReplica& replica, std::uint64_t fencingToken,
-           Time now, std::uint64_t wallMs);
+    Leader(const protocol::Settings& settings, const protocol::Policy& policy,
+           bookkeeping::StateReplica& replica, std::uint64_t fencingToken, Time now, std::uint64_t wallMs);
     ~Leader();
     Leader(const Leader&) = delete;
     Leader& operator=(const Leader&) = delete;
 
-    /// Takes in the command and returns what is to be done, in that order. Time never goes back.
+    /// Handles the event and returns what is to be done, to be carried out in that order. Time never goes
+    /// back.
     std::vector<Action> handle(LeaderEvent event, Time now);
 
     std::uint64_t fencingToken() const { return fencingToken_; }
-    const Fleet& fleet() const { return fleet_; }
+    const bookkeeping::Fleet& fleet() const { return fleet_; }
     /// What is stored and what is still to be, for tests and logs.
     const StateWriter& stateWriter() const { return writer_; }
     /// Machines looked at on behalf of waiting jobs so far: what grows with the fleet.
@@ -80,63 +74,34 @@
     /// The jobs with running tasks, and how many each has.
     std::vector<std::pair<std::string, std::uint32_t>> runningCounts() const;
 
-    /// The worker's lease as its controllers must count it: from the receipt of a heartbeat, with drift.
-    static Clock::duration leaseBound(const Settings& settings);
-
   private:
-    void takeOverJobs();
-    void takeOverMachines();
-
-    // Workers.
-    void on(HeartbeatReceived& event);
-    void on(CommandsAnswered& event);
-    Machine& findOrAddMachine(const std::string& id, const std::string& type, const std::string& zone,
-                              bool spot);
-    void refuse(const HeartbeatReceived& event);
-    void answerStaleHeartbeat(Machine& machine, const HeartbeatReceived& event);
-    bool renewLease(Machine& machine, bool hasOlderToken);
-    std::vector<WorkerCommand> composeCommands(Machine& machine, const Heartbeat& heartbeat,
-                                               bool cancellationsCurrent);
-    void probe(Machine& machine);
-    void sendCommands(const Machine& machine);
-    void sendUrgentStops();
-    static void quarantine(Machine& machine);
-    void removeMachine(Machine& machine);
-    void checkFailedMachines();
-
-    // Users and the key-value store.
-    void on(JobsChanged& event);
-    void on(StateWritten& event);
-    void on(ReplicaRefreshed& event);
-    void jobsChanged(const std::vector<bookkeeping::Change>& changes);
-    void jobChanged(Job& job);
-
-    // The cloud (leader_cloud.cpp).
-    void on(ScaleOutCompleted& event);
-    void on(ScaleInCompleted& event);
-    void on(MachinesListed& event);
-    void on(TypesListed& event);
-    void autoscale();
-    void noteListed(const protocol::CloudInstance& rented);
-
-    // Time.
-    void on(Tick& event);
-    void refreshJobQueue();
-    void refreshPacing();
-    void logState() const;
-
-    const Settings& settings_;
-    const Policy& policy_;
-    StateReplica& replica_;
+    void inheritMachines();
+
+    void on(const HeartbeatReceived& event);
+    void on(const CommandsAnswered& event);
+    void on(const JobsChanged& event);
+    void on(const StateWritten& event);
+    void on(const ReplicaRefreshed& event);
+    void on(const ScaleOutCompleted& event);
+    void on(const ScaleInCompleted& event);
+    void on(const MachinesListed& event);
+    void on(const TypesListed& event);
+    void on(const Tick& event);
+
+    // The parts of a tick that have pauses of their own.
+    void preemptIfDue();
+    void autoscaleIfDue();
+    void logStateIfDue();
+
+    const protocol::Policy& policy_;
+    bookkeeping::StateReplica& replica_;
     const std::uint64_t fencingToken_;
-    const Time began_;
     const WallClock wallClock_;
     Time now_;
-    std::vector<Action> actions_;  // of the command being handled
+    std::vector<Action> actions_;  // of the event being handled
 
-    Fleet fleet_;
-    MachineTypes types_;
-    MachineTombstones tombstones_;
+    bookkeeping::Fleet fleet_;
+    bookkeeping::MachineTypes types_;
     AttemptIdGenerator attemptIds_;
     ScanCounter scans_;
 
@@ -159,8 +124,16 @@
     AttemptCompletion completion_;
     HeartbeatReconciler reconciler_;
 
-    // When things that walk over the fleet are due again.
-    Time nextPacing_{};
+    FleetMembership membership_;
+    WorkerLeases leases_;
+    DirectCommands directCommands_;
+    SchedulingInputs inputs_;
+    HeartbeatCommands heartbeatCommands_;
+    HeartbeatIntake heartbeatIntake_;
+    FleetHealthCheck healthCheck_;
+    JobChanges jobChanges_;
+    CloudInventory cloudInventory_;
+
     Time nextPreemption_{};
     Time nextAutoscaling_{};
     Time nextLog_{};
--- /dev/null
+++ b/src/coordination/controller/leader_debug_log.cpp
@@ -0,0 +1,37 @@
+#include "coordination/controller/leader_debug_log.h"
+
+#include <spdlog/spdlog.h>
+
+namespace burlpoint::coordination {
+
+namespace {
+
+void logMachine(const bookkeeping::Machine& machine, Time now) {
+    const bool leaving =
+        machine.draining || machine.deletionRequested || machine.failed || machine.interruptionAt;
+    spdlog::debug(
+        "machine state machine={} type={} zone={} spot={} sends_heartbeats={} registration={} tasks={} "
+        "cpus={} gpus={} memory_gb={} images={} leaving={} reserved={}",
+        machine.id, machine.type, machine.zone, machine.spot, machine.sendsHeartbeats,
+        static_cast<int>(machine.registration), machine.placements.size(), machine.used.cpus,
+        machine.used.gpus, machine.used.memoryGb, machine.images.size(), leaving, machine.isReserved(now));
+}
+
+void logWaitingJob(const bookkeeping::Job& job, Time now) {
+    spdlog::debug("job waits job={} class={} rank={} waiting={} tasks={} possible={} waiting_s={:.1f}",
+                  job.spec.id, job.spec.jobClass, rankOf(job), job.run->waiting, job.spec.tasks,
+                  job.run->placedTotal, Seconds(now - job.run->waitingSince).count());
+}
+
+}  // namespace
+
+void logLeaderState(const bookkeeping::Fleet& fleet, const JobQueue& jobQueue,
+                    const CapacityErrors& capacityErrors, Time now) {
+    for (const auto& [id, machine] : fleet.machines()) logMachine(*machine, now);
+    for (const auto* job : jobQueue.waiting()) logWaitingJob(*job, now);
+    for (const auto& offering : capacityErrors.unavailableNow(now))
+        spdlog::debug("capacity error in force type={} zone={} spot={}", offering.type, offering.zone,
+                      offering.spot);
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/resignation_reason.cpp
@@ -0,0 +1,34 @@
+#include "coordination/controller/resignation_reason.h"
+
+namespace burlpoint::coordination {
+
+const char* nameOf(ResignationReason reason) {
+    switch (reason) {
+        case ResignationReason::newerTokenSeen:
+            return "newer-token-seen";
+        case ResignationReason::newerTokenStored:
+            return "newer-token-stored";
+        case ResignationReason::noWorkersReachable:
+            return "no-workers-reachable";
+        case ResignationReason::onlyThisControllerRefused:
+            return "only-this-controller-refused";
+        case ResignationReason::overloaded:
+            return "overloaded";
+    }
+    return "unknown";
+}
+
+bool defersToPeers(ResignationReason reason) {
+    switch (reason) {
+        case ResignationReason::newerTokenSeen:
+        case ResignationReason::newerTokenStored:
+            return false;
+        case ResignationReason::noWorkersReachable:
+        case ResignationReason::onlyThisControllerRefused:
+        case ResignationReason::overloaded:
+            return true;
+    }
+    return false;
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/resignation_reason.h
@@ -0,0 +1,21 @@
+#pragma once
+
+// Why a controller gives up its leadership. Pure functions.
+
+namespace burlpoint::coordination {
+
+enum class ResignationReason {
+    newerTokenSeen,             // a worker's message carries a higher fencing token
+    newerTokenStored,           // the key-value store holds a higher fencing token
+    noWorkersReachable,         // no worker's heartbeats reach this controller, or they never did
+    onlyThisControllerRefused,  // the key-value store answers other controllers and not this one
+    overloaded                  // this controller does not keep up with its work
+};
+
+/// The reason as a value for logs, without spaces.
+const char* nameOf(ResignationReason reason);
+
+/// Is this controller itself the likely cause? Then its peers go first in the next election.
+bool defersToPeers(ResignationReason reason);
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/worker_leases.cpp
@@ -0,0 +1,51 @@
+#include "coordination/controller/worker_leases.h"
+
+#include <algorithm>
+
+#include "coordination/workers/heartbeat_reconciler.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Machine;
+
+namespace {
+
+constexpr double kClockDrift = 1.002;      // two clocks, each off by up to 0.05%, in opposite directions
+constexpr Seconds kProcessingMargin{0.3};  // a busy controller takes a message in late
+
+}  // namespace
+
+WorkerLeases::WorkerLeases(const protocol::Settings& settings, std::uint64_t fencingToken, Time began)
+    : settings_(settings), fencingToken_(fencingToken), began_(began) {}
+
+Clock::duration WorkerLeases::bound(const protocol::Settings& settings) {
+    return std::chrono::duration_cast<Clock::duration>(settings.workerLease * kClockDrift +
+                                                       kProcessingMargin);
+}
+
+void WorkerLeases::inherit(Machine& machine, Time now) const {
+    machine.leaseUntil = now + bound(settings_);
+    machine.lastHeartbeat = now;
+}
+
+WorkerLeases::Renewal WorkerLeases::renew(Machine& machine, const protocol::Heartbeat& heartbeat,
+                                          Time now) const {
+    const bool hasOlderToken = heartbeat.fencingToken < fencingToken_;
+    if (!machine.reconciled && hasOlderToken) {
+        // Its worker has not taken this leader's fencing token, so no answer of this leader has renewed the
+        // lease so far.
+        machine.leaseUntil = began_ + bound(settings_);
+        if (machine.undeliveredResponses >= kMaxUndeliveredResponses) return Renewal::mustExpire;
+        ++machine.undeliveredResponses;
+    }
+    const auto leaseSoFar = machine.reconciled ? Time{} : machine.leaseUntil;
+    machine.leaseUntil = std::max(leaseSoFar, now + bound(settings_));
+    machine.sendsHeartbeats = true;
+    return Renewal::renewed;
+}
+
+void WorkerLeases::extendForStaleHeartbeat(Machine& machine) const {
+    machine.leaseUntil = std::max(machine.leaseUntil, machine.lastMessageAt + bound(settings_));
+}
+
+}  // namespace burlpoint::coordination
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -14,7 +14,9 @@
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::Action;
+using coordination::HeartbeatVerdict;
 using coordination::LeaderEvent;
+using coordination::ScaleInOutcome;
 
 namespace {
 
@@ -106,13 +108,13 @@
     const auto first = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
     const auto second = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
     EXPECT_NE(first, second);
-    perform(coordination::AnswerHeartbeat{second, true, {}});
+    perform(coordination::AnswerHeartbeat{second, HeartbeatVerdict::accepted, {}});
     ASSERT_EQ(replies.size(), 1u);
     EXPECT_EQ(replies[0].status, 200);
     EXPECT_EQ(replies[0].body, protocol::encodeHeartbeatResponse(fencingToken, {}));
-    perform(coordination::AnswerHeartbeat{second, true, {}});
+    perform(coordination::AnswerHeartbeat{second, HeartbeatVerdict::accepted, {}});
     EXPECT_EQ(replies.size(), 1u);
-    perform(coordination::AnswerHeartbeat{first, false, {}});
+    perform(coordination::AnswerHeartbeat{first, HeartbeatVerdict::refused, {}});
     ASSERT_EQ(replies.size(), 2u);
     EXPECT_EQ(replies[1].status, 503);
 }
@@ -121,10 +123,10 @@
     lead();
     int status = 0;
     executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
-    const auto round = executor.round();
-    perform(coordination::Resign{"a test", false});
+    const auto epoch = executor.epoch();
+    perform(coordination::Resign{coordination::ResignationReason::newerTokenSeen});
     EXPECT_EQ(status, 503);
-    EXPECT_NE(executor.round(), round);
+    EXPECT_NE(executor.epoch(), epoch);
     EXPECT_EQ(fencingToken, 0u);
 }
 
@@ -138,19 +140,19 @@
     EXPECT_EQ(answered.known, (bookkeeping::HeartbeatVersion{1, 5}));
     EXPECT_EQ(answered.heartbeat, heartbeat("m1"));
     perform(coordination::ScaleIn{{"m1", "m2"}});
-    const auto released = next<coordination::ScaleInCompleted>();
-    EXPECT_TRUE(released.ok);
-    EXPECT_EQ(released.machines, (std::vector<std::string>{"m1", "m2"}));
+    const auto deletion = next<coordination::ScaleInCompleted>();
+    EXPECT_EQ(deletion.outcome, ScaleInOutcome::deleted);
+    EXPECT_EQ(deletion.machines, (std::vector<std::string>{"m1", "m2"}));
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});  // the cloud answers 503
-    const auto rental = next<coordination::ScaleOutCompleted>();
-    EXPECT_EQ(rental.name, "r1");
-    EXPECT_EQ(rental.outcome, coordination::InstanceRequestOutcome::unknown);
+    const auto creation = next<coordination::ScaleOutCompleted>();
+    EXPECT_EQ(creation.name, "r1");
+    EXPECT_EQ(creation.outcome, coordination::InstanceRequestOutcome::unknown);
     perform(coordination::ListMachines{});
-    EXPECT_FALSE(next<coordination::MachinesListed>().ok);
+    EXPECT_FALSE(next<coordination::MachinesListed>().complete);
     perform(coordination::WriteState{{}, {{"bp/x", protocol::MessagePacker().value("x").take(), 0}}});
     EXPECT_EQ(next<coordination::StateWritten>().result.status, storage::TransactionStatus::applied);
     perform(coordination::RefreshReplica{});
-    EXPECT_TRUE(next<coordination::ReplicaRefreshed>().ok);
+    EXPECT_EQ(next<coordination::ReplicaRefreshed>().outcome, coordination::RefreshOutcome::refreshed);
 }
 
 TEST_F(ActionExecutorTest, MalformedAnswersAreNoNews) {
@@ -167,14 +169,14 @@
     int status = 0;
     const auto request =
         executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
-    perform(coordination::AnswerHeartbeat{request, true, {}});
+    perform(coordination::AnswerHeartbeat{request, HeartbeatVerdict::accepted, {}});
     EXPECT_EQ(status, 503);
     perform(commands());
     EXPECT_FALSE(next<coordination::CommandsAnswered>().heartbeat);
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
     EXPECT_EQ(next<coordination::ScaleOutCompleted>().outcome, coordination::InstanceRequestOutcome::unknown);
     perform(coordination::ScaleIn{{"m1"}});
-    EXPECT_FALSE(next<coordination::ScaleInCompleted>().ok);
+    EXPECT_EQ(next<coordination::ScaleInCompleted>().outcome, ScaleInOutcome::unknown);
     runFor(100ms);
     EXPECT_TRUE(asked.empty());
 }
--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -42,7 +42,8 @@
 
 std::string describe(const coordination::AnswerHeartbeat& action) {
     return "answer-heartbeat " + std::to_string(action.request) +
-           (action.accepted ? " accepted " : " refused ") + describe(action.commands);
+           (action.verdict == coordination::HeartbeatVerdict::accepted ? " accepted " : " refused ") +
+           describe(action.commands);
 }
 std::string describe(const coordination::SendCommands& action) {
     return "command " + action.machine + " " + action.address + " " + std::to_string(action.incarnation) +
@@ -60,7 +61,7 @@
 std::string describe(const coordination::ListMachines&) { return "list-machines"; }
 std::string describe(const coordination::ListTypes&) { return "list-types"; }
 std::string describe(const coordination::Resign& action) {
-    return std::string("resign") + (action.deferToPeers ? " deferring" : "");
+    return std::string("resign") + (coordination::defersToPeers(action.reason) ? " deferring" : "");
 }
 
 struct HistoryKind {
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -93,7 +93,7 @@
             if (const auto* reply = std::get_if<AnswerHeartbeat>(&action)) obey(name, *reply);
     }
     void obey(const std::string& name, const AnswerHeartbeat& reply) {
-        if (!reply.accepted) {
+        if (reply.verdict == HeartbeatVerdict::refused) {
             ++refused_;
             return;
         }
@@ -116,7 +116,7 @@
                 answer(harness_.tell(StateWritten{result}));
             } else if (const auto* release = std::get_if<ScaleIn>(&action)) {
                 released_.insert(release->machines.begin(), release->machines.end());
-                answer(harness_.tell(ScaleInCompleted{release->machines, true}));
+                answer(harness_.tell(ScaleInCompleted{release->machines, ScaleInOutcome::deleted}));
             } else if (std::holds_alternative<ListMachines>(action)) {
                 answer(harness_.tell(MachinesListed{}));
             }
--- a/tests/leader_dependencies_test.cpp
+++ b/tests/leader_dependencies_test.cpp
@@ -35,7 +35,7 @@
     std::set<std::string> stopped;
     for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", tasks, 4)}))
         if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
-            EXPECT_TRUE(answer->accepted);
+            EXPECT_EQ(answer->verdict, HeartbeatVerdict::accepted);
             for (const auto& command : answer->commands) {
                 EXPECT_EQ(command.kind, CommandKind::stop);
                 stopped.insert(command.attempt.job + "/" + std::to_string(command.attempt.task));
@@ -64,7 +64,7 @@
     std::size_t stops = 0;
     for (const auto& action : harness.tell(HeartbeatReceived{1, staleHeartbeats}))
         if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
-            EXPECT_TRUE(answer->accepted);
+            EXPECT_EQ(answer->verdict, HeartbeatVerdict::accepted);
             for (const auto& command : answer->commands) stops += command.kind == CommandKind::stop;
         }
     EXPECT_EQ(stops, 1u);
@@ -92,7 +92,7 @@
     harness.tell(StateWritten{});
     EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
     writing = false;
-    for (const auto& action : harness.tell(ReplicaRefreshed{true}))
+    for (const auto& action : harness.tell(ReplicaRefreshed{RefreshOutcome::refreshed}))
         writing |= std::holds_alternative<WriteState>(action);
     ASSERT_TRUE(writing);
     EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
@@ -220,7 +220,7 @@
     std::vector<protocol::WorkerCommand> commands;
     for (const auto& action : harness.tell(HeartbeatReceived{1, heartbeat, false}))
         if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
-            EXPECT_TRUE(answer->accepted);  // what runs goes on
+            EXPECT_EQ(answer->verdict, HeartbeatVerdict::accepted);  // what runs goes on
             commands = answer->commands;
         }
     ASSERT_EQ(commands.size(), 1u);
--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -58,13 +58,14 @@
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
-    bool resigned = false, accepted = true;
+    bool resigned = false;
+    auto verdict = HeartbeatVerdict::accepted;
     for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {}, 6)})) {
         resigned |= std::holds_alternative<Resign>(action);
-        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) accepted = answer->accepted;
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) verdict = answer->verdict;
     }
     EXPECT_TRUE(resigned);
-    EXPECT_FALSE(accepted);
+    EXPECT_EQ(verdict, HeartbeatVerdict::refused);
 }
 
 TEST(Leader, AMachineWithoutARegistryEntryGetsNoTasks) {
@@ -143,10 +144,10 @@
     }
     EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease ran out all the same
     EXPECT_FALSE(m1.sendsHeartbeats);
-    bool accepted = true;
+    auto verdict = HeartbeatVerdict::accepted;
     for (const auto& action : harness.tell(HeartbeatReceived{8, empty}))
-        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) accepted = answer->accepted;
-    EXPECT_FALSE(accepted);
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) verdict = answer->verdict;
+    EXPECT_EQ(verdict, HeartbeatVerdict::refused);
 }
 
 // Deleted machines stay deleted, however late what they sent arrives.
@@ -155,7 +156,7 @@
     harness.registerMachine("m1");
     harness.lead();
     harness.heartbeat("m1");
-    harness.tell(ScaleInCompleted{{"m1"}, true});
+    harness.tell(ScaleInCompleted{{"m1"}, ScaleInOutcome::deleted});
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     EXPECT_TRUE(harness.leader->fleet().machines().empty());
 }
@@ -237,7 +238,7 @@
         harness.now += 1s;
         for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {}, 0)})) {
             if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
-                EXPECT_FALSE(answer->accepted);
+                EXPECT_EQ(answer->verdict, HeartbeatVerdict::refused);
             }
             if (const auto* direct = std::get_if<SendCommands>(&action)) probe = *direct;
         }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -138,7 +138,7 @@
                 tell(StateWritten{result});
             } else if (std::holds_alternative<RefreshReplica>(action)) {
                 readLog();
-                tell(ReplicaRefreshed{true});
+                tell(ReplicaRefreshed{RefreshOutcome::refreshed});
             } else if (std::holds_alternative<Resign>(action)) {
                 resigned = true;
             }
--- a/tests/world_network.cpp
+++ b/tests/world_network.cpp
@@ -6,7 +6,7 @@
 
 void World::perform(coordination::AnswerHeartbeat& a) {
     const auto [worker, incarnation] = heartbeats_.at(a.request);
-    if (!a.accepted || chance(faults_.lose)) return;
+    if (a.verdict == coordination::HeartbeatVerdict::refused || chance(faults_.lose)) return;
     for (const auto& command : a.commands) checkStart(command);
     const auto delay = chance(faults_.late) ? span(0, 8) : span(0, 0.2);
     deliver(
@@ -125,9 +125,10 @@
 void World::perform(coordination::RefreshReplica&) {
     at(20ms, [this, fencingToken = tenant_->fencingToken] {
         if (!tenant_ || tenant_->fencingToken != fencingToken) return;
-        if (tenant_->severed() || outage()) return tell(coordination::ReplicaRefreshed{false});
+        if (tenant_->severed() || outage())
+            return tell(coordination::ReplicaRefreshed{coordination::RefreshOutcome::failed});
         readStore(*tenant_);
-        tell(coordination::ReplicaRefreshed{true});
+        tell(coordination::ReplicaRefreshed{coordination::RefreshOutcome::refreshed});
     });
 }
 
@@ -171,18 +172,21 @@
     const auto fencingToken = tenant_->fencingToken;
     if (chance(faults_.late)) {
         at(span(0, 20), remove);
-        return deliverLater(6s, fencingToken, coordination::ScaleInCompleted{a.machines, false});
+        return deliverLater(
+            6s, fencingToken,
+            coordination::ScaleInCompleted{a.machines, coordination::ScaleInOutcome::unknown});
     }
     at(span(0.05, 0.2), [this, remove, fencingToken, a] {
         remove();
-        deliverLater(50ms, fencingToken, coordination::ScaleInCompleted{a.machines, true});
+        deliverLater(50ms, fencingToken,
+                     coordination::ScaleInCompleted{a.machines, coordination::ScaleInOutcome::deleted});
     });
 }
 
 void World::perform(coordination::ListMachines&) {
     coordination::MachinesListed listed;
-    listed.asked = now_;
-    listed.ok = !chance(faults_.lose);
+    listed.requestedAt = now_;
+    listed.complete = !chance(faults_.lose);
     for (const auto& [id, w] : workers_) {
         if (w.dead || now_ - w.bootAt < 0s) continue;
         listed.machines.push_back(
