--- a/src/main.cpp
+++ b/src/main.cpp
@@ -3,7 +3,10 @@
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <cstdlib>
+#include <iostream>
+#include <string>
 
 #include "coordination/controller/controller.h"
 #include "protocol/settings.h"
@@ -14,8 +17,8 @@
 void startLogging() {
     spdlog::set_default_logger(spdlog::stderr_logger_st("burlpointd"));
     spdlog::set_pattern("%H:%M:%S.%e %l %v");
-    const char* wanted = std::getenv("LOG_LEVEL");
-    const std::string level = wanted ? wanted : "info";
+    const char* variable = std::getenv("LOG_LEVEL");
+    const std::string level = variable ? variable : "info";
     if (level == "error")
         spdlog::set_level(spdlog::level::err);
     else if (level == "debug")
@@ -23,17 +26,34 @@
     else
         spdlog::set_level(spdlog::level::info);
     if (level != "error" && level != "debug" && level != "info")
-        spdlog::error("LOG_LEVEL={}: not error, info or debug; info is used", level);
+        spdlog::error("unknown log level, info is used LOG_LEVEL={}", level);
 }
 
-/// A socket for each worker of a large fleet is more than most systems give a process unasked.
-void raiseFileLimit(unsigned connections) {
-    constexpr rlim_t kOthers = 64;  // standard error, timers and the like
+/// Raises the limit of open files as far as the system allows: a socket for each worker of a large fleet is
+/// more than the usual default.
+void raiseOpenFileLimit(unsigned connections) {
+    constexpr rlim_t kOtherFiles = 64;  // standard error, timers and the like
+    const rlim_t needed = connections + kOtherFiles;
     rlimit limit{};
-    if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= connections + kOthers) return;
-    limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, connections + kOthers);
-    if (setrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur < connections + kOthers)
-        spdlog::info("only {} open files of {} are allowed", limit.rlim_cur, connections + kOthers);
+    if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= needed) return;
+    limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, needed);
+    if (setrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur < needed)
+        spdlog::info("open files limited below what is needed allowed={} needed={}", limit.rlim_cur, needed);
+}
+
+/// Prints what `--check` says of valid settings.
+void printSummary(const std::string& file, const burlpoint::protocol::Settings& settings) {
+    std::cout << file << ": controller " << settings.name << " in " << settings.zone << ", "
+              << settings.peers.size() << " peers, " << settings.teams.size() << " teams: good\n";
+}
+
+/// Runs a controller until the process is ended.
+void runController(const burlpoint::protocol::Settings& settings, const burlpoint::protocol::Policy& policy) {
+    raiseOpenFileLimit(settings.maxConnections);
+    asio::io_context io(burlpoint::transport::kSingleThread);
+    const burlpoint::coordination::Controller controller(io, settings, policy);
+    spdlog::info("controller started name={} address={}", settings.name, settings.listenAddress);
+    io.run();
 }
 
 }  // namespace
@@ -41,10 +61,10 @@
 // NOLINTNEXTLINE(bugprone-exception-escape): what fails before the settings are read ends the program
 int main(int argc, char** argv) {
     CLI::App app{"burlpointd, a controller of the burlpoint cluster scheduler"};
-    std::string config;
+    std::string settingsFile;
     std::string policyFile;
     bool check = false;
-    app.add_option("--config", config, "the platform's settings (TOML)")->required()->type_name("FILE");
+    app.add_option("--config", settingsFile, "the platform's settings (TOML)")->required()->type_name("FILE");
     app.add_option("--policy", policyFile, "the operators' settings (XML)")->type_name("FILE");
     app.add_flag("--check", check, "read the settings, report and exit");
     app.set_version_flag("--version", std::string("burlpointd ") + BURLPOINT_VERSION);
@@ -52,19 +72,14 @@
 
     startLogging();
     try {
-        const auto settings = burlpoint::protocol::readSettings(config);
+        const auto settings = burlpoint::protocol::readSettings(settingsFile);
         const auto policy =
             policyFile.empty() ? burlpoint::protocol::Policy{} : burlpoint::protocol::readPolicy(policyFile);
         if (check) {
-            std::cout << config << ": node " << settings.name << " in " << settings.zone << ", "
-                      << settings.peers.size() << " peers, " << settings.teams.size() << " teams: good\n";
+            printSummary(settingsFile, settings);
             return EXIT_SUCCESS;
         }
-        raiseFileLimit(settings.maxConnections);
-        asio::io_context io(burlpoint::transport::kSingleThread);
-        burlpoint::coordination::Controller node(io, settings, policy);
-        spdlog::info("{} serves {}", settings.name, settings.listenAddress);
-        io.run();
+        runController(settings, policy);
     } catch (const std::exception& error) {
         spdlog::error("{}", error.what());
         return EXIT_FAILURE;
