--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_F(ActionExecutorTest, AHeartbeatIsAnsweredOnceWithTheLeadersToken) {
+TEST_F(ActionExecutorTest, AnswerHeartbeatThenRepliedOnceWithFencingToken) {
     lead();
     std::vector<transport::Response> replies;
     const auto first = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
@@ -119,7 +119,7 @@
     EXPECT_EQ(replies[1].status, 503);
 }
 
-TEST_F(ActionExecutorTest, ResigningAnswersTheHeartbeatsThatWait) {
+TEST_F(ActionExecutorTest, ResignationThenPendingHeartbeatsGet503) {
     lead();
     int status = 0;
     executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
@@ -130,7 +130,7 @@
     EXPECT_EQ(fencingToken, 0u);
 }
 
-TEST_F(ActionExecutorTest, OutcomesAreDeliveredAsCommands) {
+TEST_F(ActionExecutorTest, ActionsPerformedThenOutcomesAreDelivered) {
     lead();
     answers[protocol::paths::kCommands] = protocol::encodeHeartbeat(heartbeat("m1"));
     answers[protocol::paths::kRelease] = "";
@@ -155,7 +155,7 @@
     EXPECT_EQ(next<coordination::ReplicaRefreshed>().outcome, coordination::RefreshOutcome::refreshed);
 }
 
-TEST_F(ActionExecutorTest, MalformedAnswersAreNoNews) {
+TEST_F(ActionExecutorTest, MalformedAnswerThenOutcomeIsUnknown) {
     lead();
     answers[protocol::paths::kCommands] = answers[protocol::paths::kInstanceRequest] = "nonsense";
     perform(commands());
@@ -164,7 +164,7 @@
     EXPECT_EQ(next<coordination::ScaleOutCompleted>().outcome, coordination::InstanceRequestOutcome::unknown);
 }
 
-TEST_F(ActionExecutorTest, OnlyAnEntitledLeaderReachesWorkersAndTheCloud) {
+TEST_F(ActionExecutorTest, NotEntitledThenWorkersAndCloudAreNotReached) {
     executor.begin(7);  // though the election was not won
     int status = 0;
     const auto request =
@@ -181,7 +181,7 @@
     EXPECT_TRUE(asked.empty());
 }
 
-TEST_F(ActionExecutorTest, WhatAnEarlierLeadershipAskedIsNotDelivered) {
+TEST_F(ActionExecutorTest, LeadershipEndedThenItsOutcomesAreDropped) {
     lead();
     holdsBack = true;
     perform(commands());
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -24,7 +24,7 @@
 }
 
 /// Whole nodes on loopback around the stand-in for the key-value store; there is no cloud.
-struct Nodes : testing::Test {
+struct ControllerTest : testing::Test {
     static constexpr char kNowhere[] = "127.0.0.1:1";
 
     asio::io_context io{1};
@@ -95,7 +95,7 @@
 }  // namespace
 
 // Seen on a simulated day: behind a cut, workers tried one node after the other until their lease was over.
-TEST_F(Nodes, ANodeThatCannotReachTheLeaderNamesOneThatCan) {
+TEST_F(ControllerTest, FollowerCutOffFromLeaderThenNamesPeerInTouchWithIt) {
     one.peers = {peer(two), unreachable(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {unreachable(one), peer(two)};
@@ -110,7 +110,7 @@
 
 // A follower that the key-value store refuses is told of a new leader by that one alone. Seen on a simulated
 // day: it was the only node that both the leader and the workers behind a cut could reach.
-TEST_F(Nodes, AFollowerRefusedByTheStoreFindsTheNewLeader) {
+TEST_F(ControllerTest, FollowerRefusedByStoreThenForwardsToNewLeader) {
     two.storeAddress = own.address();
     one.peers = {peer(two), peer(three)};
     two.peers = {peer(one), peer(three)};
@@ -140,7 +140,7 @@
 // The gap: the store refuses the leader alone, another node confirms a cancellation, and then nobody is
 // served for longer than a cancelled task may go on. The votes that carry the leader through tell it what
 // to stop, and its other tasks go on.
-TEST_F(Nodes, VotesTellALeaderWhatItsPeersHaveConfirmed) {
+TEST_F(ControllerTest, LeaderExtendedByVotesThenStopsJobsCancelledThroughPeers) {
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
@@ -195,7 +195,7 @@
 // A leader that is cut from the store and from its peers acts on until its leader lease is over, and users
 // are told of cancellations elsewhere meanwhile. Seen on simulated days: it started tasks of such a job for
 // six seconds.
-TEST_F(Nodes, ALeaderThatCannotReadStartsNothing) {
+TEST_F(ControllerTest, LeaderThatCannotReadStoreThenStartsNothing) {
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
@@ -258,7 +258,7 @@
 
 // What does not fit one message comes in parts, and no grant before the last. A process that is not the one
 // that was asked before begins anew.
-TEST_F(Nodes, APeerVotesOnlyOnceItHasToldEverything) {
+TEST_F(ControllerTest, PeerWithMoreCancellationsToTellThenDoesNotVoteYet) {
     std::uint64_t middle = 0;
     for (int i = 0; i < 1200; ++i) {
         const auto revision = store(job("wk-" + std::to_string(i)), storage::TerminalState::cancelled);
--- a/tests/heartbeat_forwarder_test.cpp
+++ b/tests/heartbeat_forwarder_test.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 /// A follower "one" that knows "two" as the leader, which answers forwarded heartbeats with `leaderStatus`.
-struct WorkerRelayTest : testing::Test {
-    WorkerRelayTest() {
+struct HeartbeatForwarderTest : testing::Test {
+    HeartbeatForwarderTest() {
         const auto address = "127.0.0.1:" + std::to_string(leader.localEndpoint().port());
         settings.peers = {{"two", "z", address}, {"three", "z", "127.0.0.1:1"}};
         replica.leader = storage::LeaderRecord{"two", 7};
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-TEST_F(WorkerRelayTest, PassesTheFirstHeartbeatOnAndSendsTheWorkerToTheLeaderThen) {
+TEST_F(HeartbeatForwarderTest, FirstHeartbeatForwardedThenWorkerIsRedirectedToLeader) {
     hear("two", 7);
     const auto first = answer(heartbeat("m1"));
     EXPECT_EQ(first.status, 200);
@@ -86,7 +86,7 @@
     EXPECT_EQ(forwarded.size(), 2u);
 }
 
-TEST_F(WorkerRelayTest, WhatTheLeaderDoesNotAnswerNamesNobody) {
+TEST_F(HeartbeatForwarderTest, LeaderDoesNotAnswerThenRedirectNamesNobody) {
     hear("two", 7);
     leaderStatus = 503;
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "");
@@ -95,7 +95,7 @@
     EXPECT_EQ(forwarded.size(), 1u);
 }
 
-TEST_F(WorkerRelayTest, ALeaderNotHeardOfIsNotNamed) {
+TEST_F(HeartbeatForwarderTest, LeaderNotInTouchThenPeerInTouchWithItIsNamed) {
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "");
     hear("three", 7);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "three");
@@ -108,7 +108,7 @@
 
 // Seen on a simulated day: after a failover hundreds of workers sent their heartbeats to followers at once,
 // forwarding failed for want of sockets, and 634 tasks ended with their workers' leases.
-TEST_F(WorkerRelayTest, BeyondItsRelaysAWorkerIsSentToTheLeaderAtOnce) {
+TEST_F(HeartbeatForwarderTest, ForwardLimitReachedThenWorkerIsRedirectedAtOnce) {
     hear("two", 7);
     std::vector<transport::Response> answers;
     const auto reply = [&](transport::Response response) { answers.push_back(std::move(response)); };
@@ -122,7 +122,7 @@
     EXPECT_EQ(answer(heartbeat("m3")).status, 200);
 }
 
-TEST_F(WorkerRelayTest, ALeaderKnownFromItsPeersAloneIsUsed) {
+TEST_F(HeartbeatForwarderTest, LeaderKnownFromPeersOnlyThenHeartbeatIsForwarded) {
     replica.leader.reset();
     protocol::PeerStatus status;
     status.node = "two";
@@ -132,20 +132,20 @@
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "two");
 }
 
-TEST_F(WorkerRelayTest, APeersHeartbeatGoesNoFurther) {
+TEST_F(HeartbeatForwarderTest, HeartbeatForwardedByPeerThenNotForwardedAgain) {
     hear("two", 7);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"), HeartbeatOrigin::peer)), "");
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"), HeartbeatOrigin::worker, LocalRole::leader)), "");
     EXPECT_TRUE(forwarded.empty());
 }
 
-TEST_F(WorkerRelayTest, AMalformedHeartbeatIsNotPassedOn) {
+TEST_F(HeartbeatForwarderTest, MalformedHeartbeatThenRejectedAndNotForwarded) {
     hear("two", 7);
     EXPECT_EQ(answer("nonsense").status, 400);
     EXPECT_TRUE(forwarded.empty());
 }
 
-TEST_F(WorkerRelayTest, ForgetsOnlyWorkersThatStayAway) {
+TEST_F(HeartbeatForwarderTest, DropObsoleteThenOnlyAbsentWorkersAreForgotten) {
     hear("two", 7);
     EXPECT_EQ(answer(heartbeat("m1")).status, 200);
     forwarder.dropObsolete(now + 1s);
@@ -156,7 +156,7 @@
 
 // Seen on a simulated day: workers cut off from the leader's zone lost their leases although a controller
 // could reach both.
-TEST(ForwardDecider, StandsInForAWorkerThatComesBackFromTheLeader) {
+TEST(ForwardDecider, WorkerReturnsFromLeaderThenHeartbeatsAreForwardedForAWhile) {
     using Decision = coordination::ForwardDecider::Decision;
     coordination::ForwardDecider decider;
     Time now{1000s};
--- a/tests/leader_dependencies_test.cpp
+++ b/tests/leader_dependencies_test.cpp
@@ -16,7 +16,7 @@
 
 // A new leader's first answer renews the lease of a machine that has not taken the fencing token. If it
 // brought no stops, a cancelled task could go on for one lease more with each change of leader.
-TEST(Leader, TheFirstAnswerOfANewLeaderStopsWhatIsCancelled) {
+TEST(Leader, NewLeadersFirstResponseThenStopsCancelledTasks) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     auto spec = make("wk-1", 2, 2), other = make("wk-2", 1, 2);
@@ -45,7 +45,7 @@
 }
 
 // The same holds for the answer to a heartbeat that a direct command's answer has overtaken.
-TEST(Leader, TheAnswerToAnOvertakenHeartbeatStopsWhatIsCancelled) {
+TEST(Leader, ResponseToStaleHeartbeatThenStopsCancelledTasks) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -71,7 +71,7 @@
 }
 
 // A task seen done is not a job stored as done: until that is confirmed a cancellation may still win.
-TEST(Leader, NothingStartsBeforeWhatItNeedsIsStoredAsDone) {
+TEST(Leader, DependencyNotStoredAsDoneThenDependentJobDoesNotStart) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -105,7 +105,7 @@
 }
 
 // A take-over knows what is ready, and since when, from the store alone.
-TEST(Leader, ANewLeaderKnowsWhatIsReadyFromTheStore) {
+TEST(Leader, NewLeaderThenKnowsReadyJobsFromStore) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     auto first = make("wk-1", 2, 2);
@@ -137,7 +137,7 @@
 }
 
 // While it waits for others a job holds no part of its team's guarantee or limit, and is no backlog.
-TEST(Leader, AJobThatWaitsForOthersHoldsNothing) {
+TEST(Leader, JobWaitsForDependenciesThenHoldsNoQuota) {
     LeaderHarness harness;
     harness.settings.teams.push_back({"guaranteed", 4, 4, 0, 0});
     harness.registerMachine("m1");
@@ -156,7 +156,7 @@
 
 // A job is as urgent as the last one of its pipeline, also if that comes later, and no longer once that one
 // is cancelled; what is counted by priority follows.
-TEST(Leader, AJobHasTheUrgencyOfWhatNeedsIt) {
+TEST(Leader, DependentJobIsMoreUrgentThenDependencyGetsItsPriority) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -204,7 +204,7 @@
 
 // Seen on days with a leader cut off from the key-value store and its peers: jobs cancelled through another
 // node were started in the seconds that its leader lease lasted yet.
-TEST(Leader, ALeaderThatMayHaveMissedCancellationsStartsNothing) {
+TEST(Leader, CancellationsNotCurrentThenNothingStarts) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -11,7 +11,7 @@
 using namespace burlpoint::tests;
 
 // A direct command's reply may overtake a start that is still on its way in a heartbeat's response.
-TEST(Leader, OnlyANewerHeartbeatSettlesAStart) {
+TEST(Leader, StartMissingInHeartbeatThenSettledOnlyIfHeartbeatIsNewer) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -25,7 +25,7 @@
               Names{"wk-1/0"});  // without the task, in a heartbeat: the response never got there
 }
 
-TEST(Leader, AnUnheardMachineBlocksOnlyWhatItCouldHold) {
+TEST(Leader, RegisteredMachineNotHeardThenBlocksOnlyTasksItMayHold) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2", "gpu");
@@ -45,7 +45,7 @@
     EXPECT_EQ(starts, Names{"wk-1/0"});
 }
 
-TEST(Leader, AHeartbeatWithAnOldTokenGetsNoStarts) {
+TEST(Leader, HeartbeatWithOlderTokenThenNoStarts) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -54,7 +54,7 @@
     EXPECT_EQ(harness.heartbeat("m1", {}, 5), Names{"wk-1/0"});
 }
 
-TEST(Leader, AHigherTokenEndsTheLeadership) {
+TEST(Leader, HeartbeatWithHigherTokenThenLeaderResigns) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -68,7 +68,7 @@
     EXPECT_EQ(verdict, HeartbeatVerdict::refused);
 }
 
-TEST(Leader, AMachineWithoutARegistryEntryGetsNoTasks) {
+TEST(Leader, UnregisteredMachineThenNoStartsUntilEntryIsStored) {
     LeaderHarness harness;
     harness.lead();
     harness.job(make("wk-1", 1, 2));
@@ -93,7 +93,7 @@
 
 // Seen on a recorded day: each take-over waited for the machines that were booting and then deleted them, as
 // if they had fallen silent, so that with a leader lost every 40 s some never came up.
-TEST(Leader, AMachineThatWasOnlyRentedIsNeitherWaitedForNorGivenUp) {
+TEST(Leader, RequestedMachineStillBootingThenNeitherBlocksStartsNorIsDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.replica.registeredMachines["m2"] = {{"", "plain", "z", false}, 9};
@@ -123,7 +123,7 @@
 
 // A copy of an old heartbeat says nothing about now: it renews no lease, makes no machine count and settles
 // nothing.
-TEST(Leader, ALateCopyIsNoSignOfLife) {
+TEST(Leader, LateCopyOfHeartbeatThenRenewsNoLeaseAndSettlesNothing) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -151,7 +151,7 @@
 }
 
 // Deleted machines stay deleted, however late what they sent arrives.
-TEST(Leader, NoCopyBringsADeletedMachineBack) {
+TEST(Leader, LateCopyFromDeletedMachineThenMachineStaysDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -162,7 +162,7 @@
 }
 
 // Its reports arrive, and neither answers nor commands reach it: seen from starts that never show.
-TEST(Leader, AnUnreachableMachineGetsNoMoreWorkUntilItAnswers) {
+TEST(Leader, ResponsesNotDeliveredThenNoStartsUntilProbeIsAnswered) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -183,7 +183,7 @@
 // The same after a take-over: every report shows the old fencing token, so no answer has renewed the lease,
 // and what may be on the machine is free to run elsewhere once the lease that the earlier leader left is
 // over.
-TEST(Leader, AMachineThatNeverTakesTheTokenDoesNotHoldItsTasksForEver) {
+TEST(Leader, MachineNeverTakesTokenThenItsTasksStartElsewhereAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -203,7 +203,7 @@
 
 // Seen on a simulated day: a new leader spent its first second on probing hundreds of machines that were
 // about to report, and answered some only after their leases were over.
-TEST(Leader, ATakeOverAnswersHeartbeatsBeforeItProbes) {
+TEST(Leader, FailoverThenProbesStartAfterGracePeriodInLimitedNumber) {
     LeaderHarness harness;
     for (int i = 0; i < 300; ++i) harness.registerMachine(std::string("m").append(std::to_string(i)));
     harness.lead();
@@ -223,7 +223,7 @@
 }
 
 // After a restart of its worker counters begin anew: neither old news for good nor believed.
-TEST(Leader, AMachineThatCountsAnewIsReplaced) {
+TEST(Leader, WorkerRestartsCountersThenMachineIsQuarantinedAndDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -262,7 +262,7 @@
 // Every machine of the machine registry is gone. A leader that hears nobody makes way for one that may be
 // better placed, before the leases are over; when each of them did, they made way for ever and nothing was
 // rented.
-TEST(Leader, WhenNobodyHearsAnyMachineSomeLeaderStaysUntilTheLeasesAreOver) {
+TEST(Leader, NoLeaderHearsAnyMachineThenOneStaysUntilLeasesExpireAndScalesOut) {
     LeaderHarness harness;
     harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
     for (const char* id : {"m1", "m2", "m3", "m4"}) harness.registerMachine(id);
@@ -287,7 +287,7 @@
 }
 
 // That leader stays only if it never heard anybody, and not for ever: its own network may be cut.
-TEST(Leader, TheLeaderThatStaysWithoutWorkersMakesWayInTheEnd) {
+TEST(Leader, LeaderStaysWithoutWorkersThenResignsInTheEnd) {
     for (const bool heard : {false, true}) {
         LeaderHarness harness;
         harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
@@ -309,7 +309,7 @@
 
 // Its reports reach no controller and commands reach it. What is cancelled stops by command; the lease runs
 // out all the same, and then the machine is given back.
-TEST(Leader, AMuteMachineIsStoppedByCommandAndGivenBackAfterItsLease) {
+TEST(Leader, HeartbeatsLostAndCommandsDeliveredThenTasksStopAndMachineIsDeletedAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
--- a/tests/leader_placement_test.cpp
+++ b/tests/leader_placement_test.cpp
@@ -10,7 +10,7 @@
 using namespace burlpoint::tests;
 
 // Seen on a simulated day: replicas took the processors of all machines with accelerators for good.
-TEST(Leader, ReplicasLeaveAcceleratorsToTheJobsThatNeedThem) {
+TEST(Leader, AcceleratorMachinesNeededThenReplicasLeaveThemFree) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
     harness.lead();
@@ -27,7 +27,7 @@
 }
 
 // Seen on a simulated day: replicas started at once, and late, on machines without their image.
-TEST(Leader, ShortWaitAimsGoWhereTheImageIs) {
+TEST(Leader, ShortWaitTargetThenStartsWhereImageIsCached) {
     LeaderHarness harness;
     harness.settings.objectives = {{"wait", "service", Seconds(3), 0.9}};
     harness.registerMachine("m1");
@@ -60,7 +60,7 @@
 
 // Seen on a simulated day: a quarter of all starts were stopped again for jobs that could have waited a
 // little.
-TEST(Leader, FreedRoomIsKeptForAHighJobBeforeAnythingIsStopped) {
+TEST(Leader, HighPriorityJobWaitsThenFreedCapacityIsReservedBeforePreemption) {
     LeaderHarness harness;
     harness.settings.objectives = {{"wait", "high", Seconds(20), 0.9}};
     harness.registerMachine("m1");
@@ -83,7 +83,7 @@
     EXPECT_EQ(harness.heartbeat("m1", running), Names{"wk-2/0"});
 }
 
-TEST(Leader, WhereDeadlinesCountTheShortestGoesFirstAndTheLateLast) {
+TEST(Leader, DeadlinesThenShortestJobFirstAndLateJobLast) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -97,7 +97,7 @@
               Names{"wk-2/0"});
 }
 
-TEST(Leader, TeamLimitsCountStartsNobodyHasConfirmed) {
+TEST(Leader, UnconfirmedStartsThenCountTowardsTeamQuota) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -114,7 +114,7 @@
 
 // A machine that fails the tasks of different jobs is kept out of use; a job that fails everywhere is not
 // taken for a fault of the machines.
-TEST(Leader, FaultyMachinesAndFaultyJobsAreToldApart) {
+TEST(Leader, TasksFailThenFaultyMachinesAndFaultyJobsAreToldApart) {
     LeaderHarness harness;
     for (const char* id : {"m1", "m2", "m3", "m4", "m5"}) harness.registerMachine(id);
     harness.lead();
@@ -136,7 +136,7 @@
 }
 
 // What a heartbeat costs must not grow with the fleet: the machines looked at per heartbeat are counted.
-TEST(Leader, AHeartbeatCostsNoMoreInALargerFleet) {
+TEST(Leader, LargerFleetThenHeartbeatScansNoMoreMachines) {
     const auto visitsPerHeartbeat = [](int fleet) {
         LeaderHarness harness;
         std::vector<std::string> machines;
@@ -176,7 +176,7 @@
 }
 
 // A interruption notice for one machine: a gang's save needs all its tasks told together.
-TEST(Leader, ANoticeStopsAGangAsAWhole) {
+TEST(Leader, SpotInterruptionNoticeThenWholeGangIsStopped) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
     harness.registerMachine("m2", "gpu");
@@ -213,7 +213,7 @@
 
 // Seen on a simulated day: guaranteed tasks of low priority took the room that others had been stopped for,
 // and were stopped in turn, over and over.
-TEST(Leader, RoomThatWorkWasStoppedForIsNotTakenByOtherWorkOfNoHigherPriority) {
+TEST(Leader, CapacityFreedByPreemptionThenNotTakenByOtherWorkOfNoHigherPriority) {
     LeaderHarness harness;
     harness.settings.teams.push_back({"guaranteed", 100, 0, 0, 0});
     harness.registerMachine("m1", "gpu");
--- a/tests/leader_waiting_test.cpp
+++ b/tests/leader_waiting_test.cpp
@@ -44,7 +44,7 @@
 
 // Under a lasting overload of small jobs with deadlines a large one was passed over for good; so was a gang
 // whose machines went to smaller ones as they came free.
-TEST(Leader, NoJobIsPassedOverForEver) {
+TEST(Leader, LastingOverloadThenEveryJobStartsInTheEnd) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3"};
     for (const auto& id : machines) harness.registerMachine(id);
@@ -99,7 +99,7 @@
 
 // Seen on a day of long tasks: what began after it was passed over was the cheapest to stop, and a start that
 // was stopped at once spent its place among the overdue. It then waited for 440 s.
-TEST(Leader, AStartThatIsStoppedAtOnceIsNoBeginning) {
+TEST(Leader, StartPreemptedAtOnceThenJobStaysOverdue) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -123,7 +123,7 @@
     EXPECT_LT(worker.stops, 8);  // and was not stopped again and again after that
 }
 
-TEST(Leader, AGangOfManyBeginsAmongSmallerOnes) {
+TEST(Leader, SmallerGangsCompeteThenLargeGangStartsInTheEnd) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3", "m4"};
     for (const auto& id : machines) harness.registerMachine(id, "gpu");
@@ -146,7 +146,7 @@
 
 // Seen on simulated days of a large fleet: the machines that may be looked at in a round were spent on two or
 // three jobs, so each of those that wait had its turn only every few seconds, replicas among them.
-TEST(Leader, ProductionHasItsTurnInEveryRoundOfALargeFleet) {
+TEST(Leader, LargeFleetThenProductionIsServedInEveryRound) {
     LeaderHarness harness;
     std::vector<std::string> machines;
     for (int i = 0; i < 1500; ++i) {
@@ -181,7 +181,7 @@
 }
 
 // Seen on a simulated day: all demand went again and again to spot types that the cloud had just refused.
-TEST(Leader, ARefusedTypeIsAskedForAFewOnly) {
+TEST(Leader, CapacityErrorThenFewMachinesOfThatTypeAreRequested) {
     LeaderHarness harness;
     harness.settings.cloudRequestsPerSecond = 50;
     harness.lead();
@@ -230,7 +230,7 @@
 }  // namespace
 
 // Whatever speaks for keeping room free, nothing waits for 90 s beside room that it fits in.
-TEST(Leader, WorkBoundToMachinesWithAcceleratorsIsNotHeldBackForEver) {
+TEST(Leader, JobConstrainedToAcceleratorMachinesThenStartsInTheEnd) {
     for (const bool needed : {false, true}) {
         LeaderHarness harness;
         harness.registerMachine("m1", "gpu");
@@ -257,7 +257,7 @@
 
 // An array that its owner bound to machines with accelerators, and that needs none, was not worth renting one
 // for and never began; an idle one was given back beside it.
-TEST(Leader, MachinesAreRentedForArraysThatMayRunNowhereElse) {
+TEST(Leader, ArrayConstrainedToMachineTypeThenScalesOut) {
     for (const bool small : {true, false}) {
         LeaderHarness harness;
         harness.lead();
@@ -274,7 +274,7 @@
 
 // Kept from a machine for a while for the sake of work with accelerators, such a job still needs it: given
 // back in the meantime, it would be rented and given back again and again.
-TEST(Leader, AnIdleMachineIsKeptForWorkThatMayRunNowhereElse) {
+TEST(Leader, WaitingJobMayRunNowhereElseThenIdleMachineIsNotScaledIn) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
     harness.lead();
@@ -297,7 +297,7 @@
     EXPECT_TRUE(started);
 }
 
-TEST(Leader, AJobThatFailedOnTheOnlyMachineWithRoomTriesItAgain) {
+TEST(Leader, JobFailedOnOnlyMachineWithCapacityThenStartsThereAgain) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -308,7 +308,7 @@
     EXPECT_LT(waits(harness, "wk-1", {{"m1", {}}}), 80);
 }
 
-TEST(Leader, AZoneReservedForAGangIsNotKeptFromOthersForEver) {
+TEST(Leader, ZoneReservedForGangThenOtherJobsStartThereInTheEnd) {
     LeaderHarness harness;
     harness.settings.zones = {"z"};
     std::map<std::string, std::vector<TaskStatus>> machines;
