--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -23,13 +23,13 @@
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-/// Whole nodes on loopback around the stand-in for the key-value store; there is no cloud.
+/// Whole controllers on loopback around a stub of the key-value store; there is no cloud.
 struct ControllerTest : testing::Test {
     static constexpr char kNowhere[] = "127.0.0.1:1";
 
     asio::io_context io{1};
     tests::StoreStub stub{io};
-    tests::StoreStub own{io, &stub};  // a way to the same store for one node
+    tests::StoreStub own{io, &stub};  // a link of its own to the same store, for one controller
     transport::HttpClient http{io, 50};
     protocol::Policy policy;
     Settings one = settings("one"), two = settings("two"), three = settings("three");
@@ -59,7 +59,7 @@
                               1,    ++sequence,    fencingToken, {},  std::move(tasks)};
         return ask(to.listenAddress, protocol::paths::kHeartbeat, protocol::encodeHeartbeat(r));
     }
-    /// As a leader would ask.
+    /// The answer to a status message, as a leader would send it.
     protocol::PeerStatus question(const Settings& to, const protocol::PeerStatus& status) {
         return protocol::decodePeerStatus(
             ask(to.peerListenAddress, protocol::paths::kPeer, protocol::encodePeerStatus(status)).body);
@@ -94,7 +94,8 @@
 
 }  // namespace
 
-// Seen on a simulated day: behind a cut, workers tried one node after the other until their lease was over.
+// Seen on a simulated day: behind a network cut, workers tried one controller after the other until their
+// leases expired.
 TEST_F(ControllerTest, FollowerCutOffFromLeaderThenNamesPeerInTouchWithIt) {
     one.peers = {peer(two), unreachable(three)};
     two.peers = {peer(one), peer(three)};
@@ -103,13 +104,13 @@
     while (heartbeat(one).status != 200) runFor(50ms);
     coordination::Controller second(io, two, policy), third(io, three, policy);
     while (elsewhere(heartbeat(three)) != "two") runFor(50ms);
-    const auto relayed = heartbeat(two);  // which passes it on
-    EXPECT_EQ(relayed.status, 200);
-    EXPECT_EQ(protocol::MapReader(protocol::unpackBody(relayed.body).get()).integer("helm"), 1u);
+    const auto forwarded = heartbeat(two);  // which forwards it
+    EXPECT_EQ(forwarded.status, 200);
+    EXPECT_EQ(protocol::MapReader(protocol::unpackBody(forwarded.body).get()).integer("helm"), 1u);
 }
 
-// A follower that the key-value store refuses is told of a new leader by that one alone. Seen on a simulated
-// day: it was the only node that both the leader and the workers behind a cut could reach.
+// A follower that the key-value store refuses learns of a new leader from that leader alone. Seen on a
+// simulated day: it was the only controller that both the leader and the workers behind a cut could reach.
 TEST_F(ControllerTest, FollowerRefusedByStoreThenForwardsToNewLeader) {
     two.storeAddress = own.address();
     one.peers = {peer(two), peer(three)};
@@ -124,22 +125,21 @@
     stub.store.endLease(stub.store.values.at(storage::keys::kLeader).lease);
     stub.wake();
     while (heartbeat(three).status != 200) runFor(50ms);
-    // The next leader's question comes within a second; what is waited for is far less than these rounds
-    // take.
+    // The next leader's message comes within a second, which is far less than these rounds take.
     constexpr int kRounds = 400;
     int rounds = 0;
-    HttpResult relayed;
+    HttpResult forwarded;
     do {
         runFor(50ms);
-        relayed = heartbeat(two);
-    } while (relayed.status != 200 && ++rounds < kRounds);
-    ASSERT_EQ(relayed.status, 200);
-    EXPECT_EQ(protocol::MapReader(protocol::unpackBody(relayed.body).get()).integer("helm"), 2u);
+        forwarded = heartbeat(two);
+    } while (forwarded.status != 200 && ++rounds < kRounds);
+    ASSERT_EQ(forwarded.status, 200);
+    EXPECT_EQ(protocol::MapReader(protocol::unpackBody(forwarded.body).get()).integer("helm"), 2u);
 }
 
-// The gap: the store refuses the leader alone, another node confirms a cancellation, and then nobody is
-// served for longer than a cancelled task may go on. The votes that carry the leader through tell it what
-// to stop, and its other tasks go on.
+// The store refuses only the leader, another controller confirms a cancellation, and then the store serves
+// nobody for longer than a cancelled task may run. The peers that extend the leader's lease by their votes
+// tell it what to stop, and its other tasks go on.
 TEST_F(ControllerTest, LeaderExtendedByVotesThenStopsJobsCancelledThroughPeers) {
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
@@ -171,12 +171,12 @@
     }
     runFor(1500ms);  // the others come to know this leader and each other
     own.outage = true;
-    runFor(1200ms);  // too short to tell a refusal from an outage by
+    runFor(1200ms);  // too short to tell a refusal from an outage
     EXPECT_EQ(ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-1/cancel").status,
               200);
     stub.outage = true;
     bool stopped = false;
-    // For twice as long as the leader's own lease.
+    // Twice as long as the leader's own lease.
     for (int i = 0; i < 80; ++i) {
         const auto answer = heartbeat(one, fencingToken, tasks);
         ASSERT_EQ(answer.status, 200) << "in round " << i;
@@ -192,9 +192,9 @@
     EXPECT_EQ(tasks.size(), 1u);
 }
 
-// A leader that is cut from the store and from its peers acts on until its leader lease is over, and users
-// are told of cancellations elsewhere meanwhile. Seen on simulated days: it started tasks of such a job for
-// six seconds.
+// A leader cut off from the store and from its peers acts until its leader lease expires, while other
+// controllers confirm cancellations to users. Seen on simulated days: it started tasks of such a job for six
+// seconds.
 TEST_F(ControllerTest, LeaderThatCannotReadStoreThenStartsNothing) {
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
@@ -239,14 +239,14 @@
     while (starts < 1) round();
     round();
     end();
-    while (starts < 2) round();  // a replica that ends is started anew
+    while (starts < 2) round();  // a replica that ends is started again
     round();
     own.outage = true;
     const auto cancel = std::string(protocol::paths::kSubmissions).append("/wk-1/cancel");
     while (ask(two.listenAddress, cancel).status != 200) runFor(50ms);
     runFor(1600ms);
     end();
-    // Whether it is entitled all that time is for the clock; what it must not do is not.
+    // It may lose its entitlement at any time; until then it must not start anything.
     for (int i = 0; i < 20; ++i) {
         const auto answer = heartbeat(one, fencingToken, tasks);
         if (answer.status != 200) break;
@@ -256,8 +256,8 @@
     }
 }
 
-// What does not fit one message comes in parts, and no grant before the last. A process that is not the one
-// that was asked before begins anew.
+// Cancellations that do not fit one message come in parts, and the vote with the last one. A process other
+// than the one that was asked before starts from the beginning.
 TEST_F(ControllerTest, PeerWithMoreCancellationsToTellThenDoesNotVoteYet) {
     std::uint64_t middle = 0;
     for (int i = 0; i < 1200; ++i) {
@@ -281,7 +281,7 @@
         runFor(50ms);
     stub.outage = true;
     while (question(two, asking).grantMs == 0) runFor(50ms);
-    EXPECT_TRUE(question(two, asking).cancelled.empty());  // it knows all of them
+    EXPECT_TRUE(question(two, asking).cancelled.empty());  // the asking leader knows all of them
 
     asking.revision = 0;
     std::set<std::string> heard;
--- a/tests/leader_dependencies_test.cpp
+++ b/tests/leader_dependencies_test.cpp
@@ -1,4 +1,4 @@
-// Jobs that need others, and cancellations, under a leader.
+// Job dependencies and cancellations under a leader.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -11,11 +11,11 @@
 using namespace burlpoint;
 using namespace burlpoint::tests;
 
-// Two troubles at once; the histories in combined_failures_test.cpp play them at length. Here are the cases
-// that a history meets too seldom.
+// Two failures at once. The histories of combined_failures_test.cpp generate many; here are the cases that
+// they meet too seldom.
 
-// A new leader's first answer renews the lease of a machine that has not taken the fencing token. If it
-// brought no stops, a cancelled task could go on for one lease more with each change of leader.
+// A new leader's first response renews the lease of a machine that has not taken the fencing token. Without
+// stops in it, a cancelled task could run for one lease more with each failover.
 TEST(Leader, NewLeadersFirstResponseThenStopsCancelledTasks) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -41,10 +41,11 @@
                 stopped.insert(command.attempt.job + "/" + std::to_string(command.attempt.task));
             }
         }
-    EXPECT_EQ(stopped, (std::set<std::string>{"wk-1/0", "wk-1/1"}));  // of others its list may be old news
+    EXPECT_EQ(stopped,
+              (std::set<std::string>{"wk-1/0", "wk-1/1"}));  // the list may be out of date for other tasks
 }
 
-// The same holds for the answer to a heartbeat that a direct command's answer has overtaken.
+// The same holds for the response to a heartbeat that the answer to a direct command has overtaken.
 TEST(Leader, ResponseToStaleHeartbeatThenStopsCancelledTasks) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -70,7 +71,7 @@
     EXPECT_EQ(stops, 1u);
 }
 
-// A task seen done is not a job stored as done: until that is confirmed a cancellation may still win.
+// A job whose tasks are done is not yet stored as done: until then a cancellation may still win.
 TEST(Leader, DependencyNotStoredAsDoneThenDependentJobDoesNotStart) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -88,7 +89,7 @@
         writing |= std::holds_alternative<WriteState>(action);
     EXPECT_TRUE(writing);
     EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
-    // No answer: whether it was carried out is not known.
+    // No answer: the outcome of the write is not known.
     harness.tell(StateWritten{});
     EXPECT_EQ(harness.heartbeat("m1", {done}), Names{});
     writing = false;
@@ -104,7 +105,7 @@
     EXPECT_EQ(harness.heartbeat("m1", {done}), Names{"wk-2/0"});
 }
 
-// A take-over knows what is ready, and since when, from the store alone.
+// A new leader knows which jobs are ready, and since when, from the store alone.
 TEST(Leader, NewLeaderThenKnowsReadyJobsFromStore) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -122,7 +123,7 @@
     harness.leader.reset();
     harness.leader =
         std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, 5, harness.now, 100'000);
-    // All its bits are stored, and its end is not.
+    // All its bits are stored, and its terminal state is not.
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     const auto value =
         storage::encodeJob({first, storage::TerminalState::done, 0, 2, storage::chunkTasks(8), 60'000});
@@ -136,7 +137,8 @@
     EXPECT_EQ(harness.replica.find("wk-3")->run, nullptr);
 }
 
-// While it waits for others a job holds no part of its team's guarantee or limit, and is no backlog.
+// While it waits for its dependencies a job uses none of its team's quotas and does not count as waiting
+// work.
 TEST(Leader, JobWaitsForDependenciesThenHoldsNoQuota) {
     LeaderHarness harness;
     harness.settings.teams.push_back({"guaranteed", 4, 4, 0, 0});
@@ -154,8 +156,8 @@
     EXPECT_FALSE(rents);
 }
 
-// A job is as urgent as the last one of its pipeline, also if that comes later, and no longer once that one
-// is cancelled; what is counted by priority follows.
+// A job has the priority of the most urgent job that depends on it, also if that one is submitted later, and
+// only until that one is cancelled. What is counted by priority follows.
 TEST(Leader, DependentJobIsMoreUrgentThenDependencyGetsItsPriority) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -202,8 +204,8 @@
     EXPECT_EQ(tests::recount(harness.leader->fleet(), harness.replica), "");
 }
 
-// Seen on days with a leader cut off from the key-value store and its peers: jobs cancelled through another
-// node were started in the seconds that its leader lease lasted yet.
+// Seen on days with a leader cut off from the key-value store and its peers: until its leader lease expired,
+// it started jobs that had been cancelled through another controller.
 TEST(Leader, CancellationsNotCurrentThenNothingStarts) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -220,7 +222,7 @@
     std::vector<protocol::WorkerCommand> commands;
     for (const auto& action : harness.tell(HeartbeatReceived{1, heartbeat, false}))
         if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
-            EXPECT_EQ(answer->verdict, HeartbeatVerdict::accepted);  // what runs goes on
+            EXPECT_EQ(answer->verdict, HeartbeatVerdict::accepted);  // running tasks go on
             commands = answer->commands;
         }
     ASSERT_EQ(commands.size(), 1u);
--- a/tests/leader_harness.h
+++ b/tests/leader_harness.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One leader with hand-made reports, for tests of what it decides.
+// One leader with hand-made heartbeats, for tests of what it decides.
 
 #include <gtest/gtest.h>
 
@@ -23,7 +23,8 @@
 using protocol::TaskState;
 using protocol::TaskStatus;
 
-/// One leader with hand-made reports. Machines are rostered and heard unless a test says otherwise.
+/// One leader with hand-made heartbeats. Machines are registered, and heard from, unless a test says
+/// otherwise.
 struct LeaderHarness {
     protocol::Settings settings;
     protocol::Policy policy;
--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -1,4 +1,4 @@
-// Which messages of workers a leader believes, and what it does about machines that it does not hear.
+// Which messages of workers a leader trusts, and what it does about machines from which it hears nothing.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -22,7 +22,7 @@
     harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), {}});
     EXPECT_EQ(harness.heartbeat("m2"), Names{});
     EXPECT_EQ(harness.heartbeat("m1"),
-              Names{"wk-1/0"});  // without the task, in a heartbeat: the response never got there
+              Names{"wk-1/0"});  // a heartbeat without the task: the response was lost
 }
 
 TEST(Leader, RegisteredMachineNotHeardThenBlocksOnlyTasksItMayHold) {
@@ -38,7 +38,7 @@
     harness.job(make("wk-3", 1, 2));
     EXPECT_EQ(harness.heartbeat("m1", {harness.task("wk-2/0", TaskState::running)}),
               Names{"wk-3/0"});  // accepted since
-    harness.now += 25s;          // m2's lease is over
+    harness.now += 25s;          // m2's lease has expired
     harness.tick();
     const auto starts = harness.heartbeat(
         "m1", {harness.task("wk-2/0", TaskState::running), harness.task("wk-3/0", TaskState::running)});
@@ -91,8 +91,8 @@
     EXPECT_EQ(harness.heartbeat("m9"), Names{"wk-1/0"});
 }
 
-// Seen on a recorded day: each take-over waited for the machines that were booting and then deleted them, as
-// if they had fallen silent, so that with a leader lost every 40 s some never came up.
+// Seen on a recorded day: each new leader waited for the machines that were booting and then deleted them as
+// failed, so that with a failover every 40 s some never came up.
 TEST(Leader, RequestedMachineStillBootingThenNeitherBlocksStartsNorIsDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -121,8 +121,8 @@
     EXPECT_EQ(harness.heartbeat("m2"), Names{"wk-2/0"});
 }
 
-// A copy of an old heartbeat says nothing about now: it renews no lease, makes no machine count and settles
-// nothing.
+// A late copy of a heartbeat tells nothing about the present: it renews no lease, and no task counts as gone
+// because the copy does not list it.
 TEST(Leader, LateCopyOfHeartbeatThenRenewsNoLeaseAndSettlesNothing) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -136,13 +136,13 @@
     const auto& m1 = *harness.leader->fleet().machines().at("m1");
     Names starts;
     for (int second = 0; second < 30 && starts.empty(); ++second) {
-        EXPECT_EQ(m1.placements.size(), 1u);  // a copy without the task does not settle it
+        EXPECT_EQ(m1.placements.size(), 1u);  // the copy does not list the task, which may still run
         harness.now += 1s;
         harness.tell(HeartbeatReceived{7, empty});
         harness.tell(Tick{});
         starts = harness.heartbeat("m2");
     }
-    EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease ran out all the same
+    EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease expired all the same
     EXPECT_FALSE(m1.sendsHeartbeats);
     auto verdict = HeartbeatVerdict::accepted;
     for (const auto& action : harness.tell(HeartbeatReceived{8, empty}))
@@ -150,7 +150,7 @@
     EXPECT_EQ(verdict, HeartbeatVerdict::refused);
 }
 
-// Deleted machines stay deleted, however late what they sent arrives.
+// Messages of a deleted machine that arrive late do not bring it back.
 TEST(Leader, LateCopyFromDeletedMachineThenMachineStaysDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -161,14 +161,15 @@
     EXPECT_TRUE(harness.leader->fleet().machines().empty());
 }
 
-// Its reports arrive, and neither answers nor commands reach it: seen from starts that never show.
+// Its heartbeats arrive, and neither responses nor commands reach it, as the starts missing in its heartbeats
+// show.
 TEST(Leader, ResponsesNotDeliveredThenNoStartsUntilProbeIsAnswered) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 4, 2));
     EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
-    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);  // an answer may be lost once
+    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);  // one response may be lost
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     bool probed = false;
     for (int i = 0; i < 5; ++i)
@@ -180,9 +181,8 @@
     EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
 }
 
-// The same after a take-over: every report shows the old fencing token, so no answer has renewed the lease,
-// and what may be on the machine is free to run elsewhere once the lease that the earlier leader left is
-// over.
+// The same after a failover: every heartbeat shows the old fencing token, so no response has renewed the
+// lease, and the machine's tasks may start elsewhere once the lease left by the earlier leader has expired.
 TEST(Leader, MachineNeverTakesTokenThenItsTasksStartElsewhereAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -202,7 +202,7 @@
 }
 
 // Seen on a simulated day: a new leader spent its first second on probing hundreds of machines that were
-// about to report, and answered some only after their leases were over.
+// about to send heartbeats, and answered some only after their leases had expired.
 TEST(Leader, FailoverThenProbesStartAfterGracePeriodInLimitedNumber) {
     LeaderHarness harness;
     for (int i = 0; i < 300; ++i) harness.registerMachine(std::string("m").append(std::to_string(i)));
@@ -222,7 +222,8 @@
     EXPECT_EQ(std::accumulate(later.begin(), later.end(), std::size_t{0}), 300u);  // each of them once
 }
 
-// After a restart of its worker counters begin anew: neither old news for good nor believed.
+// A worker that restarts its message counters: its messages are neither ignored as stale for good nor
+// trusted.
 TEST(Leader, WorkerRestartsCountersThenMachineIsQuarantinedAndDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -248,9 +249,9 @@
     const auto possible = m1.placements.size();
     ASSERT_GT(possible, 0u);
     harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), probe->known});
-    harness.sequences["m1"] = 50;  // beyond what was known: a late copy could look like this, too
+    harness.sequences["m1"] = 50;  // above the newest version; a late copy could look like this, too
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
-    EXPECT_EQ(m1.placements.size(), possible);  // and would settle what is running now
+    EXPECT_EQ(m1.placements.size(), possible);  // the message did not remove what runs now
     bool released = false;
     for (int i = 0; i < 10; ++i)
         for (const auto& action : harness.tick())
@@ -259,9 +260,9 @@
     EXPECT_TRUE(released);
 }
 
-// Every machine of the machine registry is gone. A leader that hears nobody makes way for one that may be
-// better placed, before the leases are over; when each of them did, they made way for ever and nothing was
-// rented.
+// Every registered machine is gone. A leader that hears no worker resigns in favour of one that may be better
+// placed, before the leases expire. When each of them did so, they resigned in turn without end and no
+// machines were requested.
 TEST(Leader, NoLeaderHearsAnyMachineThenOneStaysUntilLeasesExpireAndScalesOut) {
     LeaderHarness harness;
     harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
@@ -282,11 +283,11 @@
         resigned += !leads;
     }
     EXPECT_GT(rented, 0);
-    EXPECT_GT(resigned, 0);  // those better placed have their chance
+    EXPECT_GT(resigned, 0);  // others get the chance to lead
     EXPECT_LE(resigned, 3);
 }
 
-// That leader stays only if it never heard anybody, and not for ever: its own network may be cut.
+// That leader stays only if it never heard a worker, and not without end: its own network may be cut.
 TEST(Leader, LeaderStaysWithoutWorkersThenResignsInTheEnd) {
     for (const bool heard : {false, true}) {
         LeaderHarness harness;
@@ -301,14 +302,14 @@
         if (heard) {
             EXPECT_LT(seconds, 15);
         } else {
-            EXPECT_GT(seconds, 25);  // longer than the leases and the time to rent anew
+            EXPECT_GT(seconds, 25);  // longer than the leases and the time to request new machines
             EXPECT_LT(seconds, 50);
         }
     }
 }
 
-// Its reports reach no controller and commands reach it. What is cancelled stops by command; the lease runs
-// out all the same, and then the machine is given back.
+// Its heartbeats reach no controller, and direct commands reach it. Cancelled tasks stop by command; the
+// lease expires all the same, and then the machine is deleted.
 TEST(Leader, HeartbeatsLostAndCommandsDeliveredThenTasksStopAndMachineIsDeletedAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -331,7 +332,7 @@
             }
         return stops;
     };
-    for (int i = 0; i < 20; ++i) {  // silent for longer than a machine that nothing reaches would be kept
+    for (int i = 0; i < 20; ++i) {  // longer than a machine that nothing reaches would be kept
         harness.heartbeat("m2", other);
         const auto actions = harness.tick(500ms);
         for (const auto& action : actions) EXPECT_FALSE(std::holds_alternative<ScaleIn>(action));
--- a/tests/leader_placement_test.cpp
+++ b/tests/leader_placement_test.cpp
@@ -1,4 +1,4 @@
-// Where a leader places tasks, and what it stops for others.
+// Where a leader places tasks, and which tasks it preempts for others.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -58,8 +58,7 @@
     EXPECT_EQ(harness.heartbeat("m1", running), Names{"wk-2/0"});
 }
 
-// Seen on a simulated day: a quarter of all starts were stopped again for jobs that could have waited a
-// little.
+// Seen on a simulated day: a quarter of all starts were preempted for jobs that could have waited a little.
 TEST(Leader, HighPriorityJobWaitsThenFreedCapacityIsReservedBeforePreemption) {
     LeaderHarness harness;
     harness.settings.objectives = {{"wait", "high", Seconds(20), 0.9}};
@@ -78,7 +77,7 @@
     EXPECT_EQ(harness.heartbeat("m1", running), Names{});
     for (const auto& action : harness.tick()) EXPECT_FALSE(std::holds_alternative<SendCommands>(action));
     running.pop_back();
-    EXPECT_EQ(harness.heartbeat("m1", running), Names{});  // one processor free, and not refilled
+    EXPECT_EQ(harness.heartbeat("m1", running), Names{});  // one processor is free and stays reserved
     running.pop_back();
     EXPECT_EQ(harness.heartbeat("m1", running), Names{"wk-2/0"});
 }
@@ -112,8 +111,8 @@
     EXPECT_EQ(harness.heartbeat("m2").size(), 0u);
 }
 
-// A machine that fails the tasks of different jobs is kept out of use; a job that fails everywhere is not
-// taken for a fault of the machines.
+// A machine on which tasks of different jobs fail is not used any more; a job that fails everywhere is not
+// blamed on the machines.
 TEST(Leader, TasksFailThenFaultyMachinesAndFaultyJobsAreToldApart) {
     LeaderHarness harness;
     for (const char* id : {"m1", "m2", "m3", "m4", "m5"}) harness.registerMachine(id);
@@ -135,7 +134,7 @@
     EXPECT_EQ(harness.heartbeat("m1"), Names{});  // two jobs have failed on it
 }
 
-// What a heartbeat costs must not grow with the fleet: the machines looked at per heartbeat are counted.
+// The cost of a heartbeat must not grow with the fleet: the machines scanned per heartbeat are counted.
 TEST(Leader, LargerFleetThenHeartbeatScansNoMoreMachines) {
     const auto visitsPerHeartbeat = [](int fleet) {
         LeaderHarness harness;
@@ -154,7 +153,7 @@
             harness.job(spec);
         }
         std::uint64_t before = 0, heartbeats = 0;
-        for (int round = 0; round < 4; ++round) {  // every machine reports once in two seconds
+        for (int round = 0; round < 4; ++round) {  // each machine sends a heartbeat every two seconds
             if (round == 1) before = harness.leader->machinesScanned();
             for (const auto& id : machines) {
                 std::vector<TaskStatus> tasks;
@@ -175,7 +174,8 @@
     EXPECT_LT(many, few * 1.5 + 20);
 }
 
-// A interruption notice for one machine: a gang's save needs all its tasks told together.
+// A spot interruption notice for one machine: to save a checkpoint, all tasks of a gang must be stopped
+// together.
 TEST(Leader, SpotInterruptionNoticeThenWholeGangIsStopped) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
@@ -211,8 +211,8 @@
     EXPECT_EQ(stopped, (std::set<std::string>{"m1", "m2"}));
 }
 
-// Seen on a simulated day: guaranteed tasks of low priority took the room that others had been stopped for,
-// and were stopped in turn, over and over.
+// Seen on a simulated day: tasks of low priority within a guaranteed quota took the capacity that others had
+// been preempted for, and were preempted in turn, over and over.
 TEST(Leader, CapacityFreedByPreemptionThenNotTakenByOtherWorkOfNoHigherPriority) {
     LeaderHarness harness;
     harness.settings.teams.push_back({"guaranteed", 100, 0, 0, 0});
--- a/tests/leader_waiting_test.cpp
+++ b/tests/leader_waiting_test.cpp
@@ -1,4 +1,4 @@
-// No job waits for ever: neither behind other work nor beside room that it fits in.
+// No job waits without end: neither behind other jobs nor beside capacity that it fits in.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-// Under a lasting overload of small jobs with deadlines a large one was passed over for good; so was a gang
-// whose machines went to smaller ones as they came free.
+// Under a lasting overload of small jobs with deadlines a large job never started, nor did a gang whose
+// machines went to smaller gangs as they came free.
 TEST(Leader, LastingOverloadThenEveryJobStartsInTheEnd) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3"};
@@ -66,10 +66,10 @@
 
 namespace {
 
-/// A worker whose tasks of wk-1 never end by themselves, and those of any other job after 20 reports.
+/// A worker whose tasks of wk-1 never end by themselves, and those of any other job after 20 heartbeats.
 struct BusyWorker {
-    std::map<protocol::Attempt, int> running;  // reports so far
-    std::set<protocol::Attempt> stopped;       // and not reported yet
+    std::map<protocol::Attempt, int> running;  // heartbeats so far
+    std::set<protocol::Attempt> stopped;       // and not in a heartbeat yet
     int longest = 0, stops = 0;                // of wk-1
 
     std::vector<TaskStatus> heartbeat() {
@@ -97,8 +97,8 @@
 
 }  // namespace
 
-// Seen on a day of long tasks: what began after it was passed over was the cheapest to stop, and a start that
-// was stopped at once spent its place among the overdue. It then waited for 440 s.
+// Seen on a day of long tasks: a job that started after a long wait was the cheapest to preempt, and being
+// preempted at once it lost its place among the overdue jobs. It then waited for 440 s.
 TEST(Leader, StartPreemptedAtOnceThenJobStaysOverdue) {
     LeaderHarness harness;
     harness.registerMachine("m1");
@@ -107,7 +107,7 @@
     BusyWorker worker;
     int number = 10;
     for (int second = 0; second < 240; ++second) {
-        if (second >= 5) {  // from then on there is more urgent work than room
+        if (second >= 5) {  // from then on there is more urgent work than capacity
             auto high = make("wk-" + std::to_string(number++), 1, 4);
             high.priority = protocol::Priority::high;
             harness.job(high);
@@ -118,9 +118,9 @@
             if (const auto* answer = std::get_if<AnswerHeartbeat>(&action))
                 for (const auto& command : answer->commands) worker.execute(command);
     }
-    EXPECT_GE(worker.stops, 2);  // it made way while it was not overdue
+    EXPECT_GE(worker.stops, 2);  // it was preempted while it was not overdue
     EXPECT_GE(worker.longest, 30);
-    EXPECT_LT(worker.stops, 8);  // and was not stopped again and again after that
+    EXPECT_LT(worker.stops, 8);  // and was not preempted again and again after that
 }
 
 TEST(Leader, SmallerGangsCompeteThenLargeGangStartsInTheEnd) {
@@ -144,8 +144,8 @@
     EXPECT_LT(beginsAfter(harness, machines, "wk-1", small), 180);
 }
 
-// Seen on simulated days of a large fleet: the machines that may be looked at in a round were spent on two or
-// three jobs, so each of those that wait had its turn only every few seconds, replicas among them.
+// Seen on simulated days of a large fleet: the budget of machines scanned in a round was spent on two or
+// three jobs, so each waiting job had its turn only every few seconds, replicas among them.
 TEST(Leader, LargeFleetThenProductionIsServedInEveryRound) {
     LeaderHarness harness;
     std::vector<std::string> machines;
@@ -156,7 +156,7 @@
     harness.lead();
     harness.job(make("wk-1", 20'000, 1));
     for (const auto& id : machines) {
-        harness.now -= 199ms;  // all report within two seconds
+        harness.now -= 199ms;  // all heartbeats come within two seconds
         ASSERT_EQ(harness.heartbeat(id).size(), 8u);
     }
     for (int i = 2; i < 60; ++i) {
@@ -180,7 +180,7 @@
     EXPECT_LE(rounds, 2);
 }
 
-// Seen on a simulated day: all demand went again and again to spot types that the cloud had just refused.
+// Seen on a simulated day: all demand went again and again to spot types with a recent capacity error.
 TEST(Leader, CapacityErrorThenFewMachinesOfThatTypeAreRequested) {
     LeaderHarness harness;
     harness.settings.cloudRequestsPerSecond = 50;
@@ -203,7 +203,7 @@
     };
     EXPECT_GT(asked()[true], 100u);
     for (int i = 0; i < 10; ++i) {
-        harness.now += 20s;  // the pause after the refusals is over
+        harness.now += 20s;  // the back-off after the capacity errors is over
         const auto some = asked()[true];
         if (i >= 5) {  // by then each type and zone was refused
             EXPECT_LE(some, 24u);
@@ -229,7 +229,7 @@
 
 }  // namespace
 
-// Whatever speaks for keeping room free, nothing waits for 90 s beside room that it fits in.
+// Whatever the reason to keep capacity free, no job waits for 90 s beside capacity that it fits in.
 TEST(Leader, JobConstrainedToAcceleratorMachinesThenStartsInTheEnd) {
     for (const bool needed : {false, true}) {
         LeaderHarness harness;
@@ -255,8 +255,8 @@
     }
 }
 
-// An array that its owner bound to machines with accelerators, and that needs none, was not worth renting one
-// for and never began; an idle one was given back beside it.
+// No machine was requested for an array whose owner constrained it to machines with accelerators although it
+// needs none, so it never started, while an idle machine of that type was deleted.
 TEST(Leader, ArrayConstrainedToMachineTypeThenScalesOut) {
     for (const bool small : {true, false}) {
         LeaderHarness harness;
@@ -272,8 +272,8 @@
     }
 }
 
-// Kept from a machine for a while for the sake of work with accelerators, such a job still needs it: given
-// back in the meantime, it would be rented and given back again and again.
+// Such a job is kept off the machine for a while in favour of jobs that need accelerators, and still needs
+// it: a machine deleted in the meantime would be requested and deleted again and again.
 TEST(Leader, WaitingJobMayRunNowhereElseThenIdleMachineIsNotScaledIn) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
