--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -1,4 +1,4 @@
-// Which messages of workers a leader believes, and what it does about machines that it does not hear.
+// Which messages of workers a leader trusts, and what it does about machines from which it hears nothing.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -11,7 +11,7 @@
 using namespace burlpoint::tests;
 
 // A direct command's reply may overtake a start that is still on its way in a heartbeat's response.
-TEST(Leader, OnlyANewerHeartbeatSettlesAStart) {
+TEST(Leader, StartMissingInHeartbeatThenSettledOnlyIfHeartbeatIsNewer) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -22,10 +22,10 @@
     harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), {}});
     EXPECT_EQ(harness.heartbeat("m2"), Names{});
     EXPECT_EQ(harness.heartbeat("m1"),
-              Names{"wk-1/0"});  // without the task, in a heartbeat: the response never got there
+              Names{"wk-1/0"});  // a heartbeat without the task: the response was lost
 }
 
-TEST(Leader, AnUnheardMachineBlocksOnlyWhatItCouldHold) {
+TEST(Leader, RegisteredMachineNotHeardThenBlocksOnlyTasksItMayHold) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2", "gpu");
@@ -38,14 +38,14 @@
     harness.job(make("wk-3", 1, 2));
     EXPECT_EQ(harness.heartbeat("m1", {harness.task("wk-2/0", TaskState::running)}),
               Names{"wk-3/0"});  // accepted since
-    harness.now += 25s;          // m2's lease is over
+    harness.now += 25s;          // m2's lease has expired
     harness.tick();
     const auto starts = harness.heartbeat(
         "m1", {harness.task("wk-2/0", TaskState::running), harness.task("wk-3/0", TaskState::running)});
     EXPECT_EQ(starts, Names{"wk-1/0"});
 }
 
-TEST(Leader, AHeartbeatWithAnOldTokenGetsNoStarts) {
+TEST(Leader, HeartbeatWithOlderTokenThenNoStarts) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -54,20 +54,21 @@
     EXPECT_EQ(harness.heartbeat("m1", {}, 5), Names{"wk-1/0"});
 }
 
-TEST(Leader, AHigherTokenEndsTheLeadership) {
+TEST(Leader, HeartbeatWithHigherTokenThenLeaderResigns) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
-    bool resigned = false, accepted = true;
+    bool resigned = false;
+    auto verdict = HeartbeatVerdict::accepted;
     for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {}, 6)})) {
         resigned |= std::holds_alternative<Resign>(action);
-        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) accepted = answer->accepted;
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) verdict = answer->verdict;
     }
     EXPECT_TRUE(resigned);
-    EXPECT_FALSE(accepted);
+    EXPECT_EQ(verdict, HeartbeatVerdict::refused);
 }
 
-TEST(Leader, AMachineWithoutARegistryEntryGetsNoTasks) {
+TEST(Leader, UnregisteredMachineThenNoStartsUntilEntryIsStored) {
     LeaderHarness harness;
     harness.lead();
     harness.job(make("wk-1", 1, 2));
@@ -90,9 +91,9 @@
     EXPECT_EQ(harness.heartbeat("m9"), Names{"wk-1/0"});
 }
 
-// Seen on a recorded day: each take-over waited for the machines that were booting and then deleted them, as
-// if they had fallen silent, so that with a leader lost every 40 s some never came up.
-TEST(Leader, AMachineThatWasOnlyRentedIsNeitherWaitedForNorGivenUp) {
+// Seen on a recorded day: each new leader waited for the machines that were booting and then deleted them as
+// failed, so that with a failover every 40 s some never came up.
+TEST(Leader, RequestedMachineStillBootingThenNeitherBlocksStartsNorIsDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.replica.registeredMachines["m2"] = {{"", "plain", "z", false}, 9};
@@ -120,9 +121,9 @@
     EXPECT_EQ(harness.heartbeat("m2"), Names{"wk-2/0"});
 }
 
-// A copy of an old heartbeat says nothing about now: it renews no lease, makes no machine count and settles
-// nothing.
-TEST(Leader, ALateCopyIsNoSignOfLife) {
+// A late copy of a heartbeat tells nothing about the present: it renews no lease, and no task counts as gone
+// because the copy does not list it.
+TEST(Leader, LateCopyOfHeartbeatThenRenewsNoLeaseAndSettlesNothing) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -135,39 +136,40 @@
     const auto& m1 = *harness.leader->fleet().machines().at("m1");
     Names starts;
     for (int second = 0; second < 30 && starts.empty(); ++second) {
-        EXPECT_EQ(m1.placements.size(), 1u);  // a copy without the task does not settle it
+        EXPECT_EQ(m1.placements.size(), 1u);  // the copy does not list the task, which may still run
         harness.now += 1s;
         harness.tell(HeartbeatReceived{7, empty});
         harness.tell(Tick{});
         starts = harness.heartbeat("m2");
     }
-    EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease ran out all the same
+    EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease expired all the same
     EXPECT_FALSE(m1.sendsHeartbeats);
-    bool accepted = true;
+    auto verdict = HeartbeatVerdict::accepted;
     for (const auto& action : harness.tell(HeartbeatReceived{8, empty}))
-        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) accepted = answer->accepted;
-    EXPECT_FALSE(accepted);
+        if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) verdict = answer->verdict;
+    EXPECT_EQ(verdict, HeartbeatVerdict::refused);
 }
 
-// Deleted machines stay deleted, however late what they sent arrives.
-TEST(Leader, NoCopyBringsADeletedMachineBack) {
+// Messages of a deleted machine that arrive late do not bring it back.
+TEST(Leader, LateCopyFromDeletedMachineThenMachineStaysDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
     harness.heartbeat("m1");
-    harness.tell(ScaleInCompleted{{"m1"}, true});
+    harness.tell(ScaleInCompleted{{"m1"}, ScaleInOutcome::deleted});
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     EXPECT_TRUE(harness.leader->fleet().machines().empty());
 }
 
-// Its reports arrive, and neither answers nor commands reach it: seen from starts that never show.
-TEST(Leader, AnUnreachableMachineGetsNoMoreWorkUntilItAnswers) {
+// Its heartbeats arrive, and neither responses nor commands reach it, as the starts missing in its heartbeats
+// show.
+TEST(Leader, ResponsesNotDeliveredThenNoStartsUntilProbeIsAnswered) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
     harness.job(make("wk-1", 4, 2));
     EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
-    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);  // an answer may be lost once
+    EXPECT_EQ(harness.heartbeat("m1").size(), 4u);  // one response may be lost
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     bool probed = false;
     for (int i = 0; i < 5; ++i)
@@ -179,10 +181,9 @@
     EXPECT_EQ(harness.heartbeat("m1").size(), 4u);
 }
 
-// The same after a take-over: every report shows the old fencing token, so no answer has renewed the lease,
-// and what may be on the machine is free to run elsewhere once the lease that the earlier leader left is
-// over.
-TEST(Leader, AMachineThatNeverTakesTheTokenDoesNotHoldItsTasksForEver) {
+// The same after a failover: every heartbeat shows the old fencing token, so no response has renewed the
+// lease, and the machine's tasks may start elsewhere once the lease left by the earlier leader has expired.
+TEST(Leader, MachineNeverTakesTokenThenItsTasksStartElsewhereAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -201,8 +202,8 @@
 }
 
 // Seen on a simulated day: a new leader spent its first second on probing hundreds of machines that were
-// about to report, and answered some only after their leases were over.
-TEST(Leader, ATakeOverAnswersHeartbeatsBeforeItProbes) {
+// about to send heartbeats, and answered some only after their leases had expired.
+TEST(Leader, FailoverThenProbesStartAfterGracePeriodInLimitedNumber) {
     LeaderHarness harness;
     for (int i = 0; i < 300; ++i) harness.registerMachine(std::string("m").append(std::to_string(i)));
     harness.lead();
@@ -221,8 +222,9 @@
     EXPECT_EQ(std::accumulate(later.begin(), later.end(), std::size_t{0}), 300u);  // each of them once
 }
 
-// After a restart of its worker counters begin anew: neither old news for good nor believed.
-TEST(Leader, AMachineThatCountsAnewIsReplaced) {
+// A worker that restarts its message counters: its messages are neither ignored as stale for good nor
+// trusted.
+TEST(Leader, WorkerRestartsCountersThenMachineIsQuarantinedAndDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -237,7 +239,7 @@
         harness.now += 1s;
         for (const auto& action : harness.tell(HeartbeatReceived{1, harness.message("m1", {}, 0)})) {
             if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) {
-                EXPECT_FALSE(answer->accepted);
+                EXPECT_EQ(answer->verdict, HeartbeatVerdict::refused);
             }
             if (const auto* direct = std::get_if<SendCommands>(&action)) probe = *direct;
         }
@@ -247,9 +249,9 @@
     const auto possible = m1.placements.size();
     ASSERT_GT(possible, 0u);
     harness.tell(CommandsAnswered{"m1", harness.message("m1", {}, 5), probe->known});
-    harness.sequences["m1"] = 50;  // beyond what was known: a late copy could look like this, too
+    harness.sequences["m1"] = 50;  // above the newest version; a late copy could look like this, too
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
-    EXPECT_EQ(m1.placements.size(), possible);  // and would settle what is running now
+    EXPECT_EQ(m1.placements.size(), possible);  // the message did not remove what runs now
     bool released = false;
     for (int i = 0; i < 10; ++i)
         for (const auto& action : harness.tick())
@@ -258,10 +260,10 @@
     EXPECT_TRUE(released);
 }
 
-// Every machine of the machine registry is gone. A leader that hears nobody makes way for one that may be
-// better placed, before the leases are over; when each of them did, they made way for ever and nothing was
-// rented.
-TEST(Leader, WhenNobodyHearsAnyMachineSomeLeaderStaysUntilTheLeasesAreOver) {
+// Every registered machine is gone. A leader that hears no worker resigns in favour of one that may be better
+// placed, before the leases expire. When each of them did so, they resigned in turn without end and no
+// machines were requested.
+TEST(Leader, NoLeaderHearsAnyMachineThenOneStaysUntilLeasesExpireAndScalesOut) {
     LeaderHarness harness;
     harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
     for (const char* id : {"m1", "m2", "m3", "m4"}) harness.registerMachine(id);
@@ -281,12 +283,12 @@
         resigned += !leads;
     }
     EXPECT_GT(rented, 0);
-    EXPECT_GT(resigned, 0);  // those better placed have their chance
+    EXPECT_GT(resigned, 0);  // others get the chance to lead
     EXPECT_LE(resigned, 3);
 }
 
-// That leader stays only if it never heard anybody, and not for ever: its own network may be cut.
-TEST(Leader, TheLeaderThatStaysWithoutWorkersMakesWayInTheEnd) {
+// That leader stays only if it never heard a worker, and not without end: its own network may be cut.
+TEST(Leader, LeaderStaysWithoutWorkersThenResignsInTheEnd) {
     for (const bool heard : {false, true}) {
         LeaderHarness harness;
         harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
@@ -300,15 +302,15 @@
         if (heard) {
             EXPECT_LT(seconds, 15);
         } else {
-            EXPECT_GT(seconds, 25);  // longer than the leases and the time to rent anew
+            EXPECT_GT(seconds, 25);  // longer than the leases and the time to request new machines
             EXPECT_LT(seconds, 50);
         }
     }
 }
 
-// Its reports reach no controller and commands reach it. What is cancelled stops by command; the lease runs
-// out all the same, and then the machine is given back.
-TEST(Leader, AMuteMachineIsStoppedByCommandAndGivenBackAfterItsLease) {
+// Its heartbeats reach no controller, and direct commands reach it. Cancelled tasks stop by command; the
+// lease expires all the same, and then the machine is deleted.
+TEST(Leader, HeartbeatsLostAndCommandsDeliveredThenTasksStopAndMachineIsDeletedAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -330,7 +332,7 @@
             }
         return stops;
     };
-    for (int i = 0; i < 20; ++i) {  // silent for longer than a machine that nothing reaches would be kept
+    for (int i = 0; i < 20; ++i) {  // longer than a machine that nothing reaches would be kept
         harness.heartbeat("m2", other);
         const auto actions = harness.tick(500ms);
         for (const auto& action : actions) EXPECT_FALSE(std::holds_alternative<ScaleIn>(action));
--- a/tests/leader_placement_test.cpp
+++ b/tests/leader_placement_test.cpp
@@ -1,4 +1,4 @@
-// Where a leader places tasks, and what it stops for others.
+// Where a leader places tasks, and which tasks it preempts for others.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -10,7 +10,7 @@
 using namespace burlpoint::tests;
 
 // Seen on a simulated day: replicas took the processors of all machines with accelerators for good.
-TEST(Leader, ReplicasLeaveAcceleratorsToTheJobsThatNeedThem) {
+TEST(Leader, AcceleratorMachinesNeededThenReplicasLeaveThemFree) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
     harness.lead();
@@ -27,7 +27,7 @@
 }
 
 // Seen on a simulated day: replicas started at once, and late, on machines without their image.
-TEST(Leader, ShortWaitAimsGoWhereTheImageIs) {
+TEST(Leader, ShortWaitTargetThenStartsWhereImageIsCached) {
     LeaderHarness harness;
     harness.settings.objectives = {{"wait", "service", Seconds(3), 0.9}};
     harness.registerMachine("m1");
@@ -58,9 +58,8 @@
     EXPECT_EQ(harness.heartbeat("m1", running), Names{"wk-2/0"});
 }
 
-// Seen on a simulated day: a quarter of all starts were stopped again for jobs that could have waited a
-// little.
-TEST(Leader, FreedRoomIsKeptForAHighJobBeforeAnythingIsStopped) {
+// Seen on a simulated day: a quarter of all starts were preempted for jobs that could have waited a little.
+TEST(Leader, HighPriorityJobWaitsThenFreedCapacityIsReservedBeforePreemption) {
     LeaderHarness harness;
     harness.settings.objectives = {{"wait", "high", Seconds(20), 0.9}};
     harness.registerMachine("m1");
@@ -78,12 +77,12 @@
     EXPECT_EQ(harness.heartbeat("m1", running), Names{});
     for (const auto& action : harness.tick()) EXPECT_FALSE(std::holds_alternative<SendCommands>(action));
     running.pop_back();
-    EXPECT_EQ(harness.heartbeat("m1", running), Names{});  // one processor free, and not refilled
+    EXPECT_EQ(harness.heartbeat("m1", running), Names{});  // one processor is free and stays reserved
     running.pop_back();
     EXPECT_EQ(harness.heartbeat("m1", running), Names{"wk-2/0"});
 }
 
-TEST(Leader, WhereDeadlinesCountTheShortestGoesFirstAndTheLateLast) {
+TEST(Leader, DeadlinesThenShortestJobFirstAndLateJobLast) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.lead();
@@ -97,7 +96,7 @@
               Names{"wk-2/0"});
 }
 
-TEST(Leader, TeamLimitsCountStartsNobodyHasConfirmed) {
+TEST(Leader, UnconfirmedStartsThenCountTowardsTeamQuota) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -112,9 +111,9 @@
     EXPECT_EQ(harness.heartbeat("m2").size(), 0u);
 }
 
-// A machine that fails the tasks of different jobs is kept out of use; a job that fails everywhere is not
-// taken for a fault of the machines.
-TEST(Leader, FaultyMachinesAndFaultyJobsAreToldApart) {
+// A machine on which tasks of different jobs fail is not used any more; a job that fails everywhere is not
+// blamed on the machines.
+TEST(Leader, TasksFailThenFaultyMachinesAndFaultyJobsAreToldApart) {
     LeaderHarness harness;
     for (const char* id : {"m1", "m2", "m3", "m4", "m5"}) harness.registerMachine(id);
     harness.lead();
@@ -135,8 +134,8 @@
     EXPECT_EQ(harness.heartbeat("m1"), Names{});  // two jobs have failed on it
 }
 
-// What a heartbeat costs must not grow with the fleet: the machines looked at per heartbeat are counted.
-TEST(Leader, AHeartbeatCostsNoMoreInALargerFleet) {
+// The cost of a heartbeat must not grow with the fleet: the machines scanned per heartbeat are counted.
+TEST(Leader, LargerFleetThenHeartbeatScansNoMoreMachines) {
     const auto visitsPerHeartbeat = [](int fleet) {
         LeaderHarness harness;
         std::vector<std::string> machines;
@@ -154,7 +153,7 @@
             harness.job(spec);
         }
         std::uint64_t before = 0, heartbeats = 0;
-        for (int round = 0; round < 4; ++round) {  // every machine reports once in two seconds
+        for (int round = 0; round < 4; ++round) {  // each machine sends a heartbeat every two seconds
             if (round == 1) before = harness.leader->machinesScanned();
             for (const auto& id : machines) {
                 std::vector<TaskStatus> tasks;
@@ -175,8 +174,9 @@
     EXPECT_LT(many, few * 1.5 + 20);
 }
 
-// A interruption notice for one machine: a gang's save needs all its tasks told together.
-TEST(Leader, ANoticeStopsAGangAsAWhole) {
+// A spot interruption notice for one machine: to save a checkpoint, all tasks of a gang must be stopped
+// together.
+TEST(Leader, SpotInterruptionNoticeThenWholeGangIsStopped) {
     LeaderHarness harness;
     harness.registerMachine("m1", "gpu");
     harness.registerMachine("m2", "gpu");
@@ -211,9 +211,9 @@
     EXPECT_EQ(stopped, (std::set<std::string>{"m1", "m2"}));
 }
 
-// Seen on a simulated day: guaranteed tasks of low priority took the room that others had been stopped for,
-// and were stopped in turn, over and over.
-TEST(Leader, RoomThatWorkWasStoppedForIsNotTakenByOtherWorkOfNoHigherPriority) {
+// Seen on a simulated day: tasks of low priority within a guaranteed quota took the capacity that others had
+// been preempted for, and were preempted in turn, over and over.
+TEST(Leader, CapacityFreedByPreemptionThenNotTakenByOtherWorkOfNoHigherPriority) {
     LeaderHarness harness;
     harness.settings.teams.push_back({"guaranteed", 100, 0, 0, 0});
     harness.registerMachine("m1", "gpu");
