--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-// Commands in a response up to which starts are added; it leaves space for others below the protocol's limit.
+// Starts are added to a response until it has so many commands, the stops before them included. That keeps
+// the response well below 64 KiB.
 constexpr std::size_t kMaxCommandsForStart = 250;
 // Freed capacity is reserved for so many heartbeat intervals.
 constexpr int kReservedIntervals = 3;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -45,7 +45,7 @@
 // Losses that count when a gang's machines are chosen, in processor seconds for a task.
 constexpr double kSpotLoss = 100;  // the interruption of a spot machine would stop the whole gang
 constexpr double kFetchLoss = 150;
-// Larger than any sum of losses, so that machines reserved for the gang come first.
+// Far larger than usual losses, so that machines reserved for the gang come first.
 constexpr double kReservedBonus = 1e6;
 
 }  // namespace
