--- a/src/coordination/api/submission_queue.cpp
+++ b/src/coordination/api/submission_queue.cpp
@@ -23,7 +23,7 @@
                    settings.minWritesPerSecond() * kWriteBudgetShare) {}
 
 std::optional<std::chrono::seconds> SubmissionQueue::retryAfterIfFull(Time now) {
-    const Seconds expectedWait(static_cast<double>(queued_) / writeBudget_.rate(now));
+    const Seconds expectedWait(static_cast<double>(queued_) / writeBudget_.ratePerSecond(now));
     if (queued_ < kMaxQueued && expectedWait <= kMaxWait) return std::nullopt;
     const auto wholeSeconds = std::chrono::ceil<std::chrono::seconds>(std::min(expectedWait, kMaxRetryAfter));
     return std::max(wholeSeconds, kMinRetryAfter);
@@ -56,7 +56,7 @@
 
 std::optional<Submission> SubmissionQueue::takeNext(Time now) {
     if (queues_.empty() || writesInFlight_ >= kMaxWritesInFlight) return std::nullopt;
-    if (!writeBudget_.take(1, 0, now)) return std::nullopt;
+    if (!writeBudget_.tryTake(1, 0, now)) return std::nullopt;
     auto next = queues_.upper_bound(lastServedTeam_);
     if (next == queues_.end()) next = queues_.begin();
     lastServedTeam_ = next->first;
--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -58,7 +58,7 @@
     void writeCompleted() { --writesInFlight_; }
 
     /// The key-value store refused a write because of its rate limit: the write budget shrinks for a while.
-    void noteRateLimited(Time now) { writeBudget_.refused(now); }
+    void noteRateLimited(Time now) { writeBudget_.recordRefusal(now); }
 
     /// True if no submission waits. Submissions being written are not counted.
     bool empty() const { return queues_.empty(); }
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -23,6 +23,7 @@
 #include "coordination/autoscaling/scale_in_rules.h"
 #include "coordination/autoscaling/task_concurrency.h"
 #include "protocol/cloud_messages.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 #include "storage/token_bucket.h"
 
@@ -42,12 +43,6 @@
     DueTime dueTime;
 };
 
-/// The cloud's answer to a deletion of machines.
-enum class ScaleInOutcome {
-    accepted,
-    unknown,  // the deletion may not have been carried out
-};
-
 /// Decides on scale out, scale in and listings, for one leadership. The caller sends the requests that
 /// `decide` returns and passes on the outcome of each, also if there was no answer. At most one deletion and
 /// one listing of machines are in flight at a time.
@@ -96,7 +91,7 @@
                                                         Time now) const;
     void requestMachineListing(ScalingRequests& requests, Time now);
     void requestTypeListing(bool typesKnown, ScalingRequests& requests, Time now);
-    bool takeRequest(Time now) { return requestBudget_.take(1, 0, now); }
+    bool takeRequest(Time now) { return requestBudget_.tryTake(1, 0, now); }
 
     const protocol::Settings& settings_;
     const protocol::Policy& policy_;
--- a/src/coordination/autoscaling/capacity_plan.h
+++ b/src/coordination/autoscaling/capacity_plan.h
@@ -19,6 +19,7 @@
 #include "coordination/autoscaling/offering_selection.h"
 #include "coordination/autoscaling/task_concurrency.h"
 #include "coordination/autoscaling/team_quota.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/autoscaling/instance_request_queue.cpp
+++ b/src/coordination/autoscaling/instance_request_queue.cpp
@@ -31,7 +31,7 @@
     std::vector<InstanceRequest> due;
     for (auto& pending : pending_) {
         if (pending.inFlight || now < pending.nextAttempt) continue;
-        if (!budget.take(1, 0, now)) break;
+        if (!budget.tryTake(1, 0, now)) break;
         pending.inFlight = true;
         pending.sent = true;
         due.push_back(pending.request);
--- a/src/coordination/autoscaling/instance_request_queue.h
+++ b/src/coordination/autoscaling/instance_request_queue.h
@@ -23,6 +23,12 @@
     unknown,    // no answer, or an ambiguous one: the request may have been carried out
 };
 
+/// The outcome of a request to delete machines.
+enum class ScaleInOutcome {
+    deleted,
+    unknown  // the request may or may not have been carried out
+};
+
 /// A first-in, first-out queue of instance requests. Request names are idempotency keys: the cloud carries
 /// out one name at most once, so a request of unknown outcome can be sent again under its name without
 /// creating machines twice. Names are never reused, as they consist of the leader's fencing token, which no
--- a/src/coordination/autoscaling/scale_in_rules.h
+++ b/src/coordination/autoscaling/scale_in_rules.h
@@ -8,6 +8,7 @@
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
 #include "bookkeeping/state_replica.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/autoscaling/task_concurrency.h
+++ b/src/coordination/autoscaling/task_concurrency.h
@@ -8,6 +8,7 @@
 
 #include "base/clock.h"
 #include "bookkeeping/job.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -120,8 +120,9 @@
 }
 
 void ActionExecutor::carryOut(RefreshReplica&) {
-    services_.watcher.readLatest(whileLeading([this](bool read) {
-        deliver_(ReplicaRefreshed{read ? RefreshOutcome::refreshed : RefreshOutcome::failed});
+    services_.watcher.readLatest(whileLeading([this](FreshRead read) {
+        deliver_(ReplicaRefreshed{read == FreshRead::upToDate ? RefreshOutcome::refreshed
+                                                              : RefreshOutcome::failed});
     }));
 }
 
@@ -138,12 +139,13 @@
 
 void ActionExecutor::carryOut(ScaleIn& action) {
     if (!entitled()) return deliver_(ScaleInCompleted{action.machines, ScaleInOutcome::unknown});
-    services_.http.request(
-        settings_.cloudAddress, "POST", paths::kRelease, protocol::encodeInstanceDeletion(action.machines),
-        kCloudTimeout, whileLeading([this, machines = action.machines](const HttpResult& result) {
-            const auto outcome = result.ok() ? ScaleInOutcome::deleted : ScaleInOutcome::unknown;
-            deliver_(ScaleInCompleted{machines, outcome});
-        }));
+    services_.http.request(settings_.cloudAddress, "POST", paths::kInstanceDeletion,
+                           protocol::encodeInstanceDeletion(action.machines), kCloudTimeout,
+                           whileLeading([this, machines = action.machines](const HttpResult& result) {
+                               const auto outcome =
+                                   result.ok() ? ScaleInOutcome::deleted : ScaleInOutcome::unknown;
+                               deliver_(ScaleInCompleted{machines, outcome});
+                           }));
 }
 
 void ActionExecutor::carryOut(ListMachines&) {
@@ -187,7 +189,7 @@
 
 void ActionExecutor::carryOut(Resign& action) {
     spdlog::info("resigning reason={}", nameOf(action.reason));
-    services_.election.resign(Clock::now(), defersToPeers(action.reason));
+    services_.election.resign(Clock::now(), resignationFor(action.reason));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/cloud_inventory.cpp
+++ b/src/coordination/controller/cloud_inventory.cpp
@@ -31,9 +31,8 @@
 }
 
 void CloudInventory::handle(const ScaleInCompleted& event, Time now) {
-    const bool deleted = event.outcome == ScaleInOutcome::deleted;
-    context_.autoscaler.scaleInCompleted(deleted, now);
-    if (!deleted) return;
+    context_.autoscaler.scaleInCompleted(event.outcome, now);
+    if (event.outcome != ScaleInOutcome::deleted) return;
     for (const auto& id : event.machines) {
         if (auto* machine = context_.fleet.find(id)) context_.membership.remove(*machine, now);
         context_.membership.noteDeleted(id);
--- a/src/coordination/controller/controller.h
+++ b/src/coordination/controller/controller.h
@@ -21,6 +21,7 @@
 #include "coordination/leadership/overload_monitor.h"
 #include "coordination/leadership/peer_exchange.h"
 #include "coordination/state/state_watcher.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 #include "storage/key_value_client.h"
 #include "transport/executor.h"
--- a/src/coordination/controller/fleet_health_check.cpp
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -16,7 +16,7 @@
 void FleetHealthCheck::tick(Time now) {
     detector_.noteTick(now);
     if (!detector_.isDue(now)) return;
-    registry_.dropOrphans();
+    registry_.removeEntriesWithoutMachine();
     const auto census = detector_.takeCensus(now);
     expireLeases(census, now);
     const auto findings = detector_.evaluate(census, now);
@@ -25,7 +25,8 @@
         spdlog::info("machine failed, neither heartbeats nor probe answers machine={}", machine->id);
         machine->deletionRequested = true;
     }
-    if (findings.resignation) actions_.emplace_back(Resign{ResignationReason::noWorkersReachable});
+    if (findings.isolation != Isolation::none)
+        actions_.emplace_back(Resign{ResignationReason::noWorkersReachable});
 }
 
 void FleetHealthCheck::expireLeases(const FailureDetector::Census& census, Time now) {
--- a/src/coordination/controller/fleet_membership.cpp
+++ b/src/coordination/controller/fleet_membership.cpp
@@ -25,7 +25,7 @@
 
 void FleetMembership::remove(Machine& machine, Time now) {
     const auto id = machine.id;
-    tombstones_.note(machine);
+    tombstones_.add(machine);
     completion_.endAll(machine, now);
     registry_.forget(machine);
     fleet_.erase(id);
--- a/src/coordination/controller/fleet_membership.h
+++ b/src/coordination/controller/fleet_membership.h
@@ -31,7 +31,7 @@
     void remove(bookkeeping::Machine& machine, Time now);
 
     /// The cloud has deleted the machine: later messages of it, and lists with it, are out of date.
-    void noteDeleted(const std::string& id) { tombstones_.noteDeleted(id); }
+    void noteDeleted(const std::string& id) { tombstones_.addDeleted(id); }
 
     /// Has the cloud deleted the machine?
     bool isDeleted(const std::string& id) const { return tombstones_.isDeleted(id); }
--- a/src/coordination/controller/heartbeat_commands.cpp
+++ b/src/coordination/controller/heartbeat_commands.cpp
@@ -17,7 +17,7 @@
                                                       const HeartbeatReceived& event, Time now) {
     if (!machine.acknowledged) return stopsOfTerminatedJobs(event.heartbeat, replica_);
     std::vector<WorkerCommand> commands;
-    if (!addSettlingCommands(event.heartbeat, replica_, commands)) return commands;
+    if (addCleanupCommands(event.heartbeat, replica_, commands) == CommandFit::truncated) return commands;
     for (auto& command : stopCommands(machine)) commands.push_back(std::move(command));
     // A leader cut off from the store stays entitled for some seconds, in which other controllers may confirm
     // cancellations to users: running tasks go on, and nothing new starts.
--- a/src/coordination/controller/job_changes.cpp
+++ b/src/coordination/controller/job_changes.cpp
@@ -15,7 +15,8 @@
 void JobChanges::inheritAll(Time now) {
     for (const auto& [id, job] : replica_.jobs()) {
         job->run.reset();
-        if (job->terminalState == TerminalState::none && job->ready()) activator_.begin(*job, true, now);
+        if (job->terminalState == TerminalState::none && job->ready())
+            activator_.begin(*job, bookkeeping::JobOrigin::inherited, now);
     }
 }
 
@@ -34,7 +35,7 @@
     if (job.terminalState == TerminalState::none) {
         // A job that waited for others cannot be on a machine: an earlier leader would have seen those stored
         // as done, and so would this one as it began.
-        if (!job.run && job.ready()) activator_.begin(job, false, now);
+        if (!job.run && job.ready()) activator_.begin(job, bookkeeping::JobOrigin::accepted, now);
         return;
     }
     jobQueue_.remove(job);
--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -45,6 +45,7 @@
 #include "coordination/workers/attempt_completion.h"
 #include "coordination/workers/failure_detector.h"
 #include "coordination/workers/heartbeat_reconciler.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/controller/leader_debug_log.cpp
+++ b/src/coordination/controller/leader_debug_log.cpp
@@ -19,8 +19,8 @@
 
 void logWaitingJob(const bookkeeping::Job& job, Time now) {
     spdlog::debug("job waits job={} class={} rank={} waiting={} tasks={} possible={} waiting_s={:.1f}",
-                  job.spec.id, job.spec.jobClass, rankOf(job), job.run->waiting, job.spec.tasks,
-                  job.run->placedTotal, Seconds(now - job.run->waitingSince).count());
+                  job.spec.id, job.spec.jobClass, static_cast<int>(rankOf(job)), job.run->waiting,
+                  job.spec.tasks, job.run->placedTotal, Seconds(now - job.run->waitingSince).count());
 }
 
 }  // namespace
--- a/src/coordination/controller/leader_events.h
+++ b/src/coordination/controller/leader_events.h
@@ -56,11 +56,6 @@
     std::vector<std::string> machines;  // the new machines if it was fulfilled
 };
 
-enum class ScaleInOutcome {
-    deleted,
-    unknown  // the request may or may not have been carried out
-};
-
 /// The outcome of `ScaleIn`.
 struct ScaleInCompleted {
     std::vector<std::string> machines;
--- a/src/coordination/controller/leader_runner.h
+++ b/src/coordination/controller/leader_runner.h
@@ -10,6 +10,7 @@
 #include "coordination/controller/action_executor.h"
 #include "coordination/controller/leader.h"
 #include "coordination/controller/leader_events.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 #include "transport/http_message.h"
 
--- a/src/coordination/controller/peer_messenger.cpp
+++ b/src/coordination/controller/peer_messenger.cpp
@@ -76,7 +76,7 @@
         // A vote of a peer that has more to tell would extend this leadership while tasks go on that users
         // were told are cancelled.
         if (!context_.leader.leader() || sent.epoch != context_.leader.epoch() || !answer.complete) return;
-        const Duration life(std::min(answer.grantMs, kMaxVoteMs));
+        const Duration life(std::min(answer.voteMs, kMaxVoteMs));
         context_.election.noteVote(sent.peer, life, sent.sentAt);
     } catch (const MalformedMessage& error) {
         spdlog::error("malformed answer of a peer peer={} error={}", sent.peer, error.what());
@@ -100,7 +100,7 @@
     answer.running.clear();  // told by the leader's own messages only
     if (asking.fencingToken == 0) return answer;
     context_.peers.appendCancellations(asking, answer);
-    if (answer.complete) answer.grantMs = voteFor(asking, now);
+    if (answer.complete) answer.voteMs = voteFor(asking, now);
     return answer;
 }
 
--- a/src/coordination/controller/resignation_reason.cpp
+++ b/src/coordination/controller/resignation_reason.cpp
@@ -18,17 +18,17 @@
     return "unknown";
 }
 
-bool defersToPeers(ResignationReason reason) {
+Election::Resignation resignationFor(ResignationReason reason) {
     switch (reason) {
         case ResignationReason::newerTokenSeen:
         case ResignationReason::newerTokenStored:
-            return false;
+            return Election::Resignation::mayTryAgain;
         case ResignationReason::noWorkersReachable:
         case ResignationReason::onlyThisControllerRefused:
         case ResignationReason::overloaded:
-            return true;
+            return Election::Resignation::deferToPeers;
     }
-    return false;
+    return Election::Resignation::mayTryAgain;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/resignation_reason.h
+++ b/src/coordination/controller/resignation_reason.h
@@ -2,6 +2,8 @@
 
 // Why a controller gives up its leadership. Pure functions.
 
+#include "coordination/leadership/election.h"
+
 namespace burlpoint::coordination {
 
 enum class ResignationReason {
@@ -15,7 +17,7 @@
 /// The reason as a value for logs, without spaces.
 const char* nameOf(ResignationReason reason);
 
-/// Is this controller itself the likely cause? Then its peers go first in the next election.
-bool defersToPeers(ResignationReason reason);
+/// If this controller itself is the likely cause, its peers go first in the next election.
+Election::Resignation resignationFor(ResignationReason reason);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/scheduling_inputs.cpp
+++ b/src/coordination/controller/scheduling_inputs.cpp
@@ -23,7 +23,7 @@
     if (!context_.jobQueue.refresh(context_.replica, context_.fleet, context_.wallClock, now)) return;
     for (auto* job : context_.jobQueue.open()) {
         context_.pacing.admit(*job, context_.fleet);
-        context_.accelerators.recordNeed(*job);
+        context_.accelerators.recordDemand(*job);
     }
 }
 
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -10,6 +10,7 @@
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::PlacementState;
+using bookkeeping::ReservationKind;
 using protocol::CommandKind;
 using protocol::JobKind;
 using protocol::WorkerCommand;
@@ -131,7 +132,7 @@
     if (run.overdue && run.launchedTasks == 0 && job.doneCount == 0) run.firstOverdueTask = *task;
     ++run.launchedTasks;
     if (job.spec.kind == JobKind::gang) run.gangAttempt = attempt;
-    if (machine.reservedFor == &job) context_.fleet.reserve(machine, nullptr);
+    if (machine.reservedFor == &job) context_.fleet.cancelReservation(machine);
     machine.lastBusyAt = heartbeat.now;
     spdlog::debug("task started job={} task={} attempt={} machine={} incarnation={} sequence={}", job.spec.id,
                   *task, attempt, machine.id, machine.incarnation, machine.sequence);
@@ -169,8 +170,7 @@
     if (!mayUse(machine, job, now)) return;
     if (context_.fleet.reservations(job, now) >= run.waiting) return;
     const auto until = now + toClockDuration(context_.settings.heartbeatInterval * kReservedIntervals);
-    constexpr bool kFreedCapacityOnly = true;  // no task is preempted for it
-    context_.fleet.reserve(machine, &job, until, kFreedCapacityOnly);
+    context_.fleet.reserve(machine, job, until, ReservationKind::waiting);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/image_locality.h
+++ b/src/coordination/scheduling/image_locality.h
@@ -11,6 +11,7 @@
 #include "coordination/scheduling/fetch_pacing.h"
 #include "coordination/scheduling/placement_constraints.h"
 #include "coordination/scheduling/scan_counter.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 
 namespace burlpoint::coordination {
--- a/src/coordination/scheduling/job_activator.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -33,8 +33,8 @@
                            StateWriter& writer)
     : settings_(settings), wallClock_(wallClock), jobQueue_(jobQueue), writer_(writer) {}
 
-void JobActivator::begin(Job& job, JobOrigin origin, Time now) {
-    job.beginRun(origin == JobOrigin::inherited, now);
+void JobActivator::begin(Job& job, bookkeeping::JobOrigin origin, Time now) {
+    job.beginRun(origin, now);
     auto& run = *job.run;
     run.team = settings_.team(job.spec.team);
     run.shortestWaitObjective = shortestWaitObjective(settings_, job.spec.jobClass);
--- a/src/coordination/scheduling/job_activator.h
+++ b/src/coordination/scheduling/job_activator.h
@@ -12,12 +12,6 @@
 
 namespace burlpoint::coordination {
 
-/// Under which leader a job was accepted.
-enum class JobOrigin {
-    inherited,  // an earlier leader may have started some of its tasks
-    accepted    // this leader is the first that may start its tasks
-};
-
 class JobActivator {
   public:
     /// All are kept by reference and have to outlive this.
@@ -25,7 +19,7 @@
                  StateWriter& writer);
 
     /// Begins the run of a job that has none and adds it to the job queue.
-    void begin(bookkeeping::Job& job, JobOrigin origin, Time now);
+    void begin(bookkeeping::Job& job, bookkeeping::JobOrigin origin, Time now);
 
   private:
     const protocol::Settings& settings_;
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -69,7 +69,7 @@
     return machine.typeInfo && machine.typeInfo->cpus - machine.used.cpus >= cpus - kResourceTolerance;
 }
 
-std::uint32_t maxTasksInZone(const bookkeeping::JobSpec& spec) {
+std::uint32_t maxTasksInZone(const protocol::JobSpec& spec) {
     return spec.spreadZones ? (spec.tasks + 1) / 2 : spec.tasks;
 }
 
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -34,7 +34,7 @@
 
 /// How many of the job's tasks may be in one zone: half of them, rounded up, if the job has to be spread,
 /// otherwise all.
-std::uint32_t maxTasksInZone(const bookkeeping::JobSpec& spec);
+std::uint32_t maxTasksInZone(const protocol::JobSpec& spec);
 
 /// May one more of the job's tasks run in the zone, given where the others may be running? False if the job
 /// is restricted to one zone and is in another, or if it has to be spread and the zone has its share.
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -9,6 +9,7 @@
 
 using bookkeeping::Job;
 using bookkeeping::Machine;
+using bookkeeping::ReservationKind;
 using protocol::Priority;
 using storage::TerminalState;
 
@@ -124,8 +125,7 @@
     spdlog::debug("preempting tasks job={} class={} machine={} tasks={} victims={}", job.spec.id,
                   job.spec.jobClass, machine.id, plan.tasks, plan.victims.size());
     for (auto* victim : plan.victims) context_.terminator.stop(machine, *victim, victim->job->spec.saveTime);
-    constexpr bool kFreedCapacityOnly = false;  // tasks are stopped for it
-    context_.fleet.reserve(machine, &job, reservedUntil, kFreedCapacityOnly, plan.tasks);
+    context_.fleet.reserve(machine, job, reservedUntil, ReservationKind::preempting, plan.tasks);
 }
 
 // --- jobs whose tasks start one by one --------------------------------------------------------------------
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -9,6 +9,7 @@
 using bookkeeping::Machine;
 using bookkeeping::Placement;
 using bookkeeping::PlacementState;
+using bookkeeping::ReservationKind;
 using protocol::Settings;
 using storage::TerminalState;
 
@@ -48,8 +49,7 @@
     if (machine.isReserved(now) || machine.interruptionAt) return;
     const auto untilFree = grace + settings_.heartbeatInterval * kIntervalsUntilFree;
     const auto until = now + toClockDuration(untilFree + kGangReservation);
-    constexpr bool kFreedCapacityOnly = false;  // tasks are stopped for it
-    fleet_.reserve(machine, &gang, until, kFreedCapacityOnly, gang.run->machines.at(machine.id));
+    fleet_.reserve(machine, gang, until, ReservationKind::preempting, gang.run->machines.at(machine.id));
 }
 
 std::set<std::string> TaskTerminator::takeUrgent() { return std::exchange(urgent_, {}); }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -74,7 +74,7 @@
     /// The machines of the scale-in requested after `step`; its outcome is accepted.
     Names scaleIn(Clock::duration step = 1s) {
         auto requests = decide(step);
-        if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(ScaleInOutcome::accepted, now);
+        if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(ScaleInOutcome::deleted, now);
         return requests.scaleIn;
     }
 };
@@ -160,7 +160,7 @@
     autoscaler->scaleInCompleted(ScaleInOutcome::unknown, now);
     EXPECT_EQ(decide(1999ms).scaleIn, Names{});
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
-    autoscaler->scaleInCompleted(ScaleInOutcome::accepted, now);
+    autoscaler->scaleInCompleted(ScaleInOutcome::deleted, now);
     EXPECT_EQ(decide(499ms).scaleIn, Names{});
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
 }
