--- a/src/coordination/workers/isolation_detector.cpp
+++ b/src/coordination/workers/isolation_detector.cpp
@@ -17,11 +17,6 @@
 
 }  // namespace
 
-std::string describe(Isolation isolation) {
-    return isolation == Isolation::lostWorkers ? "no worker reaches this controller"
-                                               : "no worker has reached this controller";
-}
-
 IsolationDetector::IsolationDetector(const Config& config) : config_(config), lastHeartbeat_(config.began) {}
 
 void IsolationDetector::noteHeartbeat(Time now) {
--- a/src/coordination/workers/isolation_detector.h
+++ b/src/coordination/workers/isolation_detector.h
@@ -7,7 +7,6 @@
 
 #include <cstddef>
 #include <cstdint>
-#include <string>
 
 #include "base/clock.h"
 
@@ -20,9 +19,6 @@
     neverReached  // it kept leading without workers, and no worker has reached it since
 };
 
-/// The reason in words, for the log. Not for Isolation::none.
-std::string describe(Isolation isolation);
-
 class IsolationDetector {
   public:
     struct Config {
