--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -120,8 +120,9 @@
 }
 
 void ActionExecutor::carryOut(RefreshReplica&) {
-    services_.watcher.readLatest(whileLeading([this](bool read) {
-        deliver_(ReplicaRefreshed{read ? RefreshOutcome::refreshed : RefreshOutcome::failed});
+    services_.watcher.readLatest(whileLeading([this](FreshRead read) {
+        const bool upToDate = read == FreshRead::upToDate;
+        deliver_(ReplicaRefreshed{upToDate ? RefreshOutcome::refreshed : RefreshOutcome::failed});
     }));
 }
 
@@ -187,7 +188,7 @@
 
 void ActionExecutor::carryOut(Resign& action) {
     spdlog::info("resigning reason={}", nameOf(action.reason));
-    services_.election.resign(Clock::now(), defersToPeers(action.reason));
+    services_.election.resign(Clock::now(), resignationFor(action.reason));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/fleet_health_check.cpp
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -16,7 +16,7 @@
 void FleetHealthCheck::tick(Time now) {
     detector_.noteTick(now);
     if (!detector_.isDue(now)) return;
-    registry_.dropOrphans();
+    registry_.removeEntriesWithoutMachine();
     const auto census = detector_.takeCensus(now);
     expireLeases(census, now);
     const auto findings = detector_.evaluate(census, now);
--- a/src/coordination/controller/periodic_tasks.cpp
+++ b/src/coordination/controller/periodic_tasks.cpp
@@ -59,18 +59,18 @@
 // Seen on a simulated day: a leader three times slower than its peers for 30 s kept the leadership for 7 s
 // more, answered no worker in time, and the leases of a third of them expired.
 void PeriodicTasks::resignIfOverloaded(Time now) {
-    if (!context_.leader.leader() || !context_.overload.shouldGiveWay(now)) return;
+    if (!context_.leader.leader() || !context_.overload.shouldResign(now)) return;
     // In an outage no peer could win the leadership, and none should that cannot reach the others.
     if (now - context_.state.lastAnswer() > kServedWithin) return;
     if (!context_.peers.anyPeerInTouch(now)) return;
-    context_.overload.noteGivenWay(now);
+    context_.overload.noteResigned(now);
     resign(ResignationReason::overloaded, now);
 }
 
 /// Resigns, and tells the peers at once.
 void PeriodicTasks::resign(ResignationReason reason, Time now) {
     spdlog::info("resigning reason={}", nameOf(reason));
-    context_.election.resign(now, defersToPeers(reason));
+    context_.election.resign(now, resignationFor(reason));
     context_.peers.exchangeFrom(now);
 }
 
--- a/src/coordination/controller/resignation_reason.cpp
+++ b/src/coordination/controller/resignation_reason.cpp
@@ -31,4 +31,9 @@
     return false;
 }
 
+Election::Resignation resignationFor(ResignationReason reason) {
+    using Resignation = Election::Resignation;
+    return defersToPeers(reason) ? Resignation::deferToPeers : Resignation::mayTryAgain;
+}
+
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/resignation_reason.h
+++ b/src/coordination/controller/resignation_reason.h
@@ -2,6 +2,8 @@
 
 // Why a controller gives up its leadership. Pure functions.
 
+#include "coordination/leadership/election.h"
+
 namespace burlpoint::coordination {
 
 enum class ResignationReason {
@@ -18,4 +20,7 @@
 /// Is this controller itself the likely cause? Then its peers go first in the next election.
 bool defersToPeers(ResignationReason reason);
 
+/// The same in the terms of the election.
+Election::Resignation resignationFor(ResignationReason reason);
+
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/pending_writes.cpp
+++ b/src/coordination/state/pending_writes.cpp
@@ -117,7 +117,7 @@
         bits.resize(job.spec.tasks);
         for (const auto task : tasks) bits[task] = true;
         auto value = storage::encodeBits(bits, range.first, range.end - range.first);
-        if (draft.put(job.keyOf(range), std::move(value), job.versionOf(range)))
+        if (draft.put(job.keyOf(range), std::move(value), job.bitmapVersions.of(range)))
             draft.contents.bitmaps.push_back({&job, range, std::move(tasks)});
     }
 }
@@ -148,7 +148,7 @@
     auto& job = *write.job;
     if (job.terminalState != TerminalState::none) return;  // it ended in the meantime
     for (const auto task : write.tasks) job.setDone(task);
-    job.setVersion(write.range, revision);
+    job.bitmapVersions.raise(write.range, revision);
     if (job.run->unpersistedTasks.empty() && job.doneCount < job.spec.tasks) unstoredJobs_.erase(&job);
 }
 
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -21,7 +21,9 @@
     return static_cast<std::size_t>(std::max(0.0, budget_.available(now)));
 }
 
-void WritePacing::noteSent(std::size_t writes, Time now) { budget_.takeUnconditionally(static_cast<double>(writes), now); }
+void WritePacing::noteSent(std::size_t writes, Time now) {
+    budget_.takeUnconditionally(static_cast<double>(writes), now);
+}
 
 void WritePacing::noteAnswered(Time now) { nextWrite_ = now + kPause; }
 
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -22,7 +22,7 @@
 // A job whose record is beyond the lower of the present and the next limit is refused before anything is
 // stored, unless it was accepted under the higher one. Bitmap chunks are chosen for the lower limit.
 TEST_F(StoreLimits, SubmissionBeyondTheNextLimitsIsRefused) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
     node.until([&] { return node.watcher.synced(); });
     const auto longTexts = [](const std::string& id) {
@@ -61,7 +61,7 @@
 // The store takes less than the settings say: no accepted job is lost, and none is accepted that was not
 // stored.
 TEST_F(StoreLimits, UnannouncedLowerLimitLosesNoAcceptedJob) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     auto spec = protocol::JobSpec{};
     spec.id = "wk-1";
@@ -89,7 +89,7 @@
 // A write refused for the rate limit is tried again a few times, then the user is asked to come back later.
 // Then it is stored.
 TEST_F(StoreLimits, RateLimitedSubmissionIsRetriedBeforeItIsRefused) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
     const auto refused = node.ask("POST", "/submissions", submission("wk-1"));
@@ -104,7 +104,7 @@
 
 // Each reason for which the store refuses a transaction has a status of its own, and two are logged once.
 TEST_F(StoreLimits, EachRefusalOfATransactionHasItsOwnStatus) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     std::ostringstream log;
     const auto before = spdlog::default_logger();
     const auto listening =
--- a/tests/user_api_test.cpp
+++ b/tests/user_api_test.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 TEST_F(UserApiTest, EachRequestGetsItsStatusCode) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", "nonsense").status, 400);
     EXPECT_EQ(node.ask("POST", "/submissions", MessagePacker().map(0).take()).status, 400);
@@ -43,7 +43,7 @@
 
 // Users' tools read these texts, so they stay as they are.
 TEST_F(UserApiTest, EachErrorHasItsText) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     const auto error = [&](const char* method, const std::string& path, std::string body = {}) {
         const auto response = node.ask(method, path, std::move(body));
@@ -66,7 +66,7 @@
 }
 
 TEST_F(UserApiTest, OnlyTerminalStatesAreToldDuringAnOutage) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-2")).status, 201);
@@ -84,7 +84,7 @@
 
 // Each controller sees at once what another has acknowledged.
 TEST_F(UserApiTest, ControllersNeverReplyWithOlderStates) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (int i = 0; i < 20; ++i) {
         const auto id = "wk-" + std::to_string(i);
@@ -99,7 +99,7 @@
 
 // A write that was carried out without an answer is found when the user submits again.
 TEST_F(UserApiTest, ResubmissionAfterUnansweredWriteFindsTheJob) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.swallowWrites = true;
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 503);
@@ -116,7 +116,7 @@
 }
 
 TEST_F(UserApiTest, ReplicaReadInPagesIsComplete) {
-    ServiceNode writer(io, stub);
+    ServiceController writer(io, stub);
     writer.until([&] { return writer.watcher.synced(); });
     for (int i = 0; i < 25; ++i)
         EXPECT_EQ(writer.ask("POST", "/submissions", submission("wk-" + std::to_string(i))).status, 201);
@@ -128,7 +128,7 @@
 
 // The controller that acknowledged a cancellation knows it at once, even if no read succeeds any more.
 TEST_F(UserApiTest, AcknowledgedCancellationIsKnownToItsControllerDuringAnOutage) {
-    ServiceNode node(io, stub);
+    ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
     EXPECT_EQ(node.bearing("wk-1"), "pending");
@@ -143,7 +143,7 @@
 
 // Dependencies are looked up in the store: another controller may have accepted them a moment ago.
 TEST_F(UserApiTest, DependencyThatWasNeverAcceptedIsRejected) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter("wk-1", {"wk-1"})).status, 422);
     EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter("wk-2", {"wk-1"})).status, 422);
@@ -162,7 +162,7 @@
 
 // One record cancels all dependents: on every controller, for jobs submitted later, and after restarts.
 TEST_F(UserApiTest, DependentsOfACancelledJobAreCancelled) {
-    ServiceNode a(io, stub), b(io, stub, "two");
+    ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (const auto& job : {submission("wk-1"), submissionAfter("wk-2", {"wk-1"}), submission("wk-9"),
                             submissionAfter("wk-3", {"wk-9", "wk-2"}), submissionAfter("wk-4", {"wk-9"})})
