--- a/src/coordination/controller/resignation_reason.h
+++ b/src/coordination/controller/resignation_reason.h
@@ -20,4 +20,7 @@
 /// If this controller itself is the likely cause, its peers go first in the next election.
 Election::Resignation resignationFor(ResignationReason reason);
 
+/// The same in the terms of the election.
+Election::Resignation resignationFor(ResignationReason reason);
+
 }  // namespace burlpoint::coordination
