--- a/src/coordination/controller/resignation_reason.cpp
+++ b/src/coordination/controller/resignation_reason.cpp
@@ -31,9 +31,4 @@
     return Election::Resignation::mayTryAgain;
 }
 
-Election::Resignation resignationFor(ResignationReason reason) {
-    using Resignation = Election::Resignation;
-    return defersToPeers(reason) ? Resignation::deferToPeers : Resignation::mayTryAgain;
-}
-
 }  // namespace burlpoint::coordination
