--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -141,7 +141,7 @@
     services_.http.request(
         settings_.cloudAddress, "POST", paths::kRelease, protocol::encodeInstanceDeletion(action.machines),
         kCloudTimeout, whileLeading([this, machines = action.machines](const HttpResult& result) {
-            const auto outcome = result.ok() ? ScaleInOutcome::deleted : ScaleInOutcome::unknown;
+            const auto outcome = result.ok() ? ScaleInOutcome::accepted : ScaleInOutcome::unknown;
             deliver_(ScaleInCompleted{machines, outcome});
         }));
 }
--- a/src/coordination/controller/cloud_inventory.cpp
+++ b/src/coordination/controller/cloud_inventory.cpp
@@ -31,9 +31,9 @@
 }
 
 void CloudInventory::handle(const ScaleInCompleted& event, Time now) {
-    const bool deleted = event.outcome == ScaleInOutcome::deleted;
-    context_.autoscaler.scaleInCompleted(deleted, now);
-    if (!deleted) return;
+    const bool accepted = event.outcome == ScaleInOutcome::accepted;
+    context_.autoscaler.scaleInCompleted(accepted, now);
+    if (!accepted) return;
     for (const auto& id : event.machines) {
         if (auto* machine = context_.fleet.find(id)) context_.membership.remove(*machine, now);
         context_.membership.noteDeleted(id);
--- a/src/coordination/controller/leader_events.h
+++ b/src/coordination/controller/leader_events.h
@@ -57,8 +57,8 @@
 };
 
 enum class ScaleInOutcome {
-    deleted,
-    unknown  // the request may or may not have been carried out
+    accepted,  // the machines are deleted
+    unknown    // the request may or may not have been carried out
 };
 
 /// The outcome of `ScaleIn`.
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -116,7 +116,7 @@
                 answer(harness_.tell(StateWritten{result}));
             } else if (const auto* release = std::get_if<ScaleIn>(&action)) {
                 released_.insert(release->machines.begin(), release->machines.end());
-                answer(harness_.tell(ScaleInCompleted{release->machines, ScaleInOutcome::deleted}));
+                answer(harness_.tell(ScaleInCompleted{release->machines, ScaleInOutcome::accepted}));
             } else if (std::holds_alternative<ListMachines>(action)) {
                 answer(harness_.tell(MachinesListed{}));
             }
--- a/tests/world_network.cpp
+++ b/tests/world_network.cpp
@@ -179,7 +179,7 @@
     at(span(0.05, 0.2), [this, remove, fencingToken, a] {
         remove();
         deliverLater(50ms, fencingToken,
-                     coordination::ScaleInCompleted{a.machines, coordination::ScaleInOutcome::deleted});
+                     coordination::ScaleInCompleted{a.machines, coordination::ScaleInOutcome::accepted});
     });
 }
 
