--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -67,7 +67,9 @@
 std::string describe(const coordination::ListMachines&) { return "list-machines"; }
 std::string describe(const coordination::ListTypes&) { return "list-types"; }
 std::string describe(const coordination::Resign& action) {
-    return std::string("resign") + (coordination::defersToPeers(action.reason) ? " deferring" : "");
+    const bool defers =
+        coordination::resignationFor(action.reason) == coordination::Election::Resignation::deferToPeers;
+    return std::string("resign") + (defers ? " deferring" : "");
 }
 
 struct HistoryKind {
--- a/tests/histories.cpp
+++ b/tests/histories.cpp
@@ -80,7 +80,7 @@
     }
     cluster.run(cluster.settings.cancelTimeout);
     if (!cluster.brokenRules.empty()) return joinLines(cluster.brokenRules);
-    if (const auto unfinished = findUnfinishedJob(cluster); !unfinished.empty()) return unfinished;
+    if (auto unfinished = findUnfinishedJob(cluster); !unfinished.empty()) return unfinished;
     if (const auto left = cluster.workers.describeRunningTasks(); !left.empty())
         return "still running: " + left;
     return "";
--- a/tests/simulation/environment.h
+++ b/tests/simulation/environment.h
@@ -12,6 +12,7 @@
 #include "base/clock.h"
 #include "protocol/cloud_messages.h"
 #include "protocol/job_messages.h"
+#include "protocol/policy.h"
 #include "protocol/settings.h"
 #include "simulation/event_queue.h"
 #include "simulation/faults.h"
--- a/tests/simulation/requester.h
+++ b/tests/simulation/requester.h
@@ -7,7 +7,8 @@
 #include <functional>
 
 #include "base/clock.h"
-#include "coordination/controller/leader_messages.h"
+#include "coordination/controller/leader_actions.h"
+#include "coordination/controller/leader_events.h"
 
 namespace burlpoint::simulation {
 
--- a/tests/simulation/rule_checker.h
+++ b/tests/simulation/rule_checker.h
@@ -54,7 +54,7 @@
         std::set<std::string> runningJobs;  // with a task somewhere
     };
 
-    void report(std::string brokenRule) { environment_.brokenRules.push_back(std::move(brokenRule)); }
+    void report(const std::string& brokenRule) { environment_.brokenRules.push_back(brokenRule); }
     /// The time that the job has been cancelled for, or none.
     std::optional<Clock::duration> cancelledFor(const std::string& job) const;
     bool cancelTimeoutIsOver(const std::string& job) const;
--- a/tests/simulation/simulated_cloud.cpp
+++ b/tests/simulation/simulated_cloud.cpp
@@ -3,6 +3,7 @@
 namespace burlpoint::simulation {
 
 using namespace std::chrono_literals;
+using coordination::ScaleInOutcome;
 
 namespace {
 
@@ -40,19 +41,20 @@
     };
     if (random.chance(environment_.faults.lateExecutionProbability)) {
         environment_.events.schedule(random.delay(0, 20), remove);
-        return leader.respond(kRequestTimeout, coordination::ScaleInCompleted{action.machines, false});
+        return leader.respond(kRequestTimeout,
+                              coordination::ScaleInCompleted{action.machines, ScaleInOutcome::unknown});
     }
     environment_.events.schedule(random.delay(0.05, 0.2), [remove, leader, machines = action.machines] {
         remove();
-        leader.respond(50ms, coordination::ScaleInCompleted{machines, true});
+        leader.respond(50ms, coordination::ScaleInCompleted{machines, ScaleInOutcome::deleted});
     });
 }
 
 void SimulatedCloud::listMachines(const Requester& leader) {
     auto& random = environment_.random;
     coordination::MachinesListed listed;
-    listed.asked = environment_.now();
-    listed.ok = !random.chance(environment_.faults.messageLossProbability);
+    listed.requestedAt = environment_.now();
+    listed.complete = !random.chance(environment_.faults.messageLossProbability);
     for (const auto& [id, worker] : workers_.all()) {
         if (worker.dead || environment_.now() < worker.bootAt) continue;
         listed.machines.push_back(
--- a/tests/simulation/simulated_leaders.cpp
+++ b/tests/simulation/simulated_leaders.cpp
@@ -132,9 +132,9 @@
     environment_.events.schedule(20ms, [this, token = leadership_->fencingToken] {
         if (!leadership_ || leadership_->fencingToken != token) return;
         if (!leadership_->reachesStore() || store_.isOut())
-            return handle(coordination::ReplicaRefreshed{false});
+            return handle(coordination::ReplicaRefreshed{coordination::RefreshOutcome::failed});
         readStore(*leadership_);
-        handle(coordination::ReplicaRefreshed{true});
+        handle(coordination::ReplicaRefreshed{coordination::RefreshOutcome::refreshed});
     });
 }
 
--- a/tests/simulation/simulated_network.cpp
+++ b/tests/simulation/simulated_network.cpp
@@ -93,7 +93,9 @@
 void SimulatedNetwork::answerHeartbeat(const coordination::AnswerHeartbeat& action, const Requester& leader) {
     auto& random = environment_.random;
     const auto& faults = environment_.faults;
-    if (!action.accepted || random.chance(faults.messageLossProbability)) return;
+    if (action.verdict == coordination::HeartbeatVerdict::refused ||
+        random.chance(faults.messageLossProbability))
+        return;
     for (const auto& command : action.commands) hooks.commandAnswered(command);
     const double mostSeconds = random.chance(faults.lateExecutionProbability) ? 8 : 0.2;
     const auto delay = random.delay(0, mostSeconds);
