--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -76,8 +76,8 @@
     }
     void makePlainUnavailable() { makeUnavailable("plain"); }
     void makeUnavailable(const std::string& type) {
-        capacityErrors.note({type, "a", false}, now);
-        capacityErrors.note({type, "a", true}, now);
+        capacityErrors.record({type, "a", false}, now);
+        capacityErrors.record({type, "a", true}, now);
     }
     bool allows(const Job& job, const Machine& machine) { return policy.allows(job, machine, now); }
 };
--- a/tests/action_executor_test.cpp
+++ b/tests/action_executor_test.cpp
@@ -141,7 +141,7 @@
     EXPECT_EQ(answered.heartbeat, heartbeat("m1"));
     perform(coordination::ScaleIn{{"m1", "m2"}});
     const auto deletion = next<coordination::ScaleInCompleted>();
-    EXPECT_EQ(deletion.outcome, ScaleInOutcome::accepted);
+    EXPECT_EQ(deletion.outcome, ScaleInOutcome::deleted);
     EXPECT_EQ(deletion.machines, (std::vector<std::string>{"m1", "m2"}));
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});  // the cloud answers 503
     const auto creation = next<coordination::ScaleOutCompleted>();
--- a/tests/capacity_plan_test.cpp
+++ b/tests/capacity_plan_test.cpp
@@ -143,7 +143,7 @@
     auto& reserved = machine("m1");
     auto& first = job(make("wk-1", 1, 8));
     auto& second = job(make("wk-2", 1, 8));
-    fleet.reserve(reserved, &second, now + 10s);
+    fleet.reserve(reserved, second, now + 10s);
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
     fleet.reserve(reserved, first, now);  // over
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -280,7 +280,7 @@
     while (ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
         runFor(50ms);
     stub.outage = true;
-    while (question(two, asking).grantMs == 0) runFor(50ms);
+    while (question(two, asking).voteMs == 0) runFor(50ms);
     EXPECT_TRUE(question(two, asking).cancelled.empty());  // the asking leader knows all of them
 
     asking.revision = 0;
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -93,7 +93,7 @@
             if (const auto* reply = std::get_if<AnswerHeartbeat>(&action)) carryOut(name, *reply);
     }
     void carryOut(const std::string& name, const AnswerHeartbeat& reply) {
-        if (!reply.accepted) {
+        if (reply.verdict == coordination::HeartbeatVerdict::refused) {
             ++refused_;
             return;
         }
@@ -116,7 +116,8 @@
                 answer(harness_.tell(StateWritten{result}));
             } else if (const auto* scaleIn = std::get_if<ScaleIn>(&action)) {
                 deleted_.insert(scaleIn->machines.begin(), scaleIn->machines.end());
-                answer(harness_.tell(ScaleInCompleted{scaleIn->machines, true}));
+                answer(harness_.tell(
+                    ScaleInCompleted{scaleIn->machines, coordination::ScaleInOutcome::deleted}));
             } else if (std::holds_alternative<ListMachines>(action)) {
                 answer(harness_.tell(MachinesListed{}));
             }
--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -156,7 +156,7 @@
     harness.registerMachine("m1");
     harness.lead();
     harness.heartbeat("m1");
-    harness.tell(ScaleInCompleted{{"m1"}, ScaleInOutcome::accepted});
+    harness.tell(ScaleInCompleted{{"m1"}, ScaleInOutcome::deleted});
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     EXPECT_TRUE(harness.leader->fleet().machines().empty());
 }
--- a/tests/lowered_limits_fixture.h
+++ b/tests/lowered_limits_fixture.h
@@ -121,7 +121,7 @@
                 tell(coordination::StateWritten{result});
             } else if (std::holds_alternative<coordination::RefreshReplica>(action)) {
                 readLog();
-                tell(coordination::ReplicaRefreshed{true});
+                tell(coordination::ReplicaRefreshed{coordination::RefreshOutcome::refreshed});
             } else if (std::holds_alternative<coordination::Resign>(action)) {
                 resigned = true;
             }
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -190,7 +190,7 @@
 TEST_F(PlacementConstraintsTest, ReservedCapacityIsOnlyForTheHolderAndHigherRanks) {
     auto& here = machine("m");
     auto& holder = job(Priority::high);
-    fleet.reserve(here, &holder, now + 5s, true, 2);
+    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::waiting, 2);
     EXPECT_DOUBLE_EQ(availableCpus(here, holder), 8);
     EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::high)), 4);
     EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::low)), 4);
@@ -206,9 +206,9 @@
     auto& holder = job(Priority::high);
     auto& guaranteed = job(Priority::normal);
     guaranteed.run->rank = static_cast<int>(Rank::guaranteed);
-    fleet.reserve(here, &holder, now + 5s, false, 1);
+    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::preempting, 1);
     EXPECT_DOUBLE_EQ(availableCpus(here, guaranteed), 6);
-    fleet.reserve(here, &holder, now + 5s, true, 1);  // without preemption
+    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::waiting, 1);  // without preemption
     EXPECT_DOUBLE_EQ(availableCpus(here, guaranteed), 8);
 }
 
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -78,7 +78,7 @@
         std::vector<bookkeeping::Change> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(accepted.id), &packed.get(), ++revision}, changes));
         auto& job = *replica.find(accepted.id);
-        activator.begin(job, coordination::JobOrigin::accepted, now);
+        activator.begin(job, bookkeeping::JobOrigin::accepted, now);
         return job;
     }
     /// Brings the job queue and the pacing up to date.
--- a/tests/task_bitmap_test.cpp
+++ b/tests/task_bitmap_test.cpp
@@ -100,7 +100,7 @@
         if (range.chunk) inChunks[task] = true;
         c.put(job->keyOf(range), storage::encodeBits(bits, range.first, range.end - range.first));
         c.readLog();
-        RC_ASSERT(job->versionOf(range) == c.store.revision);
+        RC_ASSERT(job->bitmapVersions.of(range) == c.store.revision);
         RC_ASSERT(job->isDone(task));
         RC_ASSERT(c.stored("wk-1") == set);
         RC_ASSERT(readByTheEarlierVersion(c.store, spec, chunkTasks) == inChunks);
--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud.cpp
@@ -26,7 +26,7 @@
     try {
         if (request.path == protocol::paths::kTypes) {
             response.body = protocol::encodeMachineTypes({type_});
-        } else if (request.path == protocol::paths::kRelease) {
+        } else if (request.path == protocol::paths::kInstanceDeletion) {
             deleteInstances(request.body);
         } else if (request.path != protocol::paths::kInstanceRequest) {
             response.status = 404;
