--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -19,7 +19,7 @@
 class SimulatedFleet {
   public:
     explicit SimulatedFleet(int machines) {
-        for (int i = 0; i < machines; ++i) names_.push_back("m" + std::to_string(i));
+        for (int i = 0; i < machines; ++i) names_.push_back(std::string("m").append(std::to_string(i)));
         harness_.settings.zones = {"z", "y"};
     }
 
