--- a/src/bookkeeping/fleet.cpp
+++ b/src/bookkeeping/fleet.cpp
@@ -14,8 +14,8 @@
     if (!slot) {
         slot = std::make_unique<Machine>();
         slot->id = id;
-        slot->firstSeenAt = now;
-        slot->lastBusyAt = now;
+        slot->cloud.firstSeenAt = now;
+        slot->history.lastBusyAt = now;
     }
     return *slot;
 }
@@ -31,20 +31,20 @@
 }
 
 void Fleet::setReconciled(Machine& machine, bool reconciled) {
-    machine.reconciled = reconciled;
+    machine.registry.reconciled = reconciled;
     updateUnreconciled(machine);
 }
 
 void Fleet::setRegistration(Machine& machine, RegistrationState registration) {
-    machine.registration = registration;
+    machine.registry.state = registration;
     updateUnreconciled(machine);
 }
 
 /// Brings the machine's part in the numbers of unreconciled machines up to date.
 void Fleet::updateUnreconciled(Machine& machine) {
-    const bool counts = machine.registration == RegistrationState::stored && !machine.reconciled;
-    if (counts == machine.countedUnreconciled) return;
-    machine.countedUnreconciled = counts;
+    const bool counts = machine.registry.state == RegistrationState::stored && !machine.registry.reconciled;
+    if (counts == machine.registry.countedUnreconciled) return;
+    machine.registry.countedUnreconciled = counts;
     const Offering offering{machine.type, machine.zone, machine.spot};
     if (counts)
         ++unreconciled_[offering];
@@ -82,23 +82,23 @@
 }
 
 void Fleet::reserve(Machine& machine, const Job& job, Time until, ReservationKind kind, std::uint32_t tasks) {
-    if (machine.reservedFor != &job) cancelReservation(machine);
-    machine.reservedFor = &job;
-    machine.reservedUntil = until;
-    machine.holding = kind == ReservationKind::waiting;
-    machine.reserved = tasks;
+    if (machine.reservation.job != &job) cancelReservation(machine);
+    machine.reservation.job = &job;
+    machine.reservation.until = until;
+    machine.reservation.withoutPreemption = kind == ReservationKind::waiting;
+    machine.reservation.tasks = tasks;
     reserved_[&job].insert(&machine);
 }
 
 void Fleet::cancelReservation(Machine& machine) {
-    if (const auto found = reserved_.find(machine.reservedFor); found != reserved_.end()) {
+    if (const auto found = reserved_.find(machine.reservation.job); found != reserved_.end()) {
         found->second.erase(&machine);
         if (found->second.empty()) reserved_.erase(found);
     }
-    machine.reservedFor = nullptr;
-    machine.reservedUntil = {};
-    machine.holding = false;
-    machine.reserved = 1;
+    machine.reservation.job = nullptr;
+    machine.reservation.until = {};
+    machine.reservation.withoutPreemption = false;
+    machine.reservation.tasks = 1;
 }
 
 std::size_t Fleet::reservations(const Job& job, Time now) const {
@@ -106,7 +106,7 @@
     if (found == reserved_.end()) return 0;
     return static_cast<std::size_t>(
         std::count_if(found->second.begin(), found->second.end(),
-                      [&](const auto* machine) { return machine->isReserved(now); }));
+                      [&](const auto* machine) { return machine->reservation.isActive(now); }));
 }
 
 /// Adds or subtracts one task of the job in all sums of what tasks use.
@@ -121,18 +121,18 @@
     };
     const bool service = spec.kind == protocol::JobKind::service;
     const auto priority = static_cast<std::size_t>(job.priority());
-    change(machine.used);
+    change(machine.use.total);
     change(teamUse_[spec.team]);
-    if (spec.gpus <= 0) change(machine.plainUse[service ? kReplicaUse : priority]);
-    if (isPreemptible(job)) change(machine.stoppable[priority]);
+    if (spec.gpus <= 0) change(machine.use.plain[service ? kReplicaUse : priority]);
+    if (isPreemptible(job)) change(machine.use.preemptible[priority]);
     if (direction == UseChange::subtract && machine.placements.empty()) clearUse(machine);
 }
 
 /// Sets the sums of an empty machine to zero, so that rounding errors do not remain in them.
 void Fleet::clearUse(Machine& machine) {
-    machine.used = {};
-    machine.plainUse = {};
-    machine.stoppable = {};
+    machine.use.total = {};
+    machine.use.plain = {};
+    machine.use.preemptible = {};
 }
 
 /// Is what the job's tasks use counted in Machine::stoppable?
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -31,7 +31,84 @@
 /// Is the machine's entry in the stored machine registry?
 enum class RegistrationState { absent, writing, stored };
 
-/// A machine and what this leader knows of it and of its worker.
+/// What the worker's agent has shown by its messages, and what this leader concludes from them about reaching
+/// it. Written by the reconciliation of heartbeats and by the modules that send commands and take their
+/// answers.
+struct AgentState {
+    std::uint64_t incarnation = 0;  // of the newest message
+    std::uint64_t sequence = 0;     // of the newest message
+    Time lastMessageAt{};           // when the newest message arrived
+    /// It showed this leader's fencing token: nothing that an earlier leader sent can start any more, and its
+    /// list of tasks is complete.
+    bool acknowledged = false;
+    /// Consecutive responses that did not reach the worker, as its next heartbeat showed.
+    std::uint32_t undeliveredResponses = 0;
+    /// Consecutive heartbeats that were older than the newest message.
+    std::uint32_t staleHeartbeats = 0;
+    /// The worker's counters began anew, so late copies can't be told from new messages: none of them is
+    /// believed any more, and the machine is replaced.
+    bool quarantined = false;
+    std::optional<Time> unreachableSince;  // neither responses nor commands seem to reach it
+    bool probing = false;                  // a probe is under way
+    Time probedAt{};                       // when a probe was last answered
+
+    HeartbeatVersion latestVersion() const { return {incarnation, sequence}; }
+};
+
+/// The worker's lease as the leader must count it. Written by the modules that answer heartbeats and find
+/// expired leases.
+struct WorkerLease {
+    bool active = false;  // a heartbeat was answered, and the lease has not expired since
+    Time lastHeartbeat{};
+    Time until = Time::max();  // by then the worker has dropped its tasks unless the lease is renewed
+};
+
+/// The machine as the cloud has it. Written by the modules that handle the cloud's lists, interruption
+/// notices and deletions.
+struct CloudState {
+    Time firstSeenAt{};                  // requested from the cloud, or first listed or heard from
+    std::optional<Time> interruptionAt;  // when the cloud takes the spot machine back
+    bool draining = false;               // takes no more tasks
+    bool deletionRequested = false;
+    bool failed = false;  // it stopped by itself, as the cloud lists it
+};
+
+/// What became of the tasks started on the machine. Written where tasks start and end.
+struct TaskHistory {
+    Time lastBusyAt{};                 // when it last had a task
+    Time startBackoffUntil{};          // no task starts before, as the worker refused one
+    std::set<std::string> failedJobs;  // jobs whose tasks failed on it since a task last succeeded
+};
+
+/// Room that is kept for one job. Written by Fleet::reserve and Fleet::cancelReservation only.
+struct MachineReservation {
+    const Job* job = nullptr;  // null: none
+    Time until{};
+    bool withoutPreemption = false;  // only room that becomes free by itself is kept
+    std::uint32_t tasks = 1;         // for which room is kept
+
+    bool isActive(Time now) const { return job && until > now; }
+};
+
+/// Sums over the machine's placements. Written by the Fleet only.
+struct ResourceUse {
+    Resources total;
+    /// Of tasks without accelerators, by priority; at kReplicaUse that of service replicas.
+    std::array<Resources, kPriorities + 1> plain;
+    /// Of tasks that may be preempted, by priority: neither service replicas nor tasks of larger gangs.
+    std::array<Resources, kPriorities> preemptible;
+};
+
+/// Whether the next leader knows of the machine. Written by Fleet::setRegistration and Fleet::setReconciled
+/// only.
+struct RegistryStatus {
+    RegistrationState state = RegistrationState::absent;
+    /// No task of an earlier leader can be on it: it was heard, or its lease has expired.
+    bool reconciled = false;
+    bool countedUnreconciled = false;  // among Fleet::unreconciled
+};
+
+/// A machine and what this leader knows of it and of its worker, grouped by who writes it.
 struct Machine {
     std::string id;
     std::string address;
@@ -40,54 +117,22 @@
     bool spot = false;
     const protocol::MachineType* typeInfo = nullptr;  // its type's description, once that is known
 
-    std::uint64_t incarnation = 0;  // of the newest message
-    std::uint64_t sequence = 0;     // of the newest message
-    Time lastMessageAt{};           // when that came
-    HeartbeatVersion latestVersion() const { return {incarnation, sequence}; }
-    /// It showed our fencing token: nothing that an earlier leader sent can start any more, and its list is
-    /// whole.
-    bool acknowledged = false;
-    /// Nothing of earlier leaders can be on it, as it was heard or its lease ran out.
-    bool reconciled = false;           // changed by Fleet::setReconciled
-    bool countedUnreconciled = false;  // among Fleet::unreconciled
-    bool sendsHeartbeats = false;      // a heartbeat of it was answered and its lease is not over
-    Time lastHeartbeat{};
-    Time leaseUntil = Time::max();       // the worker has forgotten its tasks by then
-    std::optional<Time> interruptionAt;  // the cloud takes it away
+    AgentState agent;
+    WorkerLease lease;
+    CloudState cloud;
+    TaskHistory history;
 
-    RegistrationState registration = RegistrationState::absent;  // changed by Fleet::setRegistration
+    RegistryStatus registry;
+    MachineReservation reservation;
+    ResourceUse use;
+    /// Attempts that may be on the machine. Added and removed by the Fleet only.
     std::map<AttemptKey, Placement> placements;
-    Resources used;
-    /// What tasks without accelerators use, by priority; at kReplicaUse what replicas use.
-    std::array<Resources, kPriorities + 1> plainUse;
-    /// What could be stopped for higher work, by priority: neither replicas nor tasks of larger gangs.
-    std::array<Resources, kPriorities> stoppable;
-
-    std::vector<CachedImage> images;  // inferred cache, most recently used first
-    bool draining = false;            // takes no more tasks
-    bool deletionRequested = false;   // its deletion was asked for
-    bool failed = false;              // the cloud says that it stopped by itself
-    Time firstSeenAt{};               // rented or first seen
-    Time lastBusyAt{};                // when it last had a task
-    Time probedAt{};                  // when a probe was last answered
-    bool probing = false;
-    /// Answers in a row that did not get through, as its next heartbeat shows.
-    std::uint32_t undeliveredResponses = 0;
-    std::uint32_t staleHeartbeats = 0;  // reports in a row older than the newest message
-    /// Its worker has begun to count its messages anew, so that late copies can't be told from news: nothing
-    /// of it is believed any more, and it is replaced.
-    bool quarantined = false;
-    std::optional<Time> unreachableSince;  // nothing seems to reach it
-    Time startBackoffUntil{};              // no new starts after a refusal
-    const Job* reservedFor = nullptr;      // changed by Fleet::reserve
-    Time reservedUntil{};
-    bool holding = false;             // only what comes free by itself is kept; nothing was stopped for it
-    std::uint32_t reserved = 1;       // tasks that the room is kept for
-    std::set<std::string> errorJobs;  // jobs that failed on it since a task last worked
+    /// The inferred image cache, most recently used first. Changed by Fleet::useImage only.
+    std::vector<CachedImage> images;
 
     bool hasImage(const Image& image) const;
+    /// Does a task on the machine fetch the image, or will it as soon as its start arrives?
     bool isFetching(const Image& image) const;
-    bool isReserved(Time now) const { return reservedFor && reservedUntil > now; }
 };
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/machine_status.h
+++ b/src/bookkeeping/machine_status.h
@@ -21,14 +21,14 @@
 /// Has the machine sent a heartbeat, to this or an earlier leader? If so and it sends none any more, it is
 /// not booting but lost.
 inline bool wasUp(const Machine& machine, const StateReplica& replica) {
-    return machine.incarnation > 0 || mayHoldTasks(replica, machine.id);
+    return machine.agent.incarnation > 0 || mayHoldTasks(replica, machine.id);
 }
 
 /// Have tasks of several jobs failed on the machine since one was last done? Then the machine is the likely
 /// cause.
 inline bool isFaulty(const Machine& machine) {
     constexpr std::size_t kFaultyAfter = 2;  // jobs; one alone may be at fault itself
-    return machine.errorJobs.size() >= kFaultyAfter;
+    return machine.history.failedJobs.size() >= kFaultyAfter;
 }
 
 }  // namespace burlpoint::bookkeeping
--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -32,15 +32,15 @@
 
 /// When the machine was last known to exist.
 Time lastSeen(const Machine& machine) {
-    if (machine.incarnation == 0) return machine.firstSeenAt;
-    return std::max(machine.lastHeartbeat, machine.firstSeenAt);
+    if (machine.agent.incarnation == 0) return machine.cloud.firstSeenAt;
+    return std::max(machine.lease.lastHeartbeat, machine.cloud.firstSeenAt);
 }
 
 /// Only a listing can tell whether the machine exists: it sends no heartbeats, can have no tasks and its
 /// deletion has not been requested.
 bool isKnownByListingsOnly(const Machine& machine) {
-    const bool mayHaveTasks = !machine.placements.empty() || !machine.reconciled;
-    return !machine.sendsHeartbeats && !mayHaveTasks && !machine.deletionRequested;
+    const bool mayHaveTasks = !machine.placements.empty() || !machine.registry.reconciled;
+    return !machine.lease.active && !mayHaveTasks && !machine.cloud.deletionRequested;
 }
 
 }  // namespace
@@ -98,7 +98,7 @@
     const auto machines = machinesToDelete(fleet, neededMachines, now);
     if (machines.empty() || !takeRequest(now)) return;
     for (auto* machine : machines) {
-        machine->deletionRequested = true;
+        machine->cloud.deletionRequested = true;
         requests.scaleIn.push_back(machine->id);
     }
     scaleInInFlight_ = true;
--- a/src/coordination/autoscaling/bin_packing.cpp
+++ b/src/coordination/autoscaling/bin_packing.cpp
@@ -24,10 +24,10 @@
 }
 
 void BinPacking::addMachine(const Machine& machine, Time now) {
-    const auto* reservedFor = machine.isReserved(now) ? machine.reservedFor : nullptr;
+    const auto* reservedFor = machine.reservation.isActive(now) ? machine.reservation.job : nullptr;
     bins_.push_back({{machine.type, machine.zone, machine.spot},
                      *machine.typeInfo,
-                     sizeOf(*machine.typeInfo) - machine.used,
+                     sizeOf(*machine.typeInfo) - machine.use.total,
                      &machine,
                      reservedFor});
 }
--- a/src/coordination/autoscaling/scale_in_rules.cpp
+++ b/src/coordination/autoscaling/scale_in_rules.cpp
@@ -20,22 +20,22 @@
 bool failedToBoot(const Machine& machine, Time now) {
     if (!machine.typeInfo) return false;
     const auto limit = toClockDuration(machine.typeInfo->boot * kMaxBootTimes + kBootMargin);
-    return now - machine.firstSeenAt > limit;
+    return now - machine.cloud.firstSeenAt > limit;
 }
 
 bool isLost(const Machine& machine, Time now) {
-    return !machine.sendsHeartbeats && now > machine.leaseUntil + kLostAfterLeaseExpiry;
+    return !machine.lease.active && now > machine.lease.until + kLostAfterLeaseExpiry;
 }
 
 }  // namespace
 
 bool ScaleInRules::mayScaleIn(const Machine& machine, const std::set<std::string>& neededMachines,
                               Time now) const {
-    if (machine.deletionRequested || machine.failed) return true;
-    const bool mayHaveTasks = !machine.placements.empty() || !machine.reconciled;
+    if (machine.cloud.deletionRequested || machine.cloud.failed) return true;
+    const bool mayHaveTasks = !machine.placements.empty() || !machine.registry.reconciled;
     if (mayHaveTasks) return false;
     if (!wasUp(machine, replica_)) return failedToBoot(machine, now);
-    if (isLost(machine, now) || machine.draining || isFaulty(machine)) return true;
+    if (isLost(machine, now) || machine.cloud.draining || isFaulty(machine)) return true;
     return isIdle(machine, now) && !neededMachines.contains(machine.id);
 }
 
@@ -45,8 +45,8 @@
     const auto bootKeep = machine.typeInfo ? machine.typeInfo->boot * policy_.bootKeep : Seconds(0);
     const auto idleKeep = toClockDuration(std::max(policy_.idleKeep, bootKeep));
     const auto minimumKeep = toClockDuration(policy_.minimumKeep);
-    return now - machine.lastBusyAt > idleKeep && now - machine.firstSeenAt > minimumKeep &&
-           machine.reservedUntil <= now;
+    return now - machine.history.lastBusyAt > idleKeep && now - machine.cloud.firstSeenAt > minimumKeep &&
+           machine.reservation.until <= now;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/cloud_inventory.cpp
+++ b/src/coordination/controller/cloud_inventory.cpp
@@ -60,13 +60,13 @@
         context_.membership.findOrAdd(instance.id, {instance.type, instance.zone, instance.spot}, now);
     // The age tells how long a machine has been booting. One that may have had tasks does not boot, so its
     // age means nothing.
-    if (machine.incarnation == 0 && !bookkeeping::mayHoldTasks(context_.replica, instance.id)) {
+    if (machine.agent.incarnation == 0 && !bookkeeping::mayHoldTasks(context_.replica, instance.id)) {
         const auto age = std::chrono::duration_cast<Clock::duration>(std::min(instance.age, kMaxAge));
-        machine.firstSeenAt = std::min(machine.firstSeenAt, now - age);
+        machine.cloud.firstSeenAt = std::min(machine.cloud.firstSeenAt, now - age);
     }
-    if (!known) machine.lastBusyAt = now;
+    if (!known) machine.history.lastBusyAt = now;
     if (machine.address.empty()) machine.address = instance.address;
-    if (instance.state == MachineState::failed) machine.failed = true;
+    if (instance.state == MachineState::failed) machine.cloud.failed = true;
 }
 
 void CloudInventory::handle(const TypesListed& event) {
--- a/src/coordination/controller/direct_commands.cpp
+++ b/src/coordination/controller/direct_commands.cpp
@@ -13,15 +13,15 @@
     : fleet_(fleet), terminator_(terminator), actions_(actions) {}
 
 void DirectCommands::probe(Machine& machine) {
-    if (machine.probing || machine.address.empty()) return;
-    machine.probing = true;
+    if (machine.agent.probing || machine.address.empty()) return;
+    machine.agent.probing = true;
     send(machine);
 }
 
 void DirectCommands::sendUrgentStops() {
     for (const auto& id : terminator_.takeUrgent()) {
         const auto* machine = fleet_.find(id);
-        if (!machine || !machine->acknowledged || machine->address.empty()) continue;
+        if (!machine || !machine->agent.acknowledged || machine->address.empty()) continue;
         const bool stopsAny = std::any_of(machine->placements.begin(), machine->placements.end(),
                                           [](const auto& entry) { return entry.second.stopping; });
         if (stopsAny) send(*machine);
@@ -29,8 +29,8 @@
 }
 
 void DirectCommands::send(const Machine& machine) {
-    actions_.push_back(SendCommands{machine.id, machine.address, machine.incarnation, stopCommands(machine),
-                                    machine.latestVersion()});
+    actions_.push_back(SendCommands{machine.id, machine.address, machine.agent.incarnation,
+                                    stopCommands(machine), machine.agent.latestVersion()});
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/fleet_health_check.cpp
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -23,7 +23,7 @@
     for (auto* machine : findings.toProbe) directCommands_.probe(*machine);
     for (auto* machine : findings.failedMachines) {
         spdlog::info("machine failed, neither heartbeats nor probe answers machine={}", machine->id);
-        machine->deletionRequested = true;
+        machine->cloud.deletionRequested = true;
     }
     if (findings.isolation != Isolation::none)
         actions_.emplace_back(Resign{ResignationReason::noWorkersReachable});
@@ -33,7 +33,7 @@
     for (auto* machine : census.expired) {
         spdlog::info("worker lease expired machine={}", machine->id);
         completion_.endAll(*machine, now);
-        machine->sendsHeartbeats = false;
+        machine->lease.active = false;
     }
 }
 
--- a/src/coordination/controller/fleet_membership.cpp
+++ b/src/coordination/controller/fleet_membership.cpp
@@ -18,7 +18,7 @@
     machine.zone = offering.zone;
     machine.spot = offering.spot;
     machine.typeInfo = bookkeeping::findType(types_, offering.type);
-    machine.reconciled = !registry_.mayHoldTasks(id);
+    machine.registry.reconciled = !registry_.mayHoldTasks(id);
     tombstones_.restoreCounters(machine);  // it was removed earlier and is back, in the cloud's list say
     return machine;
 }
@@ -42,8 +42,8 @@
 
 void quarantine(Machine& machine) {
     spdlog::info("machine quarantined, its worker restarted its message counters machine={}", machine.id);
-    machine.quarantined = true;
-    machine.deletionRequested = true;
+    machine.agent.quarantined = true;
+    machine.cloud.deletionRequested = true;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/heartbeat_commands.cpp
+++ b/src/coordination/controller/heartbeat_commands.cpp
@@ -15,7 +15,7 @@
 
 std::vector<WorkerCommand> HeartbeatCommands::compose(bookkeeping::Machine& machine,
                                                       const HeartbeatReceived& event, Time now) {
-    if (!machine.acknowledged) return stopsOfTerminatedJobs(event.heartbeat, replica_);
+    if (!machine.agent.acknowledged) return stopsOfTerminatedJobs(event.heartbeat, replica_);
     std::vector<WorkerCommand> commands;
     if (addCleanupCommands(event.heartbeat, replica_, commands) == CommandFit::truncated) return commands;
     for (auto& command : stopCommands(machine)) commands.push_back(std::move(command));
--- a/src/coordination/controller/heartbeat_intake.cpp
+++ b/src/coordination/controller/heartbeat_intake.cpp
@@ -47,9 +47,9 @@
     const bool wasMember = context_.fleet.find(heartbeat.machine) != nullptr;
     auto& machine = context_.membership.findOrAdd(heartbeat.machine,
                                                   {heartbeat.type, heartbeat.zone, heartbeat.spot}, now);
-    if (machine.quarantined) return refuse(event);
-    if (heartbeatVersionOf(heartbeat) <= machine.latestVersion()) return handleStale(machine, event);
-    if (machine.acknowledged && hasOlderToken(heartbeat)) {
+    if (machine.agent.quarantined) return refuse(event);
+    if (heartbeatVersionOf(heartbeat) <= machine.agent.latestVersion()) return handleStale(machine, event);
+    if (machine.agent.acknowledged && hasOlderToken(heartbeat)) {
         quarantine(machine);
         return refuse(event);
     }
@@ -59,15 +59,16 @@
 /// A heartbeat that is newer than every message of its machine before.
 void HeartbeatIntake::applyNewest(Machine& machine, const HeartbeatReceived& event, bool wasMember,
                                   Time now) {
-    machine.staleHeartbeats = 0;
-    machine.lastHeartbeat = now;
+    machine.agent.staleHeartbeats = 0;
+    machine.lease.lastHeartbeat = now;
     context_.failureDetector.noteHeartbeat(now);
     const auto renewal = context_.leases.renew(machine, event.heartbeat, now);
     context_.reconciler.apply(machine, event.heartbeat, StatusSource::heartbeat, now);
     if (renewal == WorkerLeases::Renewal::mustExpire) return refuse(event);
     // A requested machine's entry is written as it comes up, before it has taken the fencing token and can be
     // given tasks.
-    if (machine.acknowledged || (wasMember && machine.reconciled)) context_.registry.ensureEntry(machine);
+    if (machine.agent.acknowledged || (wasMember && machine.registry.reconciled))
+        context_.registry.ensureEntry(machine);
     accept(event, context_.commands.compose(machine, event, now));
     context_.terminator.noteAnswered(machine.id);
 }
@@ -77,20 +78,20 @@
 void HeartbeatIntake::handleStale(Machine& machine, const HeartbeatReceived& event) {
     // With an older fencing token it may come from a worker that restarted its counters, which must not take
     // this leader's token unnoticed.
-    if (machine.sendsHeartbeats && !hasOlderToken(event.heartbeat)) {
+    if (machine.lease.active && !hasOlderToken(event.heartbeat)) {
         context_.leases.extendForStaleHeartbeat(machine);
         // As the answer may renew the worker's lease, it carries what is to stop.
         accept(event, stopCommands(machine));
     } else {
         refuse(event);
     }
-    if (++machine.staleHeartbeats >= kProbeAfter) context_.directCommands.probe(machine);
+    if (++machine.agent.staleHeartbeats >= kProbeAfter) context_.directCommands.probe(machine);
 }
 
 void HeartbeatIntake::handle(const CommandsAnswered& event, Time now) {
     auto* machine = context_.fleet.find(event.machine);
     if (!machine) return;
-    machine->probing = false;
+    machine->agent.probing = false;
     if (!event.heartbeat) return;
     const Heartbeat& heartbeat = *event.heartbeat;
     if (heartbeat.machine != machine->id) return;
@@ -98,22 +99,23 @@
         context_.actions.emplace_back(Resign{ResignationReason::newerTokenSeen});
         return;
     }
-    if (machine->quarantined) return;
+    if (machine->agent.quarantined) return;
     // The answer was made after the commands were sent, so its counters must have moved on.
-    if (heartbeatVersionOf(heartbeat) <= event.known || (machine->acknowledged && hasOlderToken(heartbeat)))
+    if (heartbeatVersionOf(heartbeat) <= event.known ||
+        (machine->agent.acknowledged && hasOlderToken(heartbeat)))
         return quarantine(*machine);
     applyAnswer(*machine, heartbeat, now);
 }
 
 /// A trusted answer to direct commands: the worker can be reached.
 void HeartbeatIntake::applyAnswer(Machine& machine, const Heartbeat& heartbeat, Time now) {
-    machine.probedAt = now;
-    machine.unreachableSince.reset();
-    machine.undeliveredResponses = 0;
-    machine.staleHeartbeats = 0;
-    const bool namedOldIncarnation =
-        !machine.acknowledged && hasOlderToken(heartbeat) && heartbeat.incarnation != machine.incarnation;
-    if (heartbeatVersionOf(heartbeat) > machine.latestVersion())
+    machine.agent.probedAt = now;
+    machine.agent.unreachableSince.reset();
+    machine.agent.undeliveredResponses = 0;
+    machine.agent.staleHeartbeats = 0;
+    const bool namedOldIncarnation = !machine.agent.acknowledged && hasOlderToken(heartbeat) &&
+                                     heartbeat.incarnation != machine.agent.incarnation;
+    if (heartbeatVersionOf(heartbeat) > machine.agent.latestVersion())
         context_.reconciler.apply(machine, heartbeat, StatusSource::answer, now);
     // The worker turned the commands down for the old incarnation; with the right one it takes the fencing
     // token.
--- a/src/coordination/controller/leader_debug_log.cpp
+++ b/src/coordination/controller/leader_debug_log.cpp
@@ -7,14 +7,15 @@
 namespace {
 
 void logMachine(const bookkeeping::Machine& machine, Time now) {
-    const bool leaving =
-        machine.draining || machine.deletionRequested || machine.failed || machine.interruptionAt;
+    const bool leaving = machine.cloud.draining || machine.cloud.deletionRequested || machine.cloud.failed ||
+                         machine.cloud.interruptionAt;
     spdlog::debug(
         "machine state machine={} type={} zone={} spot={} sends_heartbeats={} registration={} tasks={} "
         "cpus={} gpus={} memory_gb={} images={} leaving={} reserved={}",
-        machine.id, machine.type, machine.zone, machine.spot, machine.sendsHeartbeats,
-        static_cast<int>(machine.registration), machine.placements.size(), machine.used.cpus,
-        machine.used.gpus, machine.used.memoryGb, machine.images.size(), leaving, machine.isReserved(now));
+        machine.id, machine.type, machine.zone, machine.spot, machine.lease.active,
+        static_cast<int>(machine.registry.state), machine.placements.size(), machine.use.total.cpus,
+        machine.use.total.gpus, machine.use.total.memoryGb, machine.images.size(), leaving,
+        machine.reservation.isActive(now));
 }
 
 void logWaitingJob(const bookkeeping::Job& job, Time now) {
--- a/src/coordination/controller/scheduling_inputs.cpp
+++ b/src/coordination/controller/scheduling_inputs.cpp
@@ -32,7 +32,7 @@
     nextFleetCounts_ = now + kFleetCountsInterval;
     std::vector<const bookkeeping::Machine*> up;
     for (const auto& [id, machine] : context_.fleet.machines())
-        if (machine->sendsHeartbeats && machine->acknowledged) up.push_back(machine.get());
+        if (machine->lease.active && machine->agent.acknowledged) up.push_back(machine.get());
     context_.pacing.refresh(context_.jobQueue.waiting(), up, context_.fleet, now);
     context_.accelerators.refresh(up, now);
 }
--- a/src/coordination/controller/worker_leases.cpp
+++ b/src/coordination/controller/worker_leases.cpp
@@ -24,28 +24,28 @@
 }
 
 void WorkerLeases::inherit(Machine& machine, Time now) const {
-    machine.leaseUntil = now + bound(settings_);
-    machine.lastHeartbeat = now;
+    machine.lease.until = now + bound(settings_);
+    machine.lease.lastHeartbeat = now;
 }
 
 WorkerLeases::Renewal WorkerLeases::renew(Machine& machine, const protocol::Heartbeat& heartbeat,
                                           Time now) const {
     const bool hasOlderToken = heartbeat.fencingToken < fencingToken_;
-    if (!machine.reconciled && hasOlderToken) {
+    if (!machine.registry.reconciled && hasOlderToken) {
         // Its worker has not taken this leader's fencing token, so no answer of this leader has renewed the
         // lease so far.
-        machine.leaseUntil = began_ + bound(settings_);
-        if (machine.undeliveredResponses >= kMaxUndeliveredResponses) return Renewal::mustExpire;
-        ++machine.undeliveredResponses;
+        machine.lease.until = began_ + bound(settings_);
+        if (machine.agent.undeliveredResponses >= kMaxUndeliveredResponses) return Renewal::mustExpire;
+        ++machine.agent.undeliveredResponses;
     }
-    const auto leaseSoFar = machine.reconciled ? Time{} : machine.leaseUntil;
-    machine.leaseUntil = std::max(leaseSoFar, now + bound(settings_));
-    machine.sendsHeartbeats = true;
+    const auto leaseSoFar = machine.registry.reconciled ? Time{} : machine.lease.until;
+    machine.lease.until = std::max(leaseSoFar, now + bound(settings_));
+    machine.lease.active = true;
     return Renewal::renewed;
 }
 
 void WorkerLeases::extendForStaleHeartbeat(Machine& machine) const {
-    machine.leaseUntil = std::max(machine.leaseUntil, machine.lastMessageAt + bound(settings_));
+    machine.lease.until = std::max(machine.lease.until, machine.agent.lastMessageAt + bound(settings_));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -31,10 +31,10 @@
 /// `lowestPriority` and above stay; the others could be preempted.
 Resources leftBeside(const Job& job, const Machine& machine, Priority lowestPriority) {
     auto left = bookkeeping::sizeOf(*machine.typeInfo) - bookkeeping::needOf(job.spec) -
-                machine.plainUse[bookkeeping::kReplicaUse];
+                machine.use.plain[bookkeeping::kReplicaUse];
     const auto lowest = static_cast<std::size_t>(lowestPriority);
     for (auto priority = lowest; priority < bookkeeping::kPriorities; ++priority)
-        left -= machine.plainUse[priority];
+        left -= machine.use.plain[priority];
     return left;
 }
 
@@ -72,9 +72,9 @@
 
 void AcceleratorPolicy::countPlainCapacity(const Machine& machine) {
     auto& cpus = plainCpus_[{machine.zone, machine.spot}];
-    cpus += machine.typeInfo->cpus - machine.used.cpus;
-    for (const auto& stoppable : machine.stoppable) cpus += stoppable.cpus;
-    cpus -= machine.stoppable.back().cpus;  // production tasks are not preempted
+    cpus += machine.typeInfo->cpus - machine.use.total.cpus;
+    for (const auto& stoppable : machine.use.preemptible) cpus += stoppable.cpus;
+    cpus -= machine.use.preemptible.back().cpus;  // production tasks are not preempted
 }
 
 void AcceleratorPolicy::countTakenUp(const Machine& machine) {
@@ -82,7 +82,7 @@
     if (demand == demands_.end()) return;
     auto& count = machineCounts_[machine.type];
     ++count.all;
-    const auto left = bookkeeping::sizeOf(*machine.typeInfo) - machine.plainUse[bookkeeping::kReplicaUse];
+    const auto left = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.plain[bookkeeping::kReplicaUse];
     if (!left.covers(demand->second.perTask)) ++count.takenUp;
 }
 
@@ -129,7 +129,7 @@
 /// May a replica take up a machine that has had capacity for the demand so far? Only as long as the cloud has
 /// more of them, or replicas have taken up no more than their share.
 bool AcceleratorPolicy::replicaMayTakeUp(const Machine& machine, Time now) const {
-    if (machine.used.gpus > 0) return false;
+    if (machine.use.total.gpus > 0) return false;
     const auto found = machineCounts_.find(machine.type);
     const bool fewTakenUp =
         found == machineCounts_.end() || found->second.takenUp * kTakenUpOneOf < found->second.all;
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -63,7 +63,7 @@
     for (auto& [key, placement] : heartbeat.machine.placements) {
         if (placement.state != PlacementState::planned) continue;
         if (heartbeat.commands.size() >= kMaxCommandsForStart) continue;
-        placement.sentSequence = heartbeat.machine.sequence;
+        placement.sentSequence = heartbeat.machine.agent.sequence;
         fleet.setState(placement, PlacementState::sent, heartbeat.now);
         ++placement.job->run->launchedTasks;
         heartbeat.commands.push_back(startCommand(*placement.job, placement.task, placement.attempt));
@@ -128,14 +128,14 @@
     auto& run = *job.run;
     const auto attempt = context_.attempts.next();
     auto& placement = context_.fleet.place(machine, job, *task, attempt, PlacementState::sent, heartbeat.now);
-    placement.sentSequence = machine.sequence;
+    placement.sentSequence = machine.agent.sequence;
     if (run.overdue && run.launchedTasks == 0 && job.doneCount == 0) run.firstOverdueTask = *task;
     ++run.launchedTasks;
     if (job.spec.kind == JobKind::gang) run.gangAttempt = attempt;
-    if (machine.reservedFor == &job) context_.fleet.cancelReservation(machine);
-    machine.lastBusyAt = heartbeat.now;
+    if (machine.reservation.job == &job) context_.fleet.cancelReservation(machine);
+    machine.history.lastBusyAt = heartbeat.now;
     spdlog::debug("task started job={} task={} attempt={} machine={} incarnation={} sequence={}", job.spec.id,
-                  *task, attempt, machine.id, machine.incarnation, machine.sequence);
+                  *task, attempt, machine.id, machine.agent.incarnation, machine.agent.sequence);
     heartbeat.commands.push_back(startCommand(job, *task, attempt));
     if (run.waiting == 0) context_.jobQueue.markStale();
     return true;
@@ -163,7 +163,7 @@
 /// No more machines are reserved than the job has waiting tasks.
 void DegradedFirstScheduler::reserveForLater(Machine& machine, const Job& job, Time now) {
     const auto& run = *job.run;
-    if (run.waiting == 0 || machine.isReserved(now) || bookkeeping::isLargeGang(job.spec)) return;
+    if (run.waiting == 0 || machine.reservation.isActive(now) || bookkeeping::isLargeGang(job.spec)) return;
     const auto need = bookkeeping::needOf(job.spec);
     if (availableCapacity(machine, job, now).covers(need)) return;
     if (!capacityWithPreemption(machine, job, now).covers(need)) return;
--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -28,7 +28,7 @@
     if (job.run->admitted || machinesUp_ == 0) return;
     const auto& withImage = fleet.withImage(job.image());
     const auto upWithImage = std::count_if(withImage.begin(), withImage.end(), [](const auto* machine) {
-        return machine->sendsHeartbeats && machine->acknowledged;
+        return machine->lease.active && machine->agent.acknowledged;
     });
     // At most 1: machines that came up since the last refresh are in the first count only.
     const double share = std::min(1.0, static_cast<double>(upWithImage) / static_cast<double>(machinesUp_));
@@ -46,7 +46,7 @@
     for (const auto* machine : up) {
         sum += cachedTaskTime(*machine);
         // A zone that is cut off would raise E[tr] for all others.
-        if (now - machine->lastHeartbeat < recent) zonesWithHeartbeats_.insert(machine->zone);
+        if (now - machine->lease.lastHeartbeat < recent) zonesWithHeartbeats_.insert(machine->zone);
     }
     meanCachedTaskTime_ = up.empty() ? 0 : sum / static_cast<double>(up.size());
 }
@@ -61,7 +61,7 @@
     for (auto& [image, work] : imageWork_) {
         double processors = 0;
         for (const auto* machine : fleet.withImage(image))
-            if (machine->sendsHeartbeats && machine->typeInfo) processors += machine->typeInfo->cpus;
+            if (machine->lease.active && machine->typeInfo) processors += machine->typeInfo->cpus;
         work = processors > 0 ? work / processors : 0;
     }
 }
--- a/src/coordination/scheduling/gang_capacity.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 std::uint32_t tasksBesideReplicas(const Machine& machine, const Resources& need) {
-    const auto replicas = machine.plainUse[bookkeeping::kReplicaUse];
+    const auto replicas = machine.use.plain[bookkeeping::kReplicaUse];
     return (bookkeeping::sizeOf(*machine.typeInfo) - replicas).times(need);
 }
 
@@ -26,7 +26,7 @@
         capacity.besideReplicas += tasksBesideReplicas(machine, need);
     if (!bookkeeping::sizeOf(*machine.typeInfo).covers(need)) return;
     if (!constraints.mayStart(job, machine, now)) return;
-    if (isReservedByPreemption(machine, now) && machine.reservedFor != &job) return;
+    if (isReservedByPreemption(machine, now) && machine.reservation.job != &job) return;
     const auto tasks = capacityWithPreemption(machine, job, now).times(need);
     if (tasks == 0) return;
     capacity.free += availableCapacity(machine, job, now).times(need);
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -30,14 +30,14 @@
 
 int scoreOf(const Machine& machine, const Job& job) {
     int score = 0;
-    if (machine.reservedFor == &job) score += kReservedScore;
+    if (machine.reservation.job == &job) score += kReservedScore;
     if (!machine.spot) score += kOnDemandScore;
     if (machine.hasImage(job.image())) score += kHasImageScore;
     return score;
 }
 
 bool hasFreeGpus(const Machine& machine, double gpus) {
-    return machine.typeInfo->gpus - machine.used.gpus >= gpus - kResourceTolerance;
+    return machine.typeInfo->gpus - machine.use.total.gpus >= gpus - kResourceTolerance;
 }
 
 }  // namespace
@@ -168,7 +168,7 @@
     for (auto* machine : chosen) {
         while (!job.isWaiting(task)) ++task;
         fleet_.place(*machine, job, task, job.run->gangAttempt, PlacementState::planned, now);
-        if (machine->reservedFor == &job) fleet_.cancelReservation(*machine);
+        if (machine->reservation.job == &job) fleet_.cancelReservation(*machine);
     }
     zoneReservations_.release(job);
     jobQueue_.markStale();
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -41,7 +41,7 @@
     for (const auto* machine : fleet_.withImage(job.image())) {
         scans_.add();
         if (!hasFreeCpus(*machine, need.cpus) || !usable(*machine, now)) continue;
-        if (now - machine->lastHeartbeat > maxHeartbeatAge) continue;
+        if (now - machine->lease.lastHeartbeat > maxHeartbeatAge) continue;
         if (!constraints_.mayStart(job, *machine, now)) continue;
         run.roomWithImage += availableCapacity(*machine, job, now).times(need);
         if (run.roomWithImage >= run.waiting) break;
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -31,7 +31,7 @@
     if (rankOf(holder) >= rankOf(job)) return true;
     // Capacity that preemption freed is not for other jobs of no higher priority, whatever their rank.
     // Otherwise tasks within a guaranteed quota would take it and be preempted again and again.
-    return !machine.holding && holder.priority() >= job.priority();
+    return !machine.reservation.withoutPreemption && holder.priority() >= job.priority();
 }
 
 bool avoidsAfterFailure(const Job& job, const Machine& machine, Time now) {
@@ -56,17 +56,17 @@
 }  // namespace
 
 bool usable(const Machine& machine, Time now) {
-    const bool leaving =
-        machine.draining || machine.deletionRequested || machine.failed || machine.interruptionAt;
-    if (leaving || machine.unreachableSince || machine.startBackoffUntil > now) return false;
+    const bool leaving = machine.cloud.draining || machine.cloud.deletionRequested || machine.cloud.failed ||
+                         machine.cloud.interruptionAt;
+    if (leaving || machine.agent.unreachableSince || machine.history.startBackoffUntil > now) return false;
     // The next leader would not know of a machine outside the stored registry, nor of its tasks.
-    const bool known =
-        machine.acknowledged && machine.sendsHeartbeats && machine.registration == RegistrationState::stored;
+    const bool known = machine.agent.acknowledged && machine.lease.active &&
+                       machine.registry.state == RegistrationState::stored;
     return known && !isFaulty(machine) && machine.typeInfo;
 }
 
 bool hasFreeCpus(const Machine& machine, double cpus) {
-    return machine.typeInfo && machine.typeInfo->cpus - machine.used.cpus >= cpus - kResourceTolerance;
+    return machine.typeInfo && machine.typeInfo->cpus - machine.use.total.cpus >= cpus - kResourceTolerance;
 }
 
 std::uint32_t maxTasksInZone(const protocol::JobSpec& spec) {
@@ -104,16 +104,16 @@
 
 bool hasFreeCapacity(const Machine& machine, const Job& job) {
     if (!machine.typeInfo) return false;
-    const auto unused = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
+    const auto unused = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.total;
     return unused.covers(bookkeeping::needOf(job.spec));
 }
 
 Resources availableCapacity(const Machine& machine, const Job& job, Time now) {
     if (!machine.typeInfo) return {};
-    auto available = bookkeeping::sizeOf(*machine.typeInfo) - machine.used;
-    const auto* holder = machine.reservedFor;
-    if (holder != &job && machine.isReserved(now) && mustLeaveReservation(job, machine, *holder))
-        available -= bookkeeping::needOf(holder->spec, machine.reserved);
+    auto available = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.total;
+    const auto* holder = machine.reservation.job;
+    if (holder != &job && machine.reservation.isActive(now) && mustLeaveReservation(job, machine, *holder))
+        available -= bookkeeping::needOf(holder->spec, machine.reservation.tasks);
     return available;
 }
 
@@ -121,13 +121,14 @@
     auto capacity = availableCapacity(machine, job, now);
     // A job within its team's guaranteed quota may preempt tasks of any priority.
     const auto priorities =
-        job.run->guaranteed ? machine.stoppable.size() : static_cast<std::size_t>(job.priority());
-    for (std::size_t priority = 0; priority < priorities; ++priority) capacity += machine.stoppable[priority];
+        job.run->guaranteed ? machine.use.preemptible.size() : static_cast<std::size_t>(job.priority());
+    for (std::size_t priority = 0; priority < priorities; ++priority)
+        capacity += machine.use.preemptible[priority];
     return capacity;
 }
 
 bool isReservedByPreemption(const Machine& machine, Time now) {
-    return machine.isReserved(now) && !machine.holding;
+    return machine.reservation.isActive(now) && !machine.reservation.withoutPreemption;
 }
 
 bool startedRecently(const Placement& placement, Time now) {
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -171,7 +171,7 @@
     context_.scans.add();
     if (!machine.typeInfo || !usable(machine, now)) return;
     const bool reserved = isReservedByPreemption(machine, now);
-    if (reserved && machine.reservedFor != &job) return;
+    if (reserved && machine.reservation.job != &job) return;
     if (!context_.constraints.mayStart(job, machine, now)) return;
     if (reserved) {
         ++survey.tasksInZone[machine.zone];
@@ -234,7 +234,7 @@
     for (const auto& [machine, tasks] : capacity.machines) {
         auto plan = planOn(*machine, job, std::min(tasks, job.spec.tasks), now);
         if (!plan) continue;
-        if (machine->reservedFor == &job) plan->loss -= kReservedBonus;
+        if (machine->reservation.job == &job) plan->loss -= kReservedBonus;
         if (machine->spot) plan->loss += kSpotLoss * plan->tasks;
         if (!machine->hasImage(job.image())) plan->loss += kFetchLoss * plan->tasks;
         plans.push_back(std::move(*plan));
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -46,7 +46,7 @@
 }
 
 void TaskTerminator::reserveForGang(Machine& machine, const Job& gang, Seconds grace, Time now) {
-    if (machine.isReserved(now) || machine.interruptionAt) return;
+    if (machine.reservation.isActive(now) || machine.cloud.interruptionAt) return;
     const auto untilFree = grace + settings_.heartbeatInterval * kIntervalsUntilFree;
     const auto until = now + toClockDuration(untilFree + kGangReservation);
     fleet_.reserve(machine, gang, until, ReservationKind::preempting, gang.run->machines.at(machine.id));
--- a/src/coordination/state/machine_registry.cpp
+++ b/src/coordination/state/machine_registry.cpp
@@ -11,7 +11,7 @@
     : replica_(replica), fleet_(fleet) {}
 
 storage::MachineRecord MachineRegistry::recordOf(const Machine& machine) {
-    return {machine.incarnation > 0 ? machine.address : "", machine.type, machine.zone, machine.spot};
+    return {machine.agent.incarnation > 0 ? machine.address : "", machine.type, machine.zone, machine.spot};
 }
 
 bool MachineRegistry::mayHoldTasks(const std::string& id) const {
@@ -21,7 +21,7 @@
 void MachineRegistry::noteRequested(const std::string& id) { additions_.insert(id); }
 
 void MachineRegistry::ensureEntry(Machine& machine) {
-    if (machine.registration == RegistrationState::writing) return;
+    if (machine.registry.state == RegistrationState::writing) return;
     removals_.erase(machine.id);
     if (removalsSent_.contains(machine.id)) {
         // The machine had left and is back, and the deletion of its entry may still be executed. The entry
@@ -46,12 +46,12 @@
 
 void MachineRegistry::ensureEntriesOfMachinesWithHeartbeat() {
     for (auto& [id, machine] : fleet_.machines())
-        if (machine->sendsHeartbeats && machine->registration != RegistrationState::stored)
+        if (machine->lease.active && machine->registry.state != RegistrationState::stored)
             ensureEntry(*machine);
 }
 
 void MachineRegistry::forget(const Machine& machine) {
-    if (machine.registration != RegistrationState::absent) removals_.insert(machine.id);
+    if (machine.registry.state != RegistrationState::absent) removals_.insert(machine.id);
     additions_.erase(machine.id);
 }
 
@@ -71,7 +71,7 @@
 
 void MachineRegistry::additionSent(const std::string& id) {
     auto& machine = *fleet_.find(id);
-    if (machine.registration == RegistrationState::absent)
+    if (machine.registry.state == RegistrationState::absent)
         fleet_.setRegistration(machine, RegistrationState::writing);
 }
 
@@ -87,14 +87,14 @@
     // An entry without an address is for a machine without a heartbeat and doesn't allow tasks.
     if (!record.address.empty())
         fleet_.setRegistration(*machine, RegistrationState::stored);
-    else if (machine->registration == RegistrationState::writing)
+    else if (machine->registry.state == RegistrationState::writing)
         fleet_.setRegistration(*machine, RegistrationState::absent);
     if (record == recordOf(*machine)) additions_.erase(id);
 }
 
 void MachineRegistry::additionNotStored(const std::string& id) {
     auto* machine = fleet_.find(id);
-    if (machine && machine->registration == RegistrationState::writing)
+    if (machine && machine->registry.state == RegistrationState::writing)
         fleet_.setRegistration(*machine, RegistrationState::absent);
 }
 
--- a/src/coordination/state/pending_writes.cpp
+++ b/src/coordination/state/pending_writes.cpp
@@ -59,7 +59,7 @@
     for (const auto& id : registry_.additions()) {
         if (!draft.hasRoom()) return;
         const auto& machine = *fleet_.find(id);
-        const bool hadHeartbeat = machine.incarnation > 0;
+        const bool hadHeartbeat = machine.agent.incarnation > 0;
         if (hadHeartbeat != (which == Machines::withHeartbeat)) continue;
         auto record = MachineRegistry::recordOf(machine);
         if (!draft.put(keys::machine(id), storage::encodeMachine(record), registry_.versionOf(id))) continue;
--- a/src/coordination/workers/attempt_completion.cpp
+++ b/src/coordination/workers/attempt_completion.cpp
@@ -75,7 +75,7 @@
     spdlog::debug("attempt ended job={} task={} attempt={} machine={} state={} reason={}", job.spec.id,
                   placement.task, placement.attempt, machine.id, static_cast<int>(placement.state),
                   static_cast<int>(reason));
-    if (machine.placements.empty()) machine.lastBusyAt = now;
+    if (machine.placements.empty()) machine.history.lastBusyAt = now;
     noteReason(machine, job, reason, now);
     if (job.terminalState != TerminalState::none) return;
     updateWaiting(placement, reason, now);
@@ -86,14 +86,14 @@
 void AttemptCompletion::noteReason(Machine& machine, Job& job, ExitReason reason, Time now) {
     switch (reason) {
         case ExitReason::done:
-            machine.errorJobs.clear();
+            machine.history.failedJobs.clear();
             break;
         case ExitReason::error:
             noteFailure(machine, job, now);
             break;
         case ExitReason::noRoom:
         case ExitReason::busy:
-            machine.startBackoffUntil = now + kRefusalBackoff;
+            machine.history.startBackoffUntil = now + kRefusalBackoff;
             break;
         case ExitReason::unknown:
             job.run->backoffUntil = now + kRefusalBackoff;
@@ -108,7 +108,7 @@
     auto& failures = job.run->errorMachines;
     failures[machine.id] = now;
     if (failures.size() < kFaultyJobAfter) {
-        machine.errorJobs.insert(job.spec.id);
+        machine.history.failedJobs.insert(job.spec.id);
         return;
     }
     const auto times = static_cast<int>(failures.size() - kFaultyJobAfter + 1);
--- a/src/coordination/workers/failure_detector.cpp
+++ b/src/coordination/workers/failure_detector.cpp
@@ -30,9 +30,9 @@
 
 /// Tasks of an earlier leader may be on the machine, and its worker has not shown this leader's fencing
 /// token.
-bool isUnreconciled(const Machine& machine) { return !machine.reconciled; }
+bool isUnreconciled(const Machine& machine) { return !machine.registry.reconciled; }
 
-bool isMonitored(const Machine& machine) { return isUnreconciled(machine) || machine.sendsHeartbeats; }
+bool isMonitored(const Machine& machine) { return isUnreconciled(machine) || machine.lease.active; }
 
 }  // namespace
 
@@ -54,7 +54,7 @@
         // itself.
         isolation_.noteSuspension(now);
         for (auto& [id, machine] : fleet_.machines())
-            machine->lastHeartbeat = std::max(machine->lastHeartbeat, now - heartbeatInterval_);
+            machine->lease.lastHeartbeat = std::max(machine->lease.lastHeartbeat, now - heartbeatInterval_);
     }
     lastTick_ = now;
 }
@@ -65,7 +65,7 @@
     for (auto& [id, machine] : fleet_.machines()) {
         if (isMonitored(*machine)) ++(suspectedFor(*machine, now) ? census.suspected : census.alive);
         const bool mayHoldTasks = isMonitored(*machine) || !machine->placements.empty();
-        if (now > machine->leaseUntil && mayHoldTasks) census.expired.push_back(machine.get());
+        if (now > machine->lease.until && mayHoldTasks) census.expired.push_back(machine.get());
     }
     return census;
 }
@@ -88,9 +88,9 @@
 /// not shown the fencing token or does not receive what it is sent.
 std::optional<Clock::duration> FailureDetector::suspectedFor(const Machine& machine, Time now) const {
     if (isUnreconciled(machine)) return now - began_;
-    if (!machine.sendsHeartbeats) return std::nullopt;
-    if (machine.unreachableSince) return now - *machine.unreachableSince;
-    const auto sinceHeartbeat = now - machine.lastHeartbeat;
+    if (!machine.lease.active) return std::nullopt;
+    if (machine.agent.unreachableSince) return now - *machine.agent.unreachableSince;
+    const auto sinceHeartbeat = now - machine.lease.lastHeartbeat;
     return sinceHeartbeat > suspicionTimeout_ ? std::optional(sinceHeartbeat) : std::nullopt;
 }
 
@@ -101,7 +101,7 @@
     // A probe carries the fencing token, so a machine that can be reached is reconciled by its answer. After
     // a failover most send a heartbeat by themselves, and each answer is urgent then, so probes wait and are
     // bounded in number.
-    const bool probeDue = !machine.probing && (!isUnreconciled(machine) || *suspected > kProbeGrace);
+    const bool probeDue = !machine.agent.probing && (!isUnreconciled(machine) || *suspected > kProbeGrace);
     if (probeDue && findings.toProbe.size() < kMaxProbes) findings.toProbe.push_back(&machine);
     if (policy == FailurePolicy::allow && hasFailed(machine, *suspected, now))
         findings.failedMachines.push_back(&machine);
@@ -111,9 +111,9 @@
 bool FailureDetector::hasFailed(const Machine& machine, Clock::duration suspected, Time now) const {
     // A machine without tasks costs nobody anything, so it is only probed until its lease expires.
     const bool blocksWork =
-        isUnreconciled(machine) || machine.unreachableSince || !machine.placements.empty();
-    const bool answeredProbe = now - machine.probedAt < failureTimeout_;
-    return blocksWork && !answeredProbe && suspected > failureTimeout_ && !machine.deletionRequested;
+        isUnreconciled(machine) || machine.agent.unreachableSince || !machine.placements.empty();
+    const bool answeredProbe = now - machine.agent.probedAt < failureTimeout_;
+    return blocksWork && !answeredProbe && suspected > failureTimeout_ && !machine.cloud.deletionRequested;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -53,47 +53,48 @@
 HeartbeatReconciler::HeartbeatReconciler(const ReconcilerContext& context) : context_(context) {}
 
 void HeartbeatReconciler::apply(Machine& machine, const Heartbeat& heartbeat, StatusSource source, Time now) {
-    if (heartbeat.incarnation > machine.incarnation && machine.acknowledged)
+    if (heartbeat.incarnation > machine.agent.incarnation && machine.agent.acknowledged)
         endTasksOfEarlierIncarnation(machine, now);
     noteMessage(machine, heartbeat, now);
-    if (!machine.acknowledged) return;
+    if (!machine.agent.acknowledged) return;
     reconcilePlacements(machine, heartbeat, source, now);
-    if (machine.interruptionAt) drainForInterruption(machine, now);
-    if (!machine.placements.empty()) machine.lastBusyAt = now;
+    if (machine.cloud.interruptionAt) drainForInterruption(machine, now);
+    if (!machine.placements.empty()) machine.history.lastBusyAt = now;
 }
 
 /// A new incarnation of the worker has killed and forgotten all tasks. Planned ones had not been sent.
 void HeartbeatReconciler::endTasksOfEarlierIncarnation(Machine& machine, Time now) {
     // Its lease should not have expired yet, so probably it did not get the responses that renewed it.
-    if (machine.sendsHeartbeats && machine.incarnation > 0) noteUndeliveredResponse(machine, now);
+    if (machine.lease.active && machine.agent.incarnation > 0) noteUndeliveredResponse(machine, now);
     context_.completion.endIf(
         machine, [](const Placement& placement) { return !isPlanned(placement); }, now);
 }
 
 void HeartbeatReconciler::noteMessage(Machine& machine, const Heartbeat& heartbeat, Time now) {
-    machine.incarnation = heartbeat.incarnation;
-    machine.sequence = heartbeat.sequence;
-    machine.lastMessageAt = now;
+    machine.agent.incarnation = heartbeat.incarnation;
+    machine.agent.sequence = heartbeat.sequence;
+    machine.agent.lastMessageAt = now;
     machine.address = heartbeat.address;
     if (!heartbeat.interruptionNotice)
-        machine.interruptionAt.reset();
-    else if (!machine.interruptionAt)
-        machine.interruptionAt = now + toClockDuration(*heartbeat.interruptionNotice);
+        machine.cloud.interruptionAt.reset();
+    else if (!machine.cloud.interruptionAt)
+        machine.cloud.interruptionAt = now + toClockDuration(*heartbeat.interruptionNotice);
     noteFencingToken(machine, heartbeat.fencingToken);
 }
 
 void HeartbeatReconciler::noteFencingToken(Machine& machine, std::uint64_t token) {
-    if (token != context_.fencingToken || machine.acknowledged) return;
-    machine.acknowledged = true;
+    if (token != context_.fencingToken || machine.agent.acknowledged) return;
+    machine.agent.acknowledged = true;
     context_.fleet.setReconciled(machine, true);
     context_.jobQueue.markStale();
 }
 
 /// A response to the machine did not arrive. After a few in a row it counts as unreachable until it answers.
 void HeartbeatReconciler::noteUndeliveredResponse(Machine& machine, Time now) {
-    if (++machine.undeliveredResponses < kMaxUndeliveredResponses || machine.unreachableSince) return;
+    if (++machine.agent.undeliveredResponses < kMaxUndeliveredResponses || machine.agent.unreachableSince)
+        return;
     spdlog::info("worker sends heartbeats but cannot be reached machine={}", machine.id);
-    machine.unreachableSince = now;
+    machine.agent.unreachableSince = now;
 }
 
 /// Adopts what the status lists and ends what it lacks.
@@ -163,8 +164,8 @@
 void HeartbeatReconciler::noteProgress(Machine& machine, Placement& placement, PlacementState state,
                                        Time now) {
     if (placement.state == PlacementState::sent) {
-        machine.undeliveredResponses = 0;
-        machine.unreachableSince.reset();
+        machine.agent.undeliveredResponses = 0;
+        machine.agent.unreachableSince.reset();
     }
     if (placement.state == PlacementState::fetching && state != PlacementState::fetching)
         context_.pacing.recordFetchTime(now - placement.since);
@@ -195,7 +196,7 @@
 
 /// A spot interruption notice: tasks that would not be done by then save or stop, and nothing new starts.
 void HeartbeatReconciler::drainForInterruption(Machine& machine, Time now) {
-    machine.draining = true;
+    machine.cloud.draining = true;
     for (auto& [key, placement] : machine.placements)
         if (!isPlanned(placement)) stopForInterruption(machine, placement, now);
     context_.completion.endIf(machine, isPlanned, now);
@@ -209,7 +210,8 @@
         context_.terminator.stopJob(*placement.job, spec.saveTime, now);
     } else if (spec.checkpointInterval > Seconds(0)) {
         context_.terminator.stop(machine, placement, spec.saveTime);
-    } else if (spec.kind != JobKind::array || !isWorthFinishing(placement, *machine.interruptionAt, now)) {
+    } else if (spec.kind != JobKind::array ||
+               !isWorthFinishing(placement, *machine.cloud.interruptionAt, now)) {
         context_.terminator.stop(machine, placement, Seconds(0));
     }
 }
--- a/src/coordination/workers/machine_tombstones.cpp
+++ b/src/coordination/workers/machine_tombstones.cpp
@@ -18,7 +18,7 @@
 
 void MachineTombstones::add(const Machine& machine) {
     auto& newest = newest_[machine.id];
-    newest = std::max(newest, machine.latestVersion());
+    newest = std::max(newest, machine.agent.latestVersion());
 }
 
 void MachineTombstones::addDeleted(const std::string& id) { newest_[id] = kDeleted; }
@@ -36,8 +36,8 @@
 void MachineTombstones::restoreCounters(Machine& machine) const {
     const auto found = newest_.find(machine.id);
     if (found == newest_.end()) return;
-    machine.incarnation = found->second.incarnation;
-    machine.sequence = found->second.sequence;
+    machine.agent.incarnation = found->second.incarnation;
+    machine.agent.sequence = found->second.sequence;
 }
 
 }  // namespace burlpoint::coordination
--- a/tests/accelerator_policy_test.cpp
+++ b/tests/accelerator_policy_test.cpp
@@ -39,8 +39,8 @@
         machine.type = type;
         machine.typeInfo = &types.at(type);
         machine.zone = zone;
-        machine.acknowledged = true;
-        machine.sendsHeartbeats = true;
+        machine.agent.acknowledged = true;
+        machine.lease.active = true;
         fleet.setRegistration(machine, RegistrationState::stored);
         return machine;
     }
--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -51,10 +51,10 @@
         added.type = type;
         added.zone = types.at(type).zones.front();
         added.typeInfo = &types.at(type);
-        added.incarnation = 1;
-        added.sendsHeartbeats = true;
-        added.lastHeartbeat = now;
-        added.leaseUntil = now + 30s;
+        added.agent.incarnation = 1;
+        added.lease.active = true;
+        added.lease.lastHeartbeat = now;
+        added.lease.until = now + 30s;
         fleet.setReconciled(added, true);
         return added;
     }
@@ -84,14 +84,14 @@
     machine("m2", "slow");
     EXPECT_EQ(scaleIn(55s), Names{});
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
-    EXPECT_TRUE(fleet.find("m1")->deletionRequested);
+    EXPECT_TRUE(fleet.find("m1")->cloud.deletionRequested);
     fleet.erase("m1");
     EXPECT_EQ(scaleIn(24s), Names{});  // 80 s after its last task
     EXPECT_EQ(scaleIn(1s), Names{"m2"});
 }
 
 TEST_F(AutoscalerTest, RecentlyBusyMachineIsKept) {
-    machine("m1").lastBusyAt = now + 100s;
+    machine("m1").history.lastBusyAt = now + 100s;
     EXPECT_EQ(scaleIn(110s), Names{});
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
@@ -111,30 +111,30 @@
 }
 
 TEST_F(AutoscalerTest, FaultyDrainingAndFailedMachinesAreDeletedAtOnce) {
-    machine("m1").draining = true;
-    machine("m2").errorJobs = {"wk-1", "wk-2"};
-    machine("m3").failed = true;
-    machine("m4").errorJobs = {"wk-1"};
+    machine("m1").cloud.draining = true;
+    machine("m2").history.failedJobs = {"wk-1", "wk-2"};
+    machine("m3").cloud.failed = true;
+    machine("m4").history.failedJobs = {"wk-1"};
     EXPECT_EQ(scaleIn(), (Names{"m1", "m2", "m3"}));
 }
 
 TEST_F(AutoscalerTest, MachineThatMayHaveTasksIsKept) {
-    machine("m1").draining = true;
+    machine("m1").cloud.draining = true;
     fleet.setReconciled(*fleet.find("m1"), false);
     EXPECT_EQ(scaleIn(200s), Names{});
     Job job;
     prepare(job, "wk-1", 1);
     auto& busy = machine("m2");
-    busy.draining = true;
+    busy.cloud.draining = true;
     fleet.place(busy, job, 0, 1, bookkeeping::PlacementState::running, now);
     EXPECT_EQ(scaleIn(), Names{});
 }
 
 TEST_F(AutoscalerTest, LostMachineIsDeletedTenSecondsAfterLeaseExpiry) {
     auto& lost = machine("m1");
-    lost.sendsHeartbeats = false;
-    lost.leaseUntil = now + 20s;
-    lost.lastBusyAt = now + 100s;
+    lost.lease.active = false;
+    lost.lease.until = now + 20s;
+    lost.history.lastBusyAt = now + 100s;
     EXPECT_EQ(scaleIn(30s), Names{});
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
@@ -142,20 +142,20 @@
 TEST_F(AutoscalerTest, MachineThatNeverBootedIsDeletedAfterItsBootTimes) {
     for (const auto* id : {"m1", "m2"}) {
         auto& booting = machine(id);
-        booting.incarnation = 0;
-        booting.sendsHeartbeats = false;
-        booting.leaseUntil = now + 100s;
+        booting.agent.incarnation = 0;
+        booting.lease.active = false;
+        booting.lease.until = now + 100s;
     }
     replica.registeredMachines["m2"] = {{"address", "plain", "z", false}, 1};  // up under an earlier leader
-    fleet.find("m2")->lastBusyAt = now + 200s;
+    fleet.find("m2")->history.lastBusyAt = now + 200s;
     EXPECT_EQ(scaleIn(50s), Names{});  // three and a half boot times and 15 s
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
 TEST_F(AutoscalerTest, OneScaleInIsInFlightAndUnknownOutcomeIsRetried) {
-    machine("m1").draining = true;
+    machine("m1").cloud.draining = true;
     EXPECT_EQ(decide().scaleIn, Names{"m1"});
-    machine("m2").draining = true;
+    machine("m2").cloud.draining = true;
     EXPECT_EQ(decide(10s).scaleIn, Names{});
     autoscaler->scaleInCompleted(ScaleInOutcome::unknown, now);
     EXPECT_EQ(decide(1999ms).scaleIn, Names{});
@@ -166,7 +166,7 @@
 }
 
 TEST_F(AutoscalerTest, ScaleInHasAtMostAHundredMachines) {
-    for (int i = 0; i < 130; ++i) machine(std::string("m").append(std::to_string(i))).draining = true;
+    for (int i = 0; i < 130; ++i) machine(std::string("m").append(std::to_string(i))).cloud.draining = true;
     EXPECT_EQ(decide().scaleIn.size(), 100u);
 }
 
@@ -197,7 +197,7 @@
     Job job;
     prepare(job, "wk-1", 120);
     order = {&job};
-    machine("m1").draining = true;
+    machine("m1").cloud.draining = true;
     const auto first = decide(0s);
     EXPECT_EQ(first.scaleOuts.size(), 2u);
     EXPECT_EQ(first.scaleIn, Names{});
@@ -255,14 +255,14 @@
 }
 
 TEST_F(AutoscalerTest, MachineHasVanishedOnceEveryListingWouldShowIt) {
-    machine("m1").sendsHeartbeats = false;
-    machine("m2").sendsHeartbeats = false;
+    machine("m1").lease.active = false;
+    machine("m2").lease.active = false;
     machine("m3");  // it sends heartbeats
     auto& leaving = machine("m4");
-    leaving.sendsHeartbeats = false;
-    leaving.deletionRequested = true;
+    leaving.lease.active = false;
+    leaving.cloud.deletionRequested = true;
     auto& unreconciled = machine("m5");
-    unreconciled.sendsHeartbeats = false;
+    unreconciled.lease.active = false;
     fleet.setReconciled(unreconciled, false);
     const auto gone = [&](Clock::duration after) {
         Names names;
--- a/tests/capacity_plan_test.cpp
+++ b/tests/capacity_plan_test.cpp
@@ -60,8 +60,8 @@
         added.type = type;
         added.zone = zone;
         added.typeInfo = &types.at(type);
-        added.incarnation = 1;
-        added.sendsHeartbeats = true;
+        added.agent.incarnation = 1;
+        added.lease.active = true;
         fleet.setReconciled(added, true);
         return added;
     }
@@ -118,20 +118,20 @@
 }
 
 TEST_F(CapacityPlanTest, LeavingOrLostMachinesHaveNoRoom) {
-    machine("m1").draining = true;
-    machine("m2").deletionRequested = true;
-    machine("m3").failed = true;
-    machine("m4").interruptionAt = now + 30s;
-    machine("m5").unreachableSince = now;
-    machine("m6").errorJobs = {"wk-8", "wk-9"};
-    machine("m7").sendsHeartbeats = false;  // lost, as it was up before
+    machine("m1").cloud.draining = true;
+    machine("m2").cloud.deletionRequested = true;
+    machine("m3").cloud.failed = true;
+    machine("m4").cloud.interruptionAt = now + 30s;
+    machine("m5").agent.unreachableSince = now;
+    machine("m6").history.failedJobs = {"wk-8", "wk-9"};
+    machine("m7").lease.active = false;  // lost, as it was up before
     machine("m8").typeInfo = nullptr;
     job(make("wk-1", 1, 8));
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
     auto& booting = machine("m9");
-    booting.incarnation = 0;
-    booting.sendsHeartbeats = false;
+    booting.agent.incarnation = 0;
+    booting.lease.active = false;
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     EXPECT_EQ(plan().neededMachines(), Names{"m9"});
     replica.registeredMachines["m9"] = {{"address", "plain", "z", false},
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -36,16 +36,16 @@
     /// Its last heartbeat came now.
     Machine& sendingHeartbeats(const std::string& id) {
         auto& machine = fleet.add(id, now);
-        machine.reconciled = true;
-        machine.sendsHeartbeats = true;
-        machine.lastHeartbeat = now;
+        machine.registry.reconciled = true;
+        machine.lease.active = true;
+        machine.lease.lastHeartbeat = now;
         return machine;
     }
     /// An earlier leader's tasks may be on it.
     Machine& unreconciled(const std::string& id) {
         auto& machine = fleet.add(id, now);
-        machine.reconciled = false;
-        machine.lastHeartbeat = began;
+        machine.registry.reconciled = false;
+        machine.lease.lastHeartbeat = began;
         return machine;
     }
     FailureDetector::Findings findings() {
@@ -68,7 +68,7 @@
     now += 4600ms;
     sendingHeartbeats("alive");
     EXPECT_EQ(findings().toProbe, Machines{&suspected});
-    suspected.probing = true;
+    suspected.agent.probing = true;
     EXPECT_TRUE(findings().toProbe.empty()) << "one probe at a time";
 }
 
@@ -86,10 +86,10 @@
     EXPECT_TRUE(findings().failedMachines.empty());
     now = began + 12001ms;
     EXPECT_EQ(findings().failedMachines, Machines{&machine});
-    machine.probedAt = now - 1s;
+    machine.agent.probedAt = now - 1s;
     EXPECT_TRUE(findings().failedMachines.empty()) << "it answers";
-    machine.probedAt = {};
-    machine.deletionRequested = true;
+    machine.agent.probedAt = {};
+    machine.cloud.deletionRequested = true;
     EXPECT_TRUE(findings().failedMachines.empty()) << "its deletion was requested before";
 }
 
@@ -104,9 +104,9 @@
 // Heartbeats of such a machine arrive, but it does not receive what it is sent.
 TEST_F(FailureDetectorTest, UnreachableMachineSendsHeartbeatsThenItIsSuspectedAndFails) {
     auto& unreachable = sendingHeartbeats("unreachable");
-    unreachable.unreachableSince = now;
+    unreachable.agent.unreachableSince = now;
     now += 13s;
-    unreachable.lastHeartbeat = now;
+    unreachable.lease.lastHeartbeat = now;
     const auto census = detector().takeCensus(now);
     EXPECT_EQ(census.suspected, 1u);
     EXPECT_EQ(detector().evaluate(census, now).failedMachines, Machines{&unreachable});
@@ -123,12 +123,12 @@
 
 TEST_F(FailureDetectorTest, LeaseExpiresThenItIsFoundUntilCleared) {
     auto& machine = sendingHeartbeats("m1");
-    machine.leaseUntil = now + 30s;
+    machine.lease.until = now + 30s;
     now += 30s;
     EXPECT_TRUE(detector().takeCensus(now).expired.empty());
     now += 1ms;
     EXPECT_EQ(detector().takeCensus(now).expired, Machines{&machine});
-    machine.sendsHeartbeats = false;  // as the leader clears it
+    machine.lease.active = false;  // as the leader clears it
     EXPECT_TRUE(detector().takeCensus(now).expired.empty());
 }
 
@@ -169,7 +169,7 @@
     detector().noteTick(now);
     now += 20s;
     detector().noteTick(now);
-    EXPECT_EQ(first.lastHeartbeat, now - 2s);
+    EXPECT_EQ(first.lease.lastHeartbeat, now - 2s);
     const auto found = findings();
     EXPECT_TRUE(found.toProbe.empty());
     EXPECT_EQ(found.isolation, Isolation::none);
--- a/tests/fetch_pacing_test.cpp
+++ b/tests/fetch_pacing_test.cpp
@@ -36,9 +36,9 @@
         machine.type = type.name;
         machine.typeInfo = &type;
         machine.zone = zone;
-        machine.sendsHeartbeats = true;
-        machine.acknowledged = true;
-        machine.lastHeartbeat = now;
+        machine.lease.active = true;
+        machine.agent.acknowledged = true;
+        machine.lease.lastHeartbeat = now;
         for (const auto& image : images) fleet.useImage(machine, image, 1, kCacheGb);
         return machine;
     }
@@ -57,7 +57,7 @@
         for (const auto& each : jobs) waiting.push_back(each.get());
         std::vector<const Machine*> up;
         for (const auto& [id, each] : fleet.machines())
-            if (each->sendsHeartbeats && each->acknowledged) up.push_back(each.get());
+            if (each->lease.active && each->agent.acknowledged) up.push_back(each.get());
         pacing.refresh(waiting, up, fleet, now);
     }
 };
@@ -69,7 +69,7 @@
     machine("m1", "a", {"i"});
     machine("m2", "a", {});
     machine("m3", "b", {});
-    machine("m4", "b", {"i"}).sendsHeartbeats = false;  // not up, so it counts neither way
+    machine("m4", "b", {"i"}).lease.active = false;  // not up, so it counts neither way
     auto& paced = job("i", 30);
     refresh();
     pacing.admit(paced, fleet);
@@ -203,13 +203,13 @@
 // intervals count.
 TEST_F(FetchPacingTest, ZoneWithoutRecentHeartbeatsDoesNotDelayTheOthers) {
     auto& first = machine("m1", "a", {});
-    machine("m2", "b", {}).lastHeartbeat = now - 6s;
+    machine("m2", "b", {}).lease.lastHeartbeat = now - 6s;
     auto& paced = job("i", 100);
     pacing.recordFetch(paced, "a", now - 1s);
     pacing.recordFetch(paced, "b", now - 1h);
     refresh();
     EXPECT_TRUE(pacing.allows(paced, first, now));  // E[tr] is that of zone a alone
-    fleet.find("m2")->lastHeartbeat = now - 5900ms;
+    fleet.find("m2")->lease.lastHeartbeat = now - 5900ms;
     refresh();
     EXPECT_FALSE(pacing.allows(paced, first, now));
 }
--- a/tests/fleet_recount.h
+++ b/tests/fleet_recount.h
@@ -26,16 +26,17 @@
         const auto need = bookkeeping::needOf(spec);
         const auto priority = static_cast<std::size_t>(placement.job->priority());
         const bool service = spec.kind == protocol::JobKind::service;
-        expected.used += need;
-        if (spec.gpus <= 0) expected.plainUse[service ? bookkeeping::kReplicaUse : priority] += need;
-        if (!service && !bookkeeping::isLargeGang(spec)) expected.stoppable[priority] += need;
+        expected.use.total += need;
+        if (spec.gpus <= 0) expected.use.plain[service ? bookkeeping::kReplicaUse : priority] += need;
+        if (!service && !bookkeeping::isLargeGang(spec)) expected.use.preemptible[priority] += need;
     }
     std::string wrong;
-    if (differs(expected.used, machine.used)) wrong += "use of " + machine.id + "; ";
-    for (std::size_t i = 0; i < machine.plainUse.size(); ++i)
-        if (differs(expected.plainUse[i], machine.plainUse[i])) wrong += "plain use of " + machine.id + "; ";
-    for (std::size_t i = 0; i < machine.stoppable.size(); ++i)
-        if (differs(expected.stoppable[i], machine.stoppable[i]))
+    if (differs(expected.use.total, machine.use.total)) wrong += "use of " + machine.id + "; ";
+    for (std::size_t i = 0; i < machine.use.plain.size(); ++i)
+        if (differs(expected.use.plain[i], machine.use.plain[i]))
+            wrong += "plain use of " + machine.id + "; ";
+    for (std::size_t i = 0; i < machine.use.preemptible.size(); ++i)
+        if (differs(expected.use.preemptible[i], machine.use.preemptible[i]))
             wrong += "stoppable on " + machine.id + "; ";
     for (const auto& [image, gb] : machine.images) {
         const auto& with = fleet.withImage(image);
@@ -60,7 +61,8 @@
             ++zones[placement.job][machine->zone];
         }
         wrong += recountMachine(fleet, *machine);
-        if (machine->registration == bookkeeping::RegistrationState::stored && !machine->reconciled)
+        if (machine->registry.state == bookkeeping::RegistrationState::stored &&
+            !machine->registry.reconciled)
             ++unreconciled[{machine->type, machine->zone, machine->spot}];
     }
     for (const auto& [team, use] : teams)
--- a/tests/gang_planner_test.cpp
+++ b/tests/gang_planner_test.cpp
@@ -114,7 +114,7 @@
     fleet.reserve(*fleet.find("m3"), job, now + 10s);
     plan();
     EXPECT_EQ(placed(job), (Names{"m1:2", "m3:2"}));
-    EXPECT_EQ(fleet.find("m3")->reservedFor, nullptr);
+    EXPECT_EQ(fleet.find("m3")->reservation.job, nullptr);
 }
 
 TEST_F(GangPlannerTest, LostTaskIsReplacedUnderTheSameAttemptBeforeTheGangBegins) {
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/heartbeat_reconciler_test.cpp
@@ -24,8 +24,16 @@
   protected:
     /// A status of the machine's current incarnation, newer than those before.
     Heartbeat status(const Machine& from, std::vector<TaskStatus> tasks = {}) const {
-        return {from.id,          from.id,           from.type, from.zone, from.spot,
-                from.incarnation, from.sequence + 1, kToken,    {},        std::move(tasks)};
+        return {from.id,
+                from.id,
+                from.type,
+                from.zone,
+                from.spot,
+                from.agent.incarnation,
+                from.agent.sequence + 1,
+                kToken,
+                {},
+                std::move(tasks)};
     }
     static TaskStatus task(const bookkeeping::Placement& placement, TaskState state,
                            ExitReason why = ExitReason::none) {
@@ -37,7 +45,7 @@
     }
     bookkeeping::Placement& sent(Machine& on, Job& job, std::uint32_t number) {
         auto& placement = place(on, job, number, PlacementState::sent);
-        placement.sentSequence = on.sequence;
+        placement.sentSequence = on.agent.sequence;
         return placement;
     }
 };
@@ -75,12 +83,12 @@
 TEST_F(HeartbeatReconcilerTest, HeartbeatWithAnOlderTokenThenItsTasksAreNotAdopted) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
-    on.acknowledged = false;
+    on.agent.acknowledged = false;
     auto heartbeat = status(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
     heartbeat.fencingToken = kToken - 1;
     apply(on, heartbeat);
     EXPECT_EQ(count(on, job), 0u);
-    EXPECT_FALSE(on.acknowledged);
+    EXPECT_FALSE(on.agent.acknowledged);
 }
 
 TEST_F(HeartbeatReconcilerTest, NewIncarnationThenAllButPlannedPlacementsEnd) {
@@ -93,7 +101,7 @@
     heartbeat.sequence = 1;
     apply(on, heartbeat);
     EXPECT_EQ(count(on, job), 1u);  // the planned one was never sent
-    EXPECT_EQ(on.incarnation, 2u);
+    EXPECT_EQ(on.agent.incarnation, 2u);
 }
 
 TEST_F(HeartbeatReconcilerTest, TasksExitThenDoneIsFinishedAndStoppedWaitsAgain) {
@@ -138,13 +146,13 @@
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     for (std::uint32_t i = 0; i < coordination::kMaxUndeliveredResponses; ++i) {
-        EXPECT_FALSE(on.unreachableSince);
+        EXPECT_FALSE(on.agent.unreachableSince);
         sent(on, job, 0);
         apply(on, status(on));
     }
-    EXPECT_TRUE(on.unreachableSince);
+    EXPECT_TRUE(on.agent.unreachableSince);
     apply(on, status(on, {task(sent(on, job, 0), TaskState::fetching)}));
-    EXPECT_FALSE(on.unreachableSince);
+    EXPECT_FALSE(on.agent.unreachableSince);
 }
 
 TEST_F(HeartbeatReconcilerTest, TaskOfABegunGangLostThenTheWholeGangIsStopped) {
@@ -156,7 +164,7 @@
     apply(on, status(on));
     EXPECT_EQ(count(on, job), 0u);
     EXPECT_EQ(countStopping(other), 2u);
-    EXPECT_EQ(other.reservedFor, &job);  // for its next attempt
+    EXPECT_EQ(other.reservation.job, &job);  // for its next attempt
 }
 
 TEST_F(HeartbeatReconcilerTest, FailuresOnManyMachinesThenTheJobBacksOff) {
@@ -165,9 +173,9 @@
         auto& on = machine(id);
         apply(on, status(on, {task(place(on, job, 0), TaskState::exited, ExitReason::error)}));
     }
-    EXPECT_EQ(fleet.find("m1")->errorJobs.size(), 1u);
-    EXPECT_EQ(fleet.find("m2")->errorJobs.size(), 1u);
-    EXPECT_EQ(fleet.find("m3")->errorJobs.size(), 0u);
+    EXPECT_EQ(fleet.find("m1")->history.failedJobs.size(), 1u);
+    EXPECT_EQ(fleet.find("m2")->history.failedJobs.size(), 1u);
+    EXPECT_EQ(fleet.find("m3")->history.failedJobs.size(), 0u);
     EXPECT_EQ(job.run->backoffUntil, now + 5s);
 }
 
@@ -187,7 +195,7 @@
     auto heartbeat = status(on, {old, fresh});
     heartbeat.interruptionNotice = Seconds(15);
     apply(on, heartbeat);
-    EXPECT_TRUE(on.draining);
+    EXPECT_TRUE(on.cloud.draining);
     for (const auto& [key, placement] : on.placements) EXPECT_EQ(placement.stopping, key.job == &begun);
 }
 
@@ -198,7 +206,7 @@
     place(on, job, 0);
     ends.endAll(on, now);
     EXPECT_TRUE(on.placements.empty());
-    EXPECT_TRUE(on.reconciled);
+    EXPECT_TRUE(on.registry.reconciled);
     EXPECT_TRUE(job.isWaiting(0));
 }
 
@@ -214,8 +222,8 @@
     MachineTombstones tombstones;
     bookkeeping::Machine machine;
     machine.id = "m1";
-    machine.incarnation = 2;
-    machine.sequence = 5;
+    machine.agent.incarnation = 2;
+    machine.agent.sequence = 5;
     tombstones.add(machine);
     Heartbeat heartbeat;
     heartbeat.machine = "m1";
@@ -247,11 +255,11 @@
     MachineTombstones tombstones;
     bookkeeping::Machine machine;
     machine.id = "m1";
-    machine.incarnation = 2;
-    machine.sequence = 5;
+    machine.agent.incarnation = 2;
+    machine.agent.sequence = 5;
     tombstones.add(machine);
     bookkeeping::Machine back;
     back.id = "m1";
     tombstones.restoreCounters(back);
-    EXPECT_EQ(back.latestVersion(), machine.latestVersion());
+    EXPECT_EQ(back.agent.latestVersion(), machine.agent.latestVersion());
 }
--- a/tests/job_queue_test.cpp
+++ b/tests/job_queue_test.cpp
@@ -194,6 +194,6 @@
     jobQueue.markStale();
     order();
     EXPECT_EQ(made.priority(), Priority::high);
-    EXPECT_EQ(machine.stoppable[static_cast<std::size_t>(Priority::normal)].cpus, 0);
-    EXPECT_EQ(machine.stoppable[static_cast<std::size_t>(Priority::high)].cpus, 1);
+    EXPECT_EQ(machine.use.preemptible[static_cast<std::size_t>(Priority::normal)].cpus, 0);
+    EXPECT_EQ(machine.use.preemptible[static_cast<std::size_t>(Priority::high)].cpus, 1);
 }
--- a/tests/leader_messages_test.cpp
+++ b/tests/leader_messages_test.cpp
@@ -143,7 +143,7 @@
         starts = harness.heartbeat("m2");
     }
     EXPECT_EQ(starts, Names{"wk-1/0"});  // the lease expired all the same
-    EXPECT_FALSE(m1.sendsHeartbeats);
+    EXPECT_FALSE(m1.lease.active);
     auto verdict = HeartbeatVerdict::accepted;
     for (const auto& action : harness.tell(HeartbeatReceived{8, empty}))
         if (const auto* answer = std::get_if<AnswerHeartbeat>(&action)) verdict = answer->verdict;
--- a/tests/leader_waiting_test.cpp
+++ b/tests/leader_waiting_test.cpp
@@ -169,7 +169,7 @@
     int rounds = 0;
     const auto kept = [&] {
         return std::any_of(machines.begin(), machines.end(), [&](const auto& id) {
-            const auto* holder = harness.leader->fleet().machines().at(id)->reservedFor;
+            const auto* holder = harness.leader->fleet().machines().at(id)->reservation.job;
             return holder && holder->spec.id == "wk-100";
         });
     };
--- a/tests/machine_registry_test.cpp
+++ b/tests/machine_registry_test.cpp
@@ -25,8 +25,8 @@
     bookkeeping::Machine& withHeartbeat(const std::string& id) {
         auto& machine = withoutHeartbeat(id);
         machine.address = id;
-        machine.incarnation = 1;
-        machine.sendsHeartbeats = true;
+        machine.agent.incarnation = 1;
+        machine.lease.active = true;
         return machine;
     }
     void store(const bookkeeping::Machine& machine, std::uint64_t revision) {
@@ -41,14 +41,14 @@
     auto& machine = withHeartbeat("m1");
     registry.ensureEntry(machine);
     EXPECT_TRUE(registry.additions().contains("m1"));
-    EXPECT_EQ(machine.registration, RegistrationState::absent);
+    EXPECT_EQ(machine.registry.state, RegistrationState::absent);
     registry.additionSent("m1");
-    EXPECT_EQ(machine.registration, RegistrationState::writing);
+    EXPECT_EQ(machine.registry.state, RegistrationState::writing);
     registry.additionNotStored("m1");
-    EXPECT_EQ(machine.registration, RegistrationState::absent);
+    EXPECT_EQ(machine.registry.state, RegistrationState::absent);
     EXPECT_TRUE(registry.additions().contains("m1"));
     store(machine, 7);
-    EXPECT_EQ(machine.registration, RegistrationState::stored);
+    EXPECT_EQ(machine.registry.state, RegistrationState::stored);
     EXPECT_TRUE(registry.additions().empty());
     EXPECT_EQ(registry.versionOf("m1"), 7u);
     EXPECT_TRUE(registry.mayHoldTasks("m1"));
@@ -59,14 +59,14 @@
     machine.address = std::string("m1");
     registry.noteRequested("m1");
     store(machine, 7);
-    EXPECT_EQ(machine.registration, RegistrationState::absent);
+    EXPECT_EQ(machine.registry.state, RegistrationState::absent);
     EXPECT_FALSE(registry.mayHoldTasks("m1"));
     EXPECT_TRUE(registry.additions().empty());
-    machine.incarnation = 1;
+    machine.agent.incarnation = 1;
     registry.ensureEntry(machine);
     EXPECT_TRUE(registry.additions().contains("m1"));
     store(machine, 8);
-    EXPECT_EQ(machine.registration, RegistrationState::stored);
+    EXPECT_EQ(machine.registry.state, RegistrationState::stored);
 }
 
 TEST_F(RegistryTest, AddressChangedDuringWriteThenEntryIsWrittenAgain) {
@@ -89,11 +89,11 @@
     registry.removalSent("m1");
     auto& back = withHeartbeat("m1");
     registry.ensureEntry(back);
-    EXPECT_EQ(back.registration, RegistrationState::absent);
+    EXPECT_EQ(back.registry.state, RegistrationState::absent);
     EXPECT_TRUE(registry.removals().empty());
     EXPECT_TRUE(registry.additions().contains("m1"));
     store(back, 9);
-    EXPECT_EQ(back.registration, RegistrationState::stored);
+    EXPECT_EQ(back.registry.state, RegistrationState::stored);
 }
 
 TEST_F(RegistryTest, EntryStoredAfterItsMachineLeftThenDeleted) {
--- a/tests/placement_constraints_test.cpp
+++ b/tests/placement_constraints_test.cpp
@@ -35,8 +35,8 @@
         machine.type = "plain";
         machine.typeInfo = &types.at("plain");
         machine.zone = zone;
-        machine.acknowledged = true;
-        machine.sendsHeartbeats = true;
+        machine.agent.acknowledged = true;
+        machine.lease.active = true;
         fleet.setReconciled(machine, true);
         fleet.setRegistration(machine, RegistrationState::stored);
         return machine;
@@ -80,21 +80,21 @@
         change(changed);
         return usable(changed, now);
     };
-    EXPECT_FALSE(without("not acknowledged", [](Machine& m) { m.acknowledged = false; }));
-    EXPECT_FALSE(without("no heartbeats", [](Machine& m) { m.sendsHeartbeats = false; }));
-    EXPECT_FALSE(without("draining", [](Machine& m) { m.draining = true; }));
-    EXPECT_FALSE(without("deletion requested", [](Machine& m) { m.deletionRequested = true; }));
-    EXPECT_FALSE(without("failed", [](Machine& m) { m.failed = true; }));
-    EXPECT_FALSE(without("interruption", [&](Machine& m) { m.interruptionAt = now + 1min; }));
-    EXPECT_FALSE(without("unreachable", [&](Machine& m) { m.unreachableSince = now; }));
+    EXPECT_FALSE(without("not acknowledged", [](Machine& m) { m.agent.acknowledged = false; }));
+    EXPECT_FALSE(without("no heartbeats", [](Machine& m) { m.lease.active = false; }));
+    EXPECT_FALSE(without("draining", [](Machine& m) { m.cloud.draining = true; }));
+    EXPECT_FALSE(without("deletion requested", [](Machine& m) { m.cloud.deletionRequested = true; }));
+    EXPECT_FALSE(without("failed", [](Machine& m) { m.cloud.failed = true; }));
+    EXPECT_FALSE(without("interruption", [&](Machine& m) { m.cloud.interruptionAt = now + 1min; }));
+    EXPECT_FALSE(without("unreachable", [&](Machine& m) { m.agent.unreachableSince = now; }));
     EXPECT_FALSE(without("unknown type", [](Machine& m) { m.typeInfo = nullptr; }));
-    EXPECT_TRUE(without("one error", [](Machine& m) { m.errorJobs = {"a"}; }));
-    EXPECT_FALSE(without("two errors", [](Machine& m) { m.errorJobs = {"a", "b"}; }));
+    EXPECT_TRUE(without("one error", [](Machine& m) { m.history.failedJobs = {"a"}; }));
+    EXPECT_FALSE(without("two errors", [](Machine& m) { m.history.failedJobs = {"a", "b"}; }));
 }
 
 TEST_F(PlacementConstraintsTest, MachineThatRefusedAStartIsUsableAfterItsBackoff) {
     auto& quiet = machine("m");
-    quiet.startBackoffUntil = now + 2s;
+    quiet.history.startBackoffUntil = now + 2s;
     EXPECT_FALSE(usable(quiet, now));
     EXPECT_TRUE(usable(quiet, now + 2s));
 }
--- a/tests/placement_fixture.h
+++ b/tests/placement_fixture.h
@@ -49,11 +49,11 @@
         added.type = type;
         added.typeInfo = &types.at(type);
         added.zone = zone;
-        added.acknowledged = true;
-        added.sendsHeartbeats = true;
-        added.incarnation = 1;
-        added.sequence = 1;
-        added.lastHeartbeat = now;
+        added.agent.acknowledged = true;
+        added.lease.active = true;
+        added.agent.incarnation = 1;
+        added.agent.sequence = 1;
+        added.lease.lastHeartbeat = now;
         fleet.setReconciled(added, true);
         fleet.setRegistration(added, bookkeeping::RegistrationState::stored);
         return added;
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -111,7 +111,7 @@
     auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
     preemptForWaitingJobs();
     EXPECT_EQ(countStopping(on), 2u);
-    EXPECT_EQ(on.reservedFor, &job);
+    EXPECT_EQ(on.reservation.job, &job);
     EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
@@ -145,8 +145,8 @@
     fill(two, "wk-3");
     preemptForWaitingJobs();
     EXPECT_EQ(countStopping(one) + countStopping(two), 8u);
-    EXPECT_EQ(one.reservedFor, &job);
-    EXPECT_EQ(two.reservedFor, &job);
+    EXPECT_EQ(one.reservation.job, &job);
+    EXPECT_EQ(two.reservation.job, &job);
 }
 
 // The protected start counts as stoppable but may not be preempted. Then nothing is preempted for the rest of
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -37,7 +37,7 @@
 TEST_F(SchedulerTest, StartRecordsTheHeartbeatThatItAnswers) {
     accept(spec("wk-1"));
     auto& on = machine("m1");
-    on.sequence = 7;
+    on.agent.sequence = 7;
     ASSERT_FALSE(schedule(on).empty());
     for (const auto& [key, placement] : on.placements) {
         EXPECT_EQ(placement.state, PlacementState::sent);
@@ -111,8 +111,8 @@
     auto& on = machine("m1");
     place(on, accept(spec("wk-101")), 0);
     EXPECT_EQ(schedule(on), Names{});
-    EXPECT_EQ(on.reservedFor, &job);
-    EXPECT_TRUE(on.holding);
+    EXPECT_EQ(on.reservation.job, &job);
+    EXPECT_TRUE(on.reservation.withoutPreemption);
 }
 
 // --- placement constraints --------------------------------------------------------------------------------
@@ -172,7 +172,7 @@
     machine("without");
     EXPECT_EQ(images.capacityWithImage(job, now), 4u);
     now += 250ms;  // after which the answer is no longer cached
-    cached.lastHeartbeat = now - 4s;
+    cached.lease.lastHeartbeat = now - 4s;
     EXPECT_EQ(images.capacityWithImage(job, now), 0u);
 }
 
--- a/tests/simulation/simulated_leaders.cpp
+++ b/tests/simulation/simulated_leaders.cpp
@@ -155,12 +155,13 @@
     text += "; last conflict " + store_.lastFailedKey() + "; " + leadership_->leader->stateWriter().summary();
     for (const auto& [machineId, machine] : leadership_->leader->fleet().machines())
         text += "\n  " + machineId + " " + machine->type + "/" + machine->zone +
-                (machine->spot ? "/spot" : "") + " acknowledged " + std::to_string(machine->acknowledged) +
-                " reconciled " + std::to_string(machine->reconciled) + " registration " +
-                std::to_string(static_cast<int>(machine->registration)) + " draining " +
-                std::to_string(machine->draining) + " deletion requested " +
-                std::to_string(machine->deletionRequested) + " errors " +
-                std::to_string(machine->errorJobs.size()) + " tasks " +
+                (machine->spot ? "/spot" : "") + " acknowledged " +
+                std::to_string(machine->agent.acknowledged) + " reconciled " +
+                std::to_string(machine->registry.reconciled) + " registration " +
+                std::to_string(static_cast<int>(machine->registry.state)) + " draining " +
+                std::to_string(machine->cloud.draining) + " deletion requested " +
+                std::to_string(machine->cloud.deletionRequested) + " errors " +
+                std::to_string(machine->history.failedJobs.size()) + " tasks " +
                 std::to_string(machine->placements.size());
     return text;
 }
--- a/tests/state_writer_test.cpp
+++ b/tests/state_writer_test.cpp
@@ -71,7 +71,7 @@
     void addMachine(const std::string& id, std::uint64_t incarnation) {
         auto& machine = fleet.add(id, now);
         machine.address = id;
-        machine.incarnation = incarnation;
+        machine.agent.incarnation = incarnation;
         registry.noteRequested(id);
     }
     StateWriter::WriteOutcome answer(TransactionStatus status, std::vector<std::string> failed = {}) {
