--- a/src/coordination/controller/fleet_health_check.cpp
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -25,8 +25,20 @@
         spdlog::info("machine failed, neither heartbeats nor probe answers machine={}", machine->id);
         machine->deletionRequested = true;
     }
-    if (findings.isolation != Isolation::none)
-        actions_.emplace_back(Resign{ResignationReason::noWorkersReachable});
+    resignIfIsolated(findings.isolation);
+}
+
+void FleetHealthCheck::resignIfIsolated(Isolation isolation) {
+    switch (isolation) {
+        case Isolation::none:
+            return;
+        case Isolation::lostWorkers:
+            actions_.emplace_back(Resign{ResignationReason::workersLost});
+            return;
+        case Isolation::neverReached:
+            actions_.emplace_back(Resign{ResignationReason::workersNeverReached});
+            return;
+    }
 }
 
 void FleetHealthCheck::expireLeases(const FailureDetector::Census& census, Time now) {
--- a/src/coordination/controller/fleet_health_check.h
+++ b/src/coordination/controller/fleet_health_check.h
@@ -12,6 +12,7 @@
 #include "coordination/state/machine_registry.h"
 #include "coordination/workers/attempt_completion.h"
 #include "coordination/workers/failure_detector.h"
+#include "coordination/workers/isolation_detector.h"
 
 namespace burlpoint::coordination {
 
@@ -25,6 +26,7 @@
     void tick(Time now);
 
   private:
+    void resignIfIsolated(Isolation isolation);
     void expireLeases(const FailureDetector::Census& census, Time now);
 
     FailureDetector& detector_;
--- a/src/coordination/controller/resignation_reason.cpp
+++ b/src/coordination/controller/resignation_reason.cpp
@@ -8,8 +8,10 @@
             return "newer-token-seen";
         case ResignationReason::newerTokenStored:
             return "newer-token-stored";
-        case ResignationReason::noWorkersReachable:
-            return "no-workers-reachable";
+        case ResignationReason::workersLost:
+            return "workers-lost";
+        case ResignationReason::workersNeverReached:
+            return "workers-never-reached";
         case ResignationReason::onlyThisControllerRefused:
             return "only-this-controller-refused";
         case ResignationReason::overloaded:
@@ -23,7 +25,8 @@
         case ResignationReason::newerTokenSeen:
         case ResignationReason::newerTokenStored:
             return Election::Resignation::mayTryAgain;
-        case ResignationReason::noWorkersReachable:
+        case ResignationReason::workersLost:
+        case ResignationReason::workersNeverReached:
         case ResignationReason::onlyThisControllerRefused:
         case ResignationReason::overloaded:
             return Election::Resignation::deferToPeers;
--- a/src/coordination/controller/resignation_reason.h
+++ b/src/coordination/controller/resignation_reason.h
@@ -9,7 +9,8 @@
 enum class ResignationReason {
     newerTokenSeen,             // a worker's message carries a higher fencing token
     newerTokenStored,           // the key-value store holds a higher fencing token
-    noWorkersReachable,         // no worker's heartbeats reach this controller, or they never did
+    workersLost,                // no worker's heartbeats reach this controller any more
+    workersNeverReached,        // no worker's heartbeat ever reached this leader
     onlyThisControllerRefused,  // the key-value store answers other controllers and not this one
     overloaded                  // this controller does not keep up with its work
 };
@@ -20,7 +21,4 @@
 /// If this controller itself is the likely cause, its peers go first in the next election.
 Election::Resignation resignationFor(ResignationReason reason);
 
-/// The same in the terms of the election.
-Election::Resignation resignationFor(ResignationReason reason);
-
 }  // namespace burlpoint::coordination
