--- a/tests/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -2,8 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "coordination/api/submission_validation.h"
+#include "leadership/service_controller.h"
 #include "protocol/msgpack_codec.h"
-#include "service_controller.h"
 #include "transport/executor.h"
 
 using namespace burlpoint;
--- a/tests/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -6,7 +6,7 @@
 
 #include "base/clock.h"
 #include "protocol/msgpack_codec.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 #include "transport/endpoint.h"
 #include "transport/executor.h"
 #include "transport/http_client.h"
--- a/tests/large_fleet_test.cpp
+++ b/tests/controller/large_fleet_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
-#include "leader_harness.h"
+#include "controller/leader_harness.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/leader_dependencies_test.cpp
+++ b/tests/controller/leader_dependencies_test.cpp
@@ -4,8 +4,8 @@
 #include <set>
 
 #include "base/clock.h"
-#include "fleet_recount.h"
-#include "leader_harness.h"
+#include "bookkeeping/fleet_recount.h"
+#include "controller/leader_harness.h"
 #include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
--- a/tests/leader_messages_test.cpp
+++ b/tests/controller/leader_messages_test.cpp
@@ -4,7 +4,7 @@
 #include <numeric>
 #include <set>
 
-#include "leader_harness.h"
+#include "controller/leader_harness.h"
 #include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
--- a/tests/leader_placement_test.cpp
+++ b/tests/controller/leader_placement_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "base/clock.h"
-#include "leader_harness.h"
+#include "controller/leader_harness.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -9,10 +9,10 @@
 #include <sstream>
 
 #include "base/clock.h"
-#include "histories.h"
 #include "protocol/cloud_messages.h"
 #include "protocol/msgpack_codec.h"
 #include "protocol/peer_messages.h"
+#include "simulation/histories.h"
 #include "storage/records.h"
 
 namespace burlpoint::tests {
--- a/tests/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -2,8 +2,8 @@
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
+#include "leadership/service_controller.h"
 #include "protocol/msgpack_codec.h"
-#include "service_controller.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/service_controller.h
+++ b/tests/leadership/service_controller.h
@@ -15,7 +15,7 @@
 #include "coordination/api/user_api.h"
 #include "coordination/leadership/election.h"
 #include "protocol/msgpack_codec.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 #include "transport/executor.h"
 #include "transport/http_client.h"
 #include "transport/http_message.h"
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling/scheduling_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
-#include "placement_fixture.h"
+#include "scheduling/placement_fixture.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/combined_failures/late_messages_test.cpp
+++ b/tests/simulation/combined_failures/late_messages_test.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "base/clock.h"
-#include "combined_failures/scenario.h"
+#include "simulation/combined_failures/scenario.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/combined_failures/leader_changes_test.cpp
+++ b/tests/simulation/combined_failures/leader_changes_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
-#include "combined_failures/scenario.h"
+#include "simulation/combined_failures/scenario.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/combined_failures/scenario.cpp
+++ b/tests/simulation/combined_failures/scenario.cpp
@@ -1,4 +1,4 @@
-#include "combined_failures/scenario.h"
+#include "simulation/combined_failures/scenario.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/combined_failures/scenario.h
+++ b/tests/simulation/combined_failures/scenario.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "histories.h"
+#include "simulation/histories.h"
 
 namespace burlpoint::tests {
 
--- a/tests/histories.cpp
+++ b/tests/simulation/histories.cpp
@@ -1,4 +1,4 @@
-#include "histories.h"
+#include "simulation/histories.h"
 
 #include <algorithm>
 #include <cmath>
--- a/tests/history_test.cpp
+++ b/tests/simulation/history_test.cpp
@@ -4,7 +4,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "base/clock.h"
-#include "histories.h"
+#include "simulation/histories.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/simulation/simulated_leaders.cpp
+++ b/tests/simulation/simulated_leaders.cpp
@@ -2,7 +2,7 @@
 
 #include <map>
 
-#include "fleet_recount.h"
+#include "bookkeeping/fleet_recount.h"
 
 namespace burlpoint::simulation {
 
--- a/tests/simulation/simulated_store.h
+++ b/tests/simulation/simulated_store.h
@@ -12,7 +12,7 @@
 #include "simulation/environment.h"
 #include "simulation/requester.h"
 #include "storage/records.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 
 namespace burlpoint::simulation {
 
--- a/tests/lowered_limits_fixture.h
+++ b/tests/state/lowered_limits_fixture.h
@@ -16,7 +16,7 @@
 #include "base/clock.h"
 #include "coordination/controller/leader.h"
 #include "protocol/msgpack_codec.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 
 namespace burlpoint::tests {
 
--- a/tests/lowered_limits_test.cpp
+++ b/tests/state/lowered_limits_test.cpp
@@ -2,7 +2,7 @@
 // everything is stored in the end, and the leader keeps to what the store takes.
 #include <gtest/gtest.h>
 
-#include "lowered_limits_fixture.h"
+#include "state/lowered_limits_fixture.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/store_limits_test.cpp
+++ b/tests/storage/store_limits_test.cpp
@@ -6,8 +6,8 @@
 
 #include <sstream>
 
+#include "leadership/service_controller.h"
 #include "protocol/msgpack_codec.h"
-#include "service_controller.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/task_bitmap_test.cpp
+++ b/tests/storage/task_bitmap_test.cpp
@@ -8,11 +8,11 @@
 #include <algorithm>
 #include <charconv>
 
-#include "lowered_limits_fixture.h"
 #include "protocol/errors.h"
 #include "protocol/msgpack_codec.h"
+#include "state/lowered_limits_fixture.h"
 #include "storage/keys.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/upgrade/cluster.h
+++ b/tests/upgrade/cluster.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "store_stub.h"
+#include "storage/store_stub.h"
 #include "transport/executor.h"
 #include "upgrade/cloud.h"
 #include "upgrade/launcher.h"
--- a/tests/upgrade/store_check.h
+++ b/tests/upgrade/store_check.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "storage/records.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 #include "upgrade/rules.h"
 
 namespace burlpoint::tests {
--- a/tests/upgrade/store_check_test.cpp
+++ b/tests/upgrade/store_check_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "storage/records.h"
-#include "store_stub.h"
+#include "storage/store_stub.h"
 #include "upgrade/check_fixture.h"
 
 using namespace burlpoint::tests;
--- a/tests/heartbeat_reconciler_test.cpp
+++ b/tests/workers/heartbeat_reconciler_test.cpp
@@ -4,7 +4,7 @@
 
 #include "base/clock.h"
 #include "coordination/workers/machine_tombstones.h"
-#include "placement_fixture.h"
+#include "scheduling/placement_fixture.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
