--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -1,34 +1,47 @@
 #include "bookkeeping/job.h"
 
 #include <algorithm>
+#include <charconv>
 
 namespace burlpoint::bookkeeping {
 
 namespace keys = storage::keys;
+using storage::TerminalState;
+
+namespace {
+
+/// The bytes of `bits` bits as JSON: four to a hexadecimal digit, in quotes.
+std::size_t encodedBytes(std::size_t bits) { return (bits + 3) / 4 + 2; }
+
+}  // namespace
+
+const Image& Job::image() const {
+    if (!image_) image_ = Image(spec.image);
+    return *image_;
+}
 
 void Job::setDone(std::uint32_t task) {
-    if (task >= spec.tasks || isDone(task) || final != Final::open) return;
+    if (task >= spec.tasks || isDone(task) || terminalState != TerminalState::none) return;
     const bool wasWaiting = run && isWaiting(task);
     if (done.empty()) done.resize(spec.tasks);
     done[task] = true;
     ++doneCount;
     if (!run) return;
-    run->unstored.erase(task);
+    run->unpersistedTasks.erase(task);
     if (wasWaiting) --run->waiting;
 }
 
-void Job::setChunkVersion(std::size_t chunk, std::uint64_t newVersion) {
-    if (chunkVersions.empty()) chunkVersions.resize(chunks());
-    if (chunk < chunkVersions.size()) chunkVersions[chunk] = std::max(chunkVersions[chunk], newVersion);
+BitRange Job::chunkRange(std::size_t chunk) const {
+    const auto first = chunk * chunkTasks;
+    return {first, std::min<std::size_t>(first + chunkTasks, spec.tasks), chunk};
 }
 
 BitRange Job::rangeOf(std::uint32_t task, std::size_t maxBytes) const {
-    const std::size_t tasks = spec.tasks, chunk = task / chunkTasks, first = chunk * chunkTasks;
-    const auto end = std::min(first + chunkTasks, tasks);
-    if ((end - first + 3) / 4 + 2 <= maxBytes) return {first, end, chunk};  // digits and quotes
+    const auto chunk = chunkRange(task / chunkTasks);
+    if (encodedBytes(chunk.end - chunk.first) <= maxBytes) return chunk;
     const std::size_t size = storage::chunkTasks(static_cast<double>(maxBytes) / 1024);
-    const auto from = task / size * size;
-    return {from, std::min(from + size, tasks), std::nullopt};
+    const auto first = task / size * size;
+    return {first, std::min<std::size_t>(first + size, spec.tasks), std::nullopt};
 }
 
 std::string Job::keyOf(const BitRange& range) const {
@@ -36,61 +49,63 @@
                        : keys::donePart(spec.id, range.first, range.end);
 }
 
-std::uint64_t Job::versionOf(const BitRange& range) const {
-    if (range.chunk) return chunkVersion(*range.chunk);
-    const auto found = partVersions.find(range);
-    return found == partVersions.end() ? 0 : found->second;
-}
-
-void Job::setVersion(const BitRange& range, std::uint64_t newVersion) {
-    if (range.chunk) return setChunkVersion(*range.chunk, newVersion);
-    auto& known = partVersions[range];
-    known = std::max(known, newVersion);
+std::optional<BitRange> Job::parseRange(std::string_view text) const {
+    const char* const end = text.data() + text.size();
+    std::size_t first = 0;
+    const auto [stop, error] = std::from_chars(text.data(), end, first);
+    if (error != std::errc()) return std::nullopt;
+    if (stop == end) return first < chunks() ? std::optional(chunkRange(first)) : std::nullopt;
+    if (*stop != '-') return std::nullopt;
+    std::size_t last = 0;
+    const auto [lastStop, lastError] = std::from_chars(stop + 1, end, last);
+    if (lastError != std::errc() || lastStop != end) return std::nullopt;
+    if (first >= last || last > spec.tasks) return std::nullopt;
+    return BitRange{first, last, std::nullopt};
 }
 
 bool Job::finish(std::uint32_t task) {
     if (isFinished(task)) return false;
-    if (run->live[task] == 0) --run->waiting;
-    run->unstored.insert(task);
+    if (run->placedCount[task] == 0) --run->waiting;
+    run->unpersistedTasks.insert(task);
     return true;
 }
 
-void Job::addLive(std::uint32_t task, const std::string& machine, const std::string& zone) {
+void Job::addPlaced(std::uint32_t task, const std::string& machine, const std::string& zone) {
     if (isWaiting(task)) --run->waiting;
-    ++run->live[task];
-    ++run->liveTotal;
+    ++run->placedCount[task];
+    ++run->placedTotal;
     ++run->zones[zone];
     ++run->machines[machine];
 }
 
-void Job::dropLive(std::uint32_t task, const std::string& machine, const std::string& zone) {
-    --run->live[task];
-    --run->liveTotal;
+void Job::removePlaced(std::uint32_t task, const std::string& machine, const std::string& zone) {
+    --run->placedCount[task];
+    --run->placedTotal;
     if (const auto found = run->zones.find(zone); --found->second == 0) run->zones.erase(found);
     if (const auto found = run->machines.find(machine); --found->second == 0) run->machines.erase(found);
     if (isWaiting(task)) {
         ++run->waiting;
-        run->hint = std::min(run->hint, task);
+        run->firstWaitingHint = std::min(run->firstWaitingHint, task);
     }
 }
 
 std::optional<std::uint32_t> Job::firstWaiting() {
     if (run->waiting == 0) return std::nullopt;
-    while (run->hint < spec.tasks && !isWaiting(run->hint)) ++run->hint;
-    return run->hint < spec.tasks ? std::optional(run->hint) : std::nullopt;
+    while (run->firstWaitingHint < spec.tasks && !isWaiting(run->firstWaitingHint)) ++run->firstWaitingHint;
+    return run->firstWaitingHint < spec.tasks ? std::optional(run->firstWaitingHint) : std::nullopt;
 }
 
-void Job::beginRun(bool inherited, Time now) {
+void Job::beginRun(JobOrigin origin, Time now) {
     run = std::make_unique<JobRun>(spec.tasks);
-    run->inherited = inherited;
+    run->origin = origin;
     run->waitingSince = now;
-    run->priority = urgency;
-    run->waiting = final == Final::open ? spec.tasks - doneCount : 0;
+    run->priority = effectivePriority;
+    run->waiting = terminalState == TerminalState::none ? spec.tasks - doneCount : 0;
 }
 
 protocol::JobState Job::state(std::uint32_t runningTasks) const {
-    if (final == Final::done) return protocol::JobState::done;
-    if (final == Final::cancelled) return protocol::JobState::cancelled;
+    if (terminalState == TerminalState::done) return protocol::JobState::done;
+    if (terminalState == TerminalState::cancelled) return protocol::JobState::cancelled;
     return runningTasks > 0 ? protocol::JobState::running : protocol::JobState::queued;
 }
 
--- /dev/null
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -0,0 +1,149 @@
+#include "coordination/autoscaling/autoscaler.h"
+
+#include <algorithm>
+
+#include "coordination/autoscaling/capacity_plan.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Fleet;
+using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
+using bookkeeping::StateReplica;
+using protocol::InstanceRequest;
+using protocol::Policy;
+using protocol::Settings;
+using namespace std::chrono_literals;
+
+namespace {
+
+// Share of the cloud's limit of requests per second that is used; its clock and its way of counting differ.
+constexpr double kRequestBudgetShare = 0.8;
+constexpr std::size_t kMaxMachinesPerScaleIn = 100;    // in one request
+constexpr Clock::duration kScaleInInterval = 500ms;    // gathers several machines for one request
+constexpr Clock::duration kScaleInRetryInterval = 2s;  // keeps the load on an unresponsive cloud low
+// A listing shows news twice per lag; with a longer interval, machines that are gone would be kept for long.
+constexpr Clock::duration kMinListingInterval = 3s;
+constexpr Clock::duration kMaxListingInterval = 10s;
+constexpr Clock::duration kTypeListingInterval = 30s;      // spot prices change all the time
+constexpr Clock::duration kFirstTypeListingInterval = 2s;  // without types no machine can be requested
+// A listing may lag by up to twice the configured lag, and may be older than the one before.
+constexpr double kMaxListingLags = 2.5;
+
+/// When the machine was last known to exist.
+Time lastSeen(const Machine& machine) {
+    if (machine.agent.incarnation == 0) return machine.cloud.firstSeenAt;
+    return std::max(machine.lease.lastHeartbeat, machine.cloud.firstSeenAt);
+}
+
+/// Only a listing can tell whether the machine exists: it sends no heartbeats, can have no tasks and its
+/// deletion has not been requested.
+bool isKnownByListingsOnly(const Machine& machine) {
+    const bool mayHaveTasks = !machine.placements.empty() || !machine.registry.reconciled;
+    return !machine.lease.active && !mayHaveTasks && !machine.cloud.deletionRequested;
+}
+
+}  // namespace
+
+Autoscaler::Autoscaler(const Settings& settings, const Policy& policy, const StateReplica& replica,
+                       std::uint64_t fencingToken, Time now)
+    : settings_(settings),
+      policy_(policy),
+      replica_(replica),
+      requestBudget_(settings.cloudRequestsPerSecond * kRequestBudgetShare, now),
+      instanceRequests_(fencingToken),
+      scaleInRules_(policy, replica) {}
+
+ScalingRequests Autoscaler::decide(Fleet& fleet, const MachineTypes& types, const WaitingWork& work,
+                                   Time now) {
+    CapacityPlan plan(
+        {settings_, policy_, replica_, fleet, types, instanceRequests_, capacityErrors_, work.dueTime, now});
+    for (const auto* job : work.order) plan.add(*job);
+    ScalingRequests requests;
+    requestScaleOut(plan.missingMachines(), requests, now);
+    requestScaleIn(fleet, plan.neededMachines(), requests, now);
+    requestMachineListing(requests, now);
+    requestTypeListing(!types.empty(), requests, now);
+    return requests;
+}
+
+void Autoscaler::requestScaleOut(const MissingMachines& missing, ScalingRequests& requests, Time now) {
+    for (const auto& [offering, count] : missing) instanceRequests_.enqueue(offering, count, now);
+    requests.scaleOuts = instanceRequests_.takeDue(requestBudget_, now);
+}
+
+std::optional<InstanceRequest> Autoscaler::scaleOutCompleted(const std::string& name,
+                                                             InstanceRequestOutcome outcome,
+                                                             std::size_t machineCount, Time now) {
+    if (outcome == InstanceRequestOutcome::unknown) {
+        instanceRequests_.scheduleRetry(name, now);
+        return std::nullopt;
+    }
+    auto request = instanceRequests_.complete(name);
+    if (!request) return std::nullopt;
+    const auto offering = offeringOf(*request);
+    const bool inFull = outcome == InstanceRequestOutcome::fulfilled && machineCount >= request->count;
+    if (inFull) {
+        capacityErrors_.clear(offering);
+    } else {
+        capacityErrors_.record(offering, now);
+        instanceRequests_.cancelUnsent(offering);
+    }
+    return request;
+}
+
+void Autoscaler::requestScaleIn(Fleet& fleet, const std::set<std::string>& neededMachines,
+                                ScalingRequests& requests, Time now) {
+    if (scaleInInFlight_ || now < nextScaleIn_) return;
+    const auto machines = machinesToDelete(fleet, neededMachines, now);
+    if (machines.empty() || !takeRequest(now)) return;
+    for (auto* machine : machines) {
+        machine->cloud.deletionRequested = true;
+        requests.scaleIn.push_back(machine->id);
+    }
+    scaleInInFlight_ = true;
+    nextScaleIn_ = now + kScaleInInterval;
+}
+
+std::vector<Machine*> Autoscaler::machinesToDelete(Fleet& fleet, const std::set<std::string>& neededMachines,
+                                                   Time now) const {
+    std::vector<Machine*> machines;
+    for (const auto& [id, machine] : fleet.machines()) {
+        if (machines.size() >= kMaxMachinesPerScaleIn) break;
+        if (scaleInRules_.mayScaleIn(*machine, neededMachines, now)) machines.push_back(machine.get());
+    }
+    return machines;
+}
+
+void Autoscaler::scaleInCompleted(ScaleInOutcome outcome, Time now) {
+    scaleInInFlight_ = false;
+    // The machines are still marked, so they are requested again; the cloud ignores ids that are gone.
+    if (outcome == ScaleInOutcome::unknown) nextScaleIn_ = now + kScaleInRetryInterval;
+}
+
+void Autoscaler::requestMachineListing(ScalingRequests& requests, Time now) {
+    if (now < nextMachineListing_ || listingInFlight_ || !takeRequest(now)) return;
+    const auto interval = toClockDuration(settings_.cloudListLag / 2);
+    nextMachineListing_ = now + std::clamp(interval, kMinListingInterval, kMaxListingInterval);
+    listingInFlight_ = true;
+    requests.listMachines = true;
+}
+
+void Autoscaler::requestTypeListing(bool typesKnown, ScalingRequests& requests, Time now) {
+    if (now < nextTypeListing_ || !takeRequest(now)) return;
+    nextTypeListing_ = now + (typesKnown ? kTypeListingInterval : kFirstTypeListingInterval);
+    requests.listTypes = true;
+}
+
+std::vector<Machine*> Autoscaler::vanished(Fleet& fleet, const std::set<std::string>& listed,
+                                           Time requestedAt) const {
+    const auto maxLag = toClockDuration(settings_.cloudListLag * kMaxListingLags);
+    std::vector<Machine*> gone;
+    for (const auto& [id, machine] : fleet.machines()) {
+        if (listed.contains(id) || !isKnownByListingsOnly(*machine)) continue;
+        if (requestedAt - lastSeen(*machine) > maxLag) gone.push_back(machine.get());
+    }
+    return gone;
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -0,0 +1,105 @@
+#include "coordination/autoscaling/capacity_plan.h"
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+#include "bookkeeping/machine_status.h"
+#include "coordination/autoscaling/instance_selection.h"
+#include "coordination/autoscaling/zone_rules.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Job;
+using bookkeeping::Machine;
+using protocol::InstanceRequest;
+using storage::TerminalState;
+
+namespace {
+
+// Machines on which a job has failed; from then on the job is the likely cause, not the machines.
+constexpr std::size_t kMaxErrorMachines = 3;
+
+}  // namespace
+
+CapacityPlan::CapacityPlan(PlanInputs inputs)
+    : inputs_(std::move(inputs)),
+      quota_(inputs_.settings, inputs_.fleet),
+      packing_(inputs_.types),
+      offerings_(inputs_.types, inputs_.capacityErrors, inputs_.now) {
+    addMachines();
+    addPendingRequests();
+}
+
+void CapacityPlan::addMachines() {
+    for (const auto& [id, machine] : inputs_.fleet.machines())
+        if (isUsable(*machine)) packing_.addMachine(*machine, inputs_.now);
+}
+
+/// True if the machine can run tasks, or will be able to once it has booted.
+bool CapacityPlan::isUsable(const Machine& machine) const {
+    const bool leaving = machine.cloud.draining || machine.cloud.deletionRequested || machine.cloud.failed ||
+                         machine.cloud.interruptionAt;
+    if (!machine.typeInfo || leaving || machine.agent.unreachableSince || isFaulty(machine)) return false;
+    const bool lost = machine.registry.reconciled && !machine.lease.active && wasUp(machine, inputs_.replica);
+    return !lost;
+}
+
+void CapacityPlan::addPendingRequests() {
+    inputs_.pendingRequests.forEachPending([&](const InstanceRequest& request) {
+        const auto* type = bookkeeping::findType(inputs_.types, request.type);
+        if (!type) return;
+        for (std::uint32_t i = 0; i < request.count; ++i)
+            packing_.addRequestedMachine(offeringOf(request), *type);
+    });
+}
+
+void CapacityPlan::add(const Job& job) {
+    if (job.terminalState != TerminalState::none || job.run->waiting == 0) return;
+    if (job.run->errorMachines.size() >= kMaxErrorMachines) return;
+    const auto withinQuota = quota_.admit(job.spec, job.run->waiting);
+    const auto concurrency =
+        targetConcurrency(job, withinQuota, inputs_.policy, inputs_.dueTime, inputs_.now);
+    TaskDemand demand{job, bookkeeping::needOf(job.spec), concurrency, job.run->zones};
+    if (isSingleZoneGang(job.spec) && demand.tasksPerZone.empty()) {
+        const auto zone = gangZone(demand);
+        if (!zone) return;
+        demand.tasksPerZone[*zone] = 0;
+    }
+    packing_.pack(demand);
+    planMissingMachines(demand);
+}
+
+/// The zone for a gang that runs nowhere yet: one with room for all of it, or where machines can be obtained
+/// for the rest. Empty if there is none.
+std::optional<std::string> CapacityPlan::gangZone(const TaskDemand& demand) const {
+    auto roomPerZone = packing_.roomPerZone(demand);
+    for (const auto& zone : inputs_.settings.zones) roomPerZone.try_emplace(zone, 0);
+    auto requestsPerZone = packing_.neededRequestsPerZone();
+    std::vector<GangZoneCandidate> candidates;
+    for (const auto& [zone, room] : roomPerZone) {
+        if (room < demand.unpacked &&
+            !isObtainableIn(zone, demand.job.spec, inputs_.types, inputs_.capacityErrors, inputs_.now))
+            continue;
+        candidates.push_back({zone, std::min(room, demand.unpacked), requestsPerZone[zone]});
+    }
+    return selectGangZone(candidates);
+}
+
+/// Plans missing machines for the tasks that are left, as far as there are offerings for them.
+void CapacityPlan::planMissingMachines(TaskDemand& demand) {
+    if (demand.unpacked == 0) return;
+    const bool plainObtainable =
+        plainMachineObtainable(demand.job.spec, inputs_.types, inputs_.capacityErrors, inputs_.now);
+    while (demand.unpacked > 0) {
+        const auto offering = offerings_.cheapest(demand, plainObtainable, missingMachines_);
+        if (!offering) return;
+        ++missingMachines_[*offering];
+        packing_.addRequestedMachine(*offering, inputs_.types.at(offering->type));
+        const auto before = demand.unpacked;
+        packing_.packIntoLast(demand);
+        if (demand.unpacked == before) return;
+    }
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/controller/controller.cpp
@@ -0,0 +1,105 @@
+#include "coordination/controller/controller.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "base/clock.h"
+#include "coordination/controller/socket_shares.h"
+#include "transport/endpoint.h"
+#include "transport/http_message.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Change;
+using transport::Reply;
+using transport::Request;
+
+namespace {
+
+constexpr double kStoreRequestShare = 0.5;  // of the key-value store's request rate, for this controller
+
+transport::ServerLimits serverLimits(const protocol::Settings& settings, double share) {
+    transport::ServerLimits limits;
+    limits.connections = sockets::count(settings, share);
+    return limits;
+}
+
+/// The least time between two reads of the replica. Three quarters of the key-value store's request rate are
+/// divided among the controllers for reads, each followed by this pause.
+Duration readSpacing(const protocol::Settings& settings) {
+    constexpr Duration kLeast{25};
+    const double controllers = static_cast<double>(settings.peers.size()) + 1;
+    return std::max(kLeast, Duration(static_cast<int>(1000 * 1.5 * controllers /
+                                                      (settings.storeRequestsPerSecond * 0.75))));
+}
+
+}  // namespace
+
+Controller::Controller(asio::io_context& io, const protocol::Settings& settings,
+                       const protocol::Policy& policy)
+    : http_(io, sockets::count(settings, sockets::kServices)),
+      state_(http_, settings.storeAddress, settings.storeRequestsPerSecond, kStoreRequestShare, Clock::now()),
+      watcher_(
+          io, state_, replica_, [this](const std::vector<Change>& changes) { replicaChanged(changes); },
+          readSpacing(settings)),
+      election_(
+          settings, policy, state_, replica_, watcher_,
+          [this](std::uint64_t fencingToken) { leadershipGained(fencingToken); },
+          [this] { leadershipLost(); }),
+      userApi_(io, settings, state_, replica_, watcher_),
+      peerExchange_(
+          settings, replica_,
+          [this](const protocol::Cancellation& told) { watcher_.noteCancelled(told.job, told.version); }),
+      forwarder_(settings, http_, peerExchange_, sockets::count(settings, sockets::kForwards)),
+      executor_(io, settings, sockets::count(settings, sockets::kWorkers),
+                {http_, state_, watcher_, election_},
+                [this](LeaderEvent event) { events_.push(std::move(event)); }),
+      leader_(settings, policy, replica_, executor_),
+      events_(io, [this](ControllerEvent& event) { handle(event); }),
+      peers_({settings, http_, state_, replica_, peerExchange_, election_, userApi_, leader_}),
+      heartbeats_(election_, leader_, forwarder_),
+      router_(readiness_, userApi_, heartbeats_, peers_),
+      periodicTasks_(io, {state_, replica_, watcher_, election_, leader_, peers_, readiness_, overload_,
+                          http_, executor_, forwarder_}),
+      clientServer_(
+          io, transport::parseEndpoint(settings.listenAddress), serverLimits(settings, sockets::kClients),
+          [this](Request&& request, Reply reply) {
+              events_.push(IncomingRequest{std::move(request), std::move(reply), Listener::clients});
+          }),
+      peerServer_(io, transport::parseEndpoint(settings.peerListenAddress),
+                  serverLimits(settings, sockets::kPeers), [this](Request&& request, Reply reply) {
+                      events_.push(IncomingRequest{std::move(request), std::move(reply), Listener::peers});
+                  }) {
+    watcher_.start();
+    periodicTasks_.start();
+}
+
+void Controller::handle(ControllerEvent& event) {
+    if (auto* incoming = std::get_if<IncomingRequest>(&event))
+        router_.serve(*incoming);
+    else
+        leader_.handle(std::move(std::get<LeaderEvent>(event)));
+}
+
+void Controller::replicaChanged(const std::vector<Change>& changes) {
+    JobsChanged jobs;
+    for (const auto& change : changes)
+        if (change.kind == bookkeeping::ChangeKind::job) jobs.ids.push_back(change.id);
+    if (leader_.leader() && !jobs.ids.empty()) events_.push(std::move(jobs));
+}
+
+void Controller::leadershipGained(std::uint64_t fencingToken) {
+    overload_.noteLeading(Clock::now());
+    // A peer that the key-value store refuses learns of this leader from its messages alone.
+    peers_.exchangeFrom(Clock::now());
+    leader_.begin(fencingToken);
+}
+
+void Controller::leadershipLost() {
+    spdlog::info("no longer leading");
+    leader_.end();
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -0,0 +1,177 @@
+#include "coordination/scheduling/gang_planner.h"
+
+#include <algorithm>
+#include <chrono>
+#include <map>
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Fleet;
+using bookkeeping::Job;
+using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
+using bookkeeping::PlacementState;
+using protocol::Settings;
+using storage::TerminalState;
+
+namespace {
+
+// Bounds the cost of planning, which walks over the fleet.
+constexpr std::chrono::milliseconds kPlanInterval{200};
+// The gang's other tasks wait for a lost one's replacement until `gangWaitTimeout`. A replacement is started
+// only within this share of that time, so that it can be fetched and ready before they time out.
+constexpr double kMaxShareOfGangWait = 0.3;
+
+// Scores of a machine; their sum decides. Each one outweighs all smaller ones together.
+constexpr int kAllHaveImageScore = 8;  // no task of the gang has to fetch, and a gang waits for its slowest
+constexpr int kReservedScore = 4;      // reserved for the gang
+constexpr int kOnDemandScore = 2;      // the interruption of a spot machine stops the whole gang
+constexpr int kHasImageScore = 1;
+
+int scoreOf(const Machine& machine, const Job& job) {
+    int score = 0;
+    if (machine.reservation.job == &job) score += kReservedScore;
+    if (!machine.spot) score += kOnDemandScore;
+    if (machine.hasImage(job.image())) score += kHasImageScore;
+    return score;
+}
+
+bool hasFreeGpus(const Machine& machine, double gpus) {
+    return machine.typeInfo->gpus - machine.use.total.gpus >= gpus - kResourceTolerance;
+}
+
+}  // namespace
+
+GangPlanner::GangPlanner(const Settings& settings, Fleet& fleet, const MachineTypes& types,
+                         const PlacementConstraints& constraints, JobQueue& jobQueue,
+                         ZoneReservations& zoneReservations, AttemptIdGenerator& attempts)
+    : settings_(settings),
+      fleet_(fleet),
+      types_(types),
+      constraints_(constraints),
+      jobQueue_(jobQueue),
+      zoneReservations_(zoneReservations),
+      attemptIds_(attempts) {}
+
+void GangPlanner::plan(Time now) {
+    if (now < nextPlan_) return;
+    nextPlan_ = now + kPlanInterval;
+    const auto machines = machinesWithCapacity(now);
+    for (auto* job : jobQueue_.waiting())
+        if (isDue(*job, now)) planGang(machines, *job, now);
+}
+
+GangPlanner::Machines GangPlanner::machinesWithCapacity(Time now) const {
+    Machines machines;
+    for (const auto& [id, machine] : fleet_.machines()) {
+        if (!hasFreeCpus(*machine, jobQueue_.minCpus())) continue;
+        if (usable(*machine, now)) machines.push_back(machine.get());
+    }
+    return machines;
+}
+
+bool GangPlanner::isDue(const Job& job, Time now) const {
+    if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return false;
+    if (job.run->waiting == 0 || job.run->backoffUntil > now || !mayComplete(job, now)) return false;
+    if (blockedByUnreconciled(job, fleet_)) return false;
+    return withinTeamQuota(job, job.run->waiting, fleet_, types_);
+}
+
+bool GangPlanner::mayComplete(const Job& job, Time now) const {
+    const auto& run = *job.run;
+    if (run.placedTotal == 0) return true;
+    if (run.placedTotal + run.waiting != job.spec.tasks || run.running > 0) return false;
+    const auto maxWait = settings_.gangWaitTimeout * kMaxShareOfGangWait;
+    const auto placements = fleet_.placementsOf(job);
+    return std::all_of(placements.begin(), placements.end(), [&](const auto& entry) {
+        const auto& placement = *entry.second;
+        if (placement.stopping || placement.attempt != run.gangAttempt) return false;
+        if (placement.state > PlacementState::waiting) return false;
+        return placement.state != PlacementState::waiting || Seconds(now - placement.since) < maxWait;
+    });
+}
+
+void GangPlanner::planGang(const Machines& machines, Job& job, Time now) {
+    if (!job.spec.singleZone) {
+        planIn(kAllZones, machines, job, now);
+        return;
+    }
+    for (const auto& zone : settings_.zones)
+        if (zoneAllows(job, zone) && planIn(zone, machines, job, now)) return;
+}
+
+/// Plans the whole gang on machines in the zone. False, with nothing planned, if it does not fit there.
+bool GangPlanner::planIn(const std::string& zone, const Machines& machines, Job& job, Time now) {
+    auto candidates = candidatesIn(zone, machines, job, now);
+    const auto waiting = job.run->waiting;
+    std::uint32_t fitting = 0;
+    std::uint32_t fittingWithImage = 0;
+    for (const auto& candidate : candidates) {
+        fitting += candidate.tasks;
+        if (candidate.hasImage) fittingWithImage += candidate.tasks;
+    }
+    if (fitting < waiting) return false;
+    if (fittingWithImage >= waiting)
+        for (auto& candidate : candidates) candidate.score += candidate.hasImage ? kAllHaveImageScore : 0;
+    std::stable_sort(candidates.begin(), candidates.end(),
+                     [](const Candidate& a, const Candidate& b) { return a.score > b.score; });
+    const auto chosen = choose(candidates, job);
+    if (chosen.size() < waiting) return false;
+    place(chosen, job, now);
+    return true;
+}
+
+std::vector<GangPlanner::Candidate> GangPlanner::candidatesIn(const std::string& zone,
+                                                              const Machines& machines, const Job& job,
+                                                              Time now) const {
+    const auto need = bookkeeping::needOf(job.spec);
+    std::vector<Candidate> candidates;
+    for (auto* machine : machines) {
+        if (zone != kAllZones && machine->zone != zone) continue;
+        if (!isCandidate(*machine, job, now)) continue;
+        const auto tasks = availableCapacity(*machine, job, now).times(need);
+        if (tasks == 0) continue;
+        candidates.push_back({machine, tasks, scoreOf(*machine, job), machine->hasImage(job.image())});
+    }
+    return candidates;
+}
+
+bool GangPlanner::isCandidate(const Machine& machine, const Job& job, Time now) const {
+    if (!hasFreeGpus(machine, job.spec.gpus) || !hasFreeCpus(machine, job.spec.cpus)) return false;
+    if (!constraints_.mayStart(job, machine, now)) return false;
+    // A machine that lost a task of this attempt must not get a replacement under the same attempt number.
+    return job.run->placedTotal == 0 || !job.run->machinesLeft.contains(machine.id);
+}
+
+/// A machine for each waiting task, the first candidates first; fewer if the zones allow no more.
+GangPlanner::Machines GangPlanner::choose(const std::vector<Candidate>& candidates, const Job& job) {
+    Machines chosen;
+    std::map<std::string, std::uint32_t> tasksInZone = job.run->zones;
+    const auto maxInZone = maxTasksInZone(job.spec);
+    for (const auto& candidate : candidates) {
+        auto& inZone = tasksInZone.try_emplace(candidate.machine->zone, 0).first->second;
+        const auto zoneLeft = maxInZone - std::min(maxInZone, inZone);
+        const auto gangLeft = static_cast<std::uint32_t>(job.run->waiting - chosen.size());
+        const auto count = std::min({candidate.tasks, zoneLeft, gangLeft});
+        inZone += count;
+        chosen.insert(chosen.end(), count, candidate.machine);
+    }
+    return chosen;
+}
+
+void GangPlanner::place(const Machines& chosen, Job& job, Time now) {
+    if (job.run->placedTotal == 0) {
+        job.run->gangAttempt = attemptIds_.next();
+        job.run->machinesLeft.clear();
+    }
+    std::uint32_t task = 0;
+    for (auto* machine : chosen) {
+        while (!job.isWaiting(task)) ++task;
+        fleet_.place(*machine, job, task, job.run->gangAttempt, PlacementState::planned, now);
+        if (machine->reservation.job == &job) fleet_.cancelReservation(*machine);
+    }
+    zoneReservations_.release(job);
+    jobQueue_.markStale();
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/scheduling/job_activator.h
@@ -0,0 +1,31 @@
+#pragma once
+
+// Begins the run of a job: from then on this leader places its tasks. Owns no state; the runs belong to the
+// jobs. Used on the leader's thread.
+
+#include "base/clock.h"
+#include "base/wall_clock.h"
+#include "bookkeeping/job.h"
+#include "coordination/scheduling/job_queue.h"
+#include "coordination/state/state_writer.h"
+#include "protocol/settings.h"
+
+namespace burlpoint::coordination {
+
+class JobActivator {
+  public:
+    /// All are kept by reference and have to outlive this.
+    JobActivator(const protocol::Settings& settings, const WallClock& wallClock, JobQueue& jobQueue,
+                 StateWriter& writer);
+
+    /// Begins the run of a job that has none and adds it to the job queue.
+    void begin(bookkeeping::Job& job, bookkeeping::JobOrigin origin, Time now);
+
+  private:
+    const protocol::Settings& settings_;
+    const WallClock& wallClock_;
+    JobQueue& jobQueue_;
+    StateWriter& writer_;
+};
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/state/state_writer.cpp
@@ -0,0 +1,85 @@
+#include "coordination/state/state_writer.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "storage/records.h"
+
+namespace burlpoint::coordination {
+
+using storage::TransactionStatus;
+
+StateWriter::StateWriter(const protocol::Settings& settings, bookkeeping::StateReplica& replica,
+                         bookkeeping::Fleet& fleet, MachineRegistry& registry,
+                         const std::map<std::string, protocol::MachineType>& types,
+                         const WallClock& wallClock, Time now)
+    : replica_(replica),
+      registry_(registry),
+      pending_(replica, fleet, registry, types, wallClock),
+      limits_(settings),
+      pacing_(settings, now) {}
+
+std::string StateWriter::summary() const {
+    return "write_under_way=" + std::to_string(underWay_.has_value()) +
+           " refreshing_replica=" + std::to_string(refreshing_) +
+           " unstored_jobs=" + std::to_string(pending_.unstoredJobs()) +
+           " registry_additions=" + std::to_string(registry_.additions().size()) +
+           " registry_removals=" + std::to_string(registry_.removals().size());
+}
+
+std::optional<WriteState> StateWriter::nextWrite(Time now) {
+    if (underWay_ || refreshing_ || !pacing_.ready(now)) return std::nullopt;
+    limits_.dropExpiredDeferrals(now);
+    const auto maxWrites = std::min(limits_.maxWrites(), pacing_.allowedWrites(now));
+    TransactionDraft draft(limits_, maxWrites, replica_.tokenVersion);
+    pending_.fill(draft, now);
+    if (draft.empty()) return std::nullopt;
+    pacing_.noteSent(draft.contents.keys.size(), now);
+    underWay_ = std::move(draft.contents);
+    return draft.takeState();
+}
+
+StateWriter::WriteOutcome StateWriter::handle(const StateWritten& written, Time now) {
+    const auto transaction = std::exchange(underWay_, std::nullopt).value_or(TransactionContents{});
+    const auto& result = written.result;
+    pacing_.noteAnswered(now);
+    if (result.status != TransactionStatus::applied) pending_.noteNotApplied(transaction);
+    switch (result.status) {
+        case TransactionStatus::applied:
+            return applied(transaction, result.revision, now);
+        case TransactionStatus::tooLarge:
+            limits_.shrink(transaction, now);
+            PendingWrites::retryBitmaps(transaction, now);
+            return {};
+        case TransactionStatus::tooMany:
+            pacing_.noteTooMany(now);
+            return {};
+        case TransactionStatus::refused:
+            pacing_.noteRefused(now);
+            return {};
+        case TransactionStatus::conflict:
+            if (tokenRaised(result)) return {FollowUp::resign, {}, {}};
+            break;
+        case TransactionStatus::noLease:
+        case TransactionStatus::unknown:
+            break;
+    }
+    // Another controller has stored a cancellation, or the outcome is unknown. Only a read tells what is
+    // stored now.
+    refreshing_ = true;
+    return {FollowUp::refreshReplica, {}, {}};
+}
+
+StateWriter::WriteOutcome StateWriter::applied(const TransactionContents& transaction, std::uint64_t revision,
+                                               Time now) {
+    limits_.grow(now);
+    auto effects = pending_.noteApplied(transaction, revision);
+    return {FollowUp::none, std::move(effects.ended), std::move(effects.changes)};
+}
+
+bool StateWriter::tokenRaised(const storage::TransactionResult& result) {
+    const auto& failed = result.failed;
+    return std::find(failed.begin(), failed.end(), storage::keys::kToken) != failed.end();
+}
+
+}  // namespace burlpoint::coordination
--- /dev/null
+++ b/src/coordination/workers/worker_commands.cpp
@@ -0,0 +1,82 @@
+#include "coordination/workers/worker_commands.h"
+
+#include "base/clock.h"
+
+namespace burlpoint::coordination {
+
+using bookkeeping::Job;
+using bookkeeping::Placement;
+using bookkeeping::PlacementState;
+using protocol::CommandKind;
+using protocol::ExitReason;
+using protocol::TaskState;
+using protocol::TaskStatus;
+using protocol::WorkerCommand;
+using storage::TerminalState;
+
+namespace {
+
+/// The task belongs to no known job.
+bool isUnknown(const TaskStatus& task, const Job* job) {
+    return !job || task.attempt.task >= job->spec.tasks;
+}
+
+/// May the worker forget the exited task? Until a result is stored, the heartbeat is its only record.
+bool mayAcknowledge(const TaskStatus& task, const Job& job) {
+    return task.why != ExitReason::done || job.terminalState != TerminalState::none ||
+           job.isDone(task.attempt.task) || job.spec.kind == protocol::JobKind::service;
+}
+
+/// The worker's status shows that it has received the stop and is saving the task's progress.
+bool isStopReceived(const Placement& placement) {
+    return placement.state == PlacementState::saving && placement.grace > Seconds(0);
+}
+
+bool needsStop(const Placement& placement) {
+    return placement.stopping && placement.state != PlacementState::planned && !isStopReceived(placement);
+}
+
+}  // namespace
+
+std::vector<WorkerCommand> stopCommands(const bookkeeping::Machine& machine) {
+    std::vector<WorkerCommand> commands;
+    for (const auto& [key, placement] : machine.placements) {
+        if (commands.size() >= kMaxCommands) break;
+        if (!needsStop(placement)) continue;
+        commands.push_back({CommandKind::stop,
+                            {placement.job->spec.id, placement.task, placement.attempt},
+                            placement.grace});
+    }
+    return commands;
+}
+
+std::vector<WorkerCommand> stopsOfTerminatedJobs(const protocol::Heartbeat& heartbeat,
+                                                 bookkeeping::StateReplica& replica) {
+    // The response renews the worker's lease. Without these stops, cancelled tasks would run on for another
+    // lease with each change of leader. Stopping a task of a terminated job is right however old the list is.
+    std::vector<WorkerCommand> commands;
+    for (const auto& task : heartbeat.tasks) {
+        if (commands.size() >= kMaxCommands) break;
+        const auto* job = replica.find(task.attempt.job);
+        if (job && job->terminalState != TerminalState::none && task.state != TaskState::exited)
+            commands.push_back({CommandKind::stop, task.attempt, Seconds(0)});
+    }
+    return commands;
+}
+
+CommandFit addCleanupCommands(const protocol::Heartbeat& heartbeat, bookkeeping::StateReplica& replica,
+                              std::vector<WorkerCommand>& commands) {
+    for (const auto& task : heartbeat.tasks) {
+        if (commands.size() >= kMaxCommands) return CommandFit::truncated;
+        const auto* job = replica.find(task.attempt.job);
+        const bool unknown = isUnknown(task, job);
+        if (task.state != TaskState::exited) {
+            if (unknown) commands.push_back({CommandKind::stop, task.attempt, Seconds(0)});
+        } else if (unknown || mayAcknowledge(task, *job)) {
+            commands.push_back({CommandKind::acknowledge, task.attempt, Seconds(0)});
+        }
+    }
+    return CommandFit::complete;
+}
+
+}  // namespace burlpoint::coordination
--- a/src/coordination/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -1,8 +1,11 @@
-#include "coordination/responses.h"
+#include "protocol/responses.h"
+
+#include <utility>
 
 #include "protocol/job_messages.h"
+#include "transport/http_status.h"
 
-namespace burlpoint::coordination {
+namespace burlpoint::protocol {
 
 using transport::Response;
 
@@ -13,16 +16,16 @@
     return response;
 }
 
-Response retryLater(int status, std::string_view why, std::chrono::seconds after) {
-    auto response = respond(status, protocol::errorReply(why));
-    response.retryAfter = after;
+Response retryLater(int status, std::string_view why, std::chrono::seconds retryAfter) {
+    auto response = respond(status, errorReply(why));
+    response.retryAfter = retryAfter;
     return response;
 }
 
 Response wrongMethod(const char* allow, std::string body) {
-    auto response = respond(405, std::move(body));
+    auto response = respond(transport::http_status::kMethodNotAllowed, std::move(body));
     response.allow = allow;
     return response;
 }
 
-}  // namespace burlpoint::coordination
+}  // namespace burlpoint::protocol
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -2,130 +2,163 @@
 
 #include <charconv>
 
-#include "protocol/vocabulary.h"
+#include "protocol/enum_names.h"
+#include "protocol/errors.h"
+#include "protocol/map_reader.h"
+#include "protocol/message_packer.h"
+#include "protocol/wire_names.h"
 
 namespace burlpoint::protocol {
 
 namespace {
 
-constexpr Vocabulary<TaskState, 5> kTaskStates{{{"fetching", TaskState::fetching},
-                                                {"waiting", TaskState::waiting},
-                                                {"running", TaskState::running},
-                                                {"saving", TaskState::saving},
-                                                {"exited", TaskState::exited}}};
-constexpr Vocabulary<ExitReason, 8> kReasons{{{"done", ExitReason::done},
-                                              {"halted", ExitReason::stopped},
-                                              {"peers", ExitReason::peers},
-                                              {"alone", ExitReason::alone},
-                                              {"error", ExitReason::error},
-                                              {"full", ExitReason::noRoom},
-                                              {"busy", ExitReason::busy},
-                                              {"no_such", ExitReason::unknown}}};
-constexpr Vocabulary<Op, 3> kOps{{{"start", Op::start}, {"kill", Op::stop}, {"clear", Op::forget}}};
+constexpr EnumNames<TaskState, 5> kTaskStates{{{"fetching", TaskState::fetching},
+                                               {"waiting", TaskState::waiting},
+                                               {"running", TaskState::running},
+                                               {"saving", TaskState::saving},
+                                               {"exited", TaskState::exited}}};
+constexpr EnumNames<ExitReason, 8> kExitReasons{{{"done", ExitReason::done},
+                                                 {"halted", ExitReason::stopped},
+                                                 {"peers", ExitReason::peers},
+                                                 {"alone", ExitReason::alone},
+                                                 {"error", ExitReason::error},
+                                                 {"full", ExitReason::noRoom},
+                                                 {"busy", ExitReason::busy},
+                                                 {"no_such", ExitReason::unknown}}};
+constexpr EnumNames<CommandKind, 3> kCommandKinds{
+    {{"start", CommandKind::start}, {"kill", CommandKind::stop}, {"clear", CommandKind::acknowledge}}};
 
 std::string taskName(const Attempt& attempt) { return attempt.job + "/" + std::to_string(attempt.task); }
 
-Attempt parseAttempt(const Fields& fields) {
-    const auto name = fields.textView("hand");
+[[noreturn]] void throwNotATask(std::string_view name) {
+    throw MalformedMessage("not a task: " + std::string(name));
+}
+
+Attempt decodeAttempt(const MapReader& fields) {
+    const auto name = fields.textView(wire::worker::kTask);
     const auto slash = name.find('/');
+    if (slash == std::string_view::npos || !isJobId(name.substr(0, slash))) throwNotATask(name);
     Attempt attempt;
-    if (slash == std::string_view::npos || !isJobId(name.substr(0, slash)))
-        throw Malformed("not a task: " + std::string(name));
     attempt.job = name.substr(0, slash);
     const char* end = name.data() + name.size();
     const auto [stop, error] = std::from_chars(name.data() + slash + 1, end, attempt.task);
-    if (error != std::errc() || stop != end || attempt.task >= kMaxTasks)
-        throw Malformed("not a task: " + std::string(name));
-    attempt.number = fields.integer("launch");
+    if (error != std::errc() || stop != end || attempt.task >= kMaxTasks) throwNotATask(name);
+    attempt.number = fields.integer(wire::worker::kAttempt);
     return attempt;
 }
 
-void packOrders(Packer& packer, const std::vector<Order>& orders) {
-    packer.key("orders").list(orders.size());
-    for (const auto& order : orders) {
-        packer.map(order.op == Op::stop ? 4 : 3);
-        packer.field("order", wordFor(kOps, order.op));
-        packer.field("hand", taskName(order.attempt));
-        packer.field("launch", order.attempt.number);
-        if (order.op == Op::stop) packer.field("moorS", order.grace.count());
+void packAttempt(MessagePacker& packer, const Attempt& attempt) {
+    packer.field(wire::worker::kTask, taskName(attempt));
+    packer.field(wire::worker::kAttempt, attempt.number);
+}
+
+TaskStatus decodeTaskStatus(const MapReader& fields) {
+    TaskStatus task;
+    task.attempt = decodeAttempt(fields);
+    task.state = parseEnum(kTaskStates, fields.textView(wire::kState));
+    if (task.state == TaskState::exited)
+        task.why = parseEnum(kExitReasons, fields.textView(wire::worker::kExitReason));
+    task.saved = fields.flagOr(wire::worker::kCheckpointed, false);
+    return task;
+}
+
+void packTaskStatus(MessagePacker& packer, const TaskStatus& task) {
+    const bool exited = task.state == TaskState::exited;
+    packer.map(3 + exited + task.saved);
+    packAttempt(packer, task.attempt);
+    packer.field(wire::kState, enumName(kTaskStates, task.state));
+    if (exited) packer.field(wire::worker::kExitReason, enumName(kExitReasons, task.why));
+    if (task.saved) packer.field(wire::worker::kCheckpointed, true);
+}
+
+void packCommands(MessagePacker& packer, const std::vector<WorkerCommand>& commands) {
+    packer.key(wire::worker::kCommands).list(commands.size());
+    for (const auto& command : commands) {
+        const bool hasGrace = command.kind == CommandKind::stop;
+        packer.map(hasGrace ? 4 : 3);
+        packer.field(wire::worker::kCommandKind, enumName(kCommandKinds, command.kind));
+        packAttempt(packer, command.attempt);
+        if (hasGrace) packer.field(wire::worker::kGraceS, command.grace.count());
     }
 }
 
 }  // namespace
 
-Report decodeReport(std::string_view body) {
+Heartbeat decodeHeartbeat(std::string_view body) {
     const auto handle = unpackBody(body);
-    const Fields f(handle.get());
-    Report r;
-    r.machine = f.text("bollard");
-    r.address = f.text("address");
-    r.type = f.text("hull");
-    r.zone = f.text("quay");
-    r.spot = f.flag("driftwood");
-    r.session = f.integer("watch");
-    r.sequence = f.integer("knot");
-    r.token = f.integer("helm");
-    if (const auto notice = f.maybeAmount("recallS")) r.notice = Seconds(*notice);
-    r.tasks.reserve(f.size("hands"));
-    f.each("hands", [&](const msgpack::object& element) {
-        const Fields t(element);
-        auto& task = r.tasks.emplace_back();
-        task.attempt = parseAttempt(t);
-        task.state = parseWord(kTaskStates, t.textView("bearing"));
-        if (task.state == TaskState::exited) task.why = parseWord(kReasons, t.textView("wreck"));
-        task.saved = t.flagOr("stored", false);
+    const MapReader fields(handle.get());
+    Heartbeat heartbeat;
+    heartbeat.machine = fields.text(wire::kMachine);
+    heartbeat.address = fields.text(wire::kAddress);
+    heartbeat.type = fields.text(wire::kMachineType);
+    heartbeat.zone = fields.text(wire::kZone);
+    heartbeat.spot = fields.flag(wire::kSpot);
+    heartbeat.incarnation = fields.integer(wire::worker::kIncarnation);
+    heartbeat.sequence = fields.integer(wire::worker::kSequence);
+    heartbeat.fencingToken = fields.integer(wire::worker::kFencingToken);
+    if (const auto notice = fields.maybeAmount(wire::worker::kInterruptionNoticeS))
+        heartbeat.interruptionNotice = Seconds(*notice);
+    heartbeat.tasks.reserve(fields.size(wire::kTasks));
+    fields.each(wire::kTasks, [&](const msgpack::object& element) {
+        heartbeat.tasks.push_back(decodeTaskStatus(MapReader(element)));
     });
-    return r;
+    return heartbeat;
 }
 
-std::string encodeReport(const Report& r) {
-    Packer p;
-    p.map(10).field("bollard", r.machine).field("address", r.address).field("hull", r.type);
-    p.field("quay", r.zone).field("driftwood", r.spot).field("watch", r.session).field("knot", r.sequence);
-    p.field("helm", r.token);
-    r.notice ? p.field("recallS", r.notice->count()) : p.nil("recallS");
-    p.key("hands").list(r.tasks.size());
-    for (const auto& task : r.tasks) {
-        const bool exited = task.state == TaskState::exited;
-        p.map(3 + exited + task.saved);
-        p.field("hand", taskName(task.attempt)).field("launch", task.attempt.number);
-        p.field("bearing", wordFor(kTaskStates, task.state));
-        if (exited) p.field("wreck", wordFor(kReasons, task.why));
-        if (task.saved) p.field("stored", true);
-    }
-    return p.take();
+std::string encodeHeartbeat(const Heartbeat& heartbeat) {
+    MessagePacker packer;
+    packer.map(10);
+    packer.field(wire::kMachine, heartbeat.machine);
+    packer.field(wire::kAddress, heartbeat.address);
+    packer.field(wire::kMachineType, heartbeat.type);
+    packer.field(wire::kZone, heartbeat.zone);
+    packer.field(wire::kSpot, heartbeat.spot);
+    packer.field(wire::worker::kIncarnation, heartbeat.incarnation);
+    packer.field(wire::worker::kSequence, heartbeat.sequence);
+    packer.field(wire::worker::kFencingToken, heartbeat.fencingToken);
+    if (heartbeat.interruptionNotice)
+        packer.field(wire::worker::kInterruptionNoticeS, heartbeat.interruptionNotice->count());
+    else
+        packer.nil(wire::worker::kInterruptionNoticeS);
+    packer.key(wire::kTasks).list(heartbeat.tasks.size());
+    for (const auto& task : heartbeat.tasks) packTaskStatus(packer, task);
+    return packer.take();
 }
 
-std::string encodeReportReply(std::uint64_t token, const std::vector<Order>& orders) {
-    Packer p;
-    p.map(2).field("helm", token);
-    packOrders(p, orders);
-    return p.take();
+std::string encodeHeartbeatResponse(std::uint64_t fencingToken, const std::vector<WorkerCommand>& commands) {
+    MessagePacker packer;
+    packer.map(2).field(wire::worker::kFencingToken, fencingToken);
+    packCommands(packer, commands);
+    return packer.take();
 }
 
-std::string encodeDirectOrders(std::uint64_t token, std::uint64_t session, const std::vector<Order>& orders) {
-    Packer p;
-    p.map(3).field("helm", token).field("watch", session);
-    packOrders(p, orders);
-    return p.take();
+std::string encodeDirectCommands(std::uint64_t fencingToken, std::uint64_t incarnation,
+                                 const std::vector<WorkerCommand>& commands) {
+    MessagePacker packer;
+    packer.map(3).field(wire::worker::kFencingToken, fencingToken);
+    packer.field(wire::worker::kIncarnation, incarnation);
+    packCommands(packer, commands);
+    return packer.take();
 }
 
-std::vector<Order> decodeOrders(std::string_view body) {
+std::vector<WorkerCommand> decodeCommands(std::string_view body) {
     const auto handle = unpackBody(body);
-    std::vector<Order> orders;
-    Fields(handle.get()).each("orders", [&](const msgpack::object& element) {
-        const Fields f(element);
-        Order order;
-        order.op = parseWord(kOps, f.textView("order"));
-        order.attempt = parseAttempt(f);
-        if (order.op == Op::stop) order.grace = Seconds(f.amount("moorS"));
-        orders.push_back(std::move(order));
+    std::vector<WorkerCommand> commands;
+    MapReader(handle.get()).each(wire::worker::kCommands, [&](const msgpack::object& element) {
+        const MapReader fields(element);
+        WorkerCommand command;
+        command.kind = parseEnum(kCommandKinds, fields.textView(wire::worker::kCommandKind));
+        command.attempt = decodeAttempt(fields);
+        if (command.kind == CommandKind::stop) command.grace = Seconds(fields.amount(wire::worker::kGraceS));
+        commands.push_back(std::move(command));
     });
-    return orders;
+    return commands;
 }
 
-std::string encodeElsewhere(const std::string& leader) {
-    return leader.empty() ? Packer().map(0).take() : Packer().map(1).field("harbormaster", leader).take();
+std::string encodeRedirect(const std::string& leader) {
+    MessagePacker packer;
+    if (leader.empty()) return packer.map(0).take();
+    return packer.map(1).field(wire::worker::kLeader, leader).take();
 }
 
 }  // namespace burlpoint::protocol
--- /dev/null
+++ b/src/transport/http_message.h
@@ -0,0 +1,31 @@
+#pragma once
+
+// The HTTP requests that the server hands to its handler, and the responses that come back. Holds no state.
+
+#include <chrono>
+#include <functional>
+#include <string>
+
+namespace burlpoint::transport {
+
+struct Request {
+    std::string method;
+    std::string path;   ///< of the target, up to "?"
+    std::string query;  ///< of the target, after "?"
+    std::string body;
+    bool tooLarge = false;  ///< the body is larger than the server's limit; `body` is incomplete
+};
+
+struct Response {
+    int status = 200;
+    std::string body;                    ///< MessagePack, or empty
+    std::chrono::seconds retryAfter{0};  ///< Retry-After header; 0: none
+    std::string allow;                   ///< Allow header, the methods of a 405; empty: none
+};
+
+/// Sends the response to a request. May be called later, on the event loop's thread. Only the first call
+/// counts, and none does once the connection is closed.
+using Reply = std::function<void(Response)>;
+using Handler = std::function<void(Request&&, Reply)>;
+
+}  // namespace burlpoint::transport
--- a/tests/readiness_test.cpp
+++ b/tests/api/readiness_test.cpp
@@ -1,20 +1,21 @@
-#include "coordination/readiness.h"
+#include "coordination/api/readiness.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
-using transport::Time;
 
-TEST(Readiness, ANodeThatWasNeverAbleIsNotReady) {
+TEST(Readiness, NeverHealthyIsNotReady) {
     coordination::Readiness readiness;
     EXPECT_FALSE(readiness.ready());
     readiness.update(false, Time{1000s});
     EXPECT_FALSE(readiness.ready());
 }
 
-// A moment without ability starts the wait anew.
-TEST(Readiness, ThePenaltyIsServedWithoutABreak) {
+// A moment of ill health during the hold-down starts it anew.
+TEST(Readiness, InterruptedHoldDownStartsAnew) {
     coordination::Readiness readiness;
     Time now{1000s};
     readiness.update(true, now);
@@ -30,7 +31,7 @@
     EXPECT_TRUE(readiness.ready());
 }
 
-TEST(Readiness, EachLossCostsMore) {
+TEST(Readiness, HoldDownGrowsWithEachLoss) {
     coordination::Readiness readiness;
     Time now{1000s};
     readiness.update(true, now);
--- a/tests/submission_queue_test.cpp
+++ b/tests/api/submission_queue_test.cpp
@@ -1,7 +1,9 @@
-#include "coordination/submission_queue.h"
+#include "coordination/api/submission_queue.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::Submission;
@@ -9,31 +11,31 @@
 
 namespace {
 
-const transport::Time kStart{1000s};
+const Time kStart{1000s};
 
-/// 30 changes a second for submissions, so 30 at once and 36 within the longest wait.
+/// A write budget of 30 a second for submissions, so 30 at once and 36 within the longest wait.
 protocol::Settings settings() {
     protocol::Settings s;
-    s.stateWriteRps = 100;
+    s.storeWritesPerSecond = 100;
     return s;
 }
 
-Submission submission(const std::string& id, const std::string& team = "a", transport::Time since = kStart) {
+Submission submission(const std::string& id, const std::string& team = "a", Time queuedAt = kStart) {
     Submission s;
     s.spec.id = id;
     s.spec.team = team;
-    s.since = since;
+    s.queuedAt = queuedAt;
     return s;
 }
 
-std::string nextId(SubmissionQueue& queue, transport::Time now = kStart) {
+std::string nextId(SubmissionQueue& queue, Time now = kStart) {
     const auto taken = queue.takeNext(now);
     return taken ? taken->spec.id : "none";
 }
 
 }  // namespace
 
-TEST(SubmissionQueue, TeamsTakeTurns) {
+TEST(SubmissionQueue, TeamsAreServedRoundRobin) {
     SubmissionQueue queue(settings(), kStart);
     EXPECT_TRUE(queue.empty());
     for (const auto* id : {"wk-1", "wk-2", "wk-3"}) queue.add(submission(id, "a"));
@@ -45,41 +47,41 @@
     EXPECT_EQ(nextId(queue), "none");
 }
 
-TEST(SubmissionQueue, NoMoreAreStoredAtATimeThanMayBe) {
+TEST(SubmissionQueue, WritesInFlightAreLimited) {
     SubmissionQueue queue(settings(), kStart);
     for (int i = 0; i < 10; ++i) queue.add(submission("wk-" + std::to_string(i)));
     for (int i = 0; i < 8; ++i) EXPECT_EQ(nextId(queue), "wk-" + std::to_string(i));
     EXPECT_EQ(nextId(queue), "none");
-    queue.stored();
+    queue.writeCompleted();
     EXPECT_EQ(nextId(queue), "wk-8");
     EXPECT_EQ(nextId(queue), "none");
 }
 
-TEST(SubmissionQueue, TheStateServicesRateIsKept) {
+TEST(SubmissionQueue, WriteBudgetLimitsTheRate) {
     SubmissionQueue queue(settings(), kStart);
     for (int i = 0; i < 40; ++i) queue.add(submission("wk-" + std::to_string(i)));
     int taken = 0;
     while (queue.takeNext(kStart)) {
-        queue.stored();
+        queue.writeCompleted();
         ++taken;
     }
     EXPECT_EQ(taken, 30);  // a second's worth
     EXPECT_TRUE(queue.takeNext(kStart + 100ms));
 }
 
-TEST(SubmissionQueue, ARefusedOneIsTheNextOfItsTeam) {
+TEST(SubmissionQueue, RequeuedSubmissionIsTheNextOfItsTeam) {
     SubmissionQueue queue(settings(), kStart);
     queue.add(submission("wk-1"));
     queue.add(submission("wk-2"));
     auto refused = queue.takeNext(kStart);
     ASSERT_TRUE(refused);
-    queue.stored();
-    queue.putBack(std::move(*refused));
+    queue.writeCompleted();
+    queue.requeue(std::move(*refused));
     EXPECT_EQ(nextId(queue), "wk-1");
     EXPECT_EQ(nextId(queue), "wk-2");
 }
 
-TEST(SubmissionQueue, WhatWaitsForTooLongIsGivenBack) {
+TEST(SubmissionQueue, ExpiredSubmissionsAreReturned) {
     SubmissionQueue queue(settings(), kStart);
     queue.add(submission("wk-1", "a", kStart));
     queue.add(submission("wk-2", "a", kStart + 1s));
@@ -93,16 +95,16 @@
     EXPECT_TRUE(queue.empty());
 }
 
-TEST(SubmissionQueue, WhatCannotBeStoredSoonIsTurnedAwayWithATime) {
+TEST(SubmissionQueue, FullQueueReturnsRetryAfter) {
     SubmissionQueue queue(settings(), kStart);
     int added = 0;
-    while (!queue.retryAfter(kStart)) queue.add(submission("wk-" + std::to_string(added++)));
-    EXPECT_EQ(added, 37);  // 36 are stored within the 1.2 s, and one more may wait behind them
-    EXPECT_EQ(queue.retryAfter(kStart), 2s);
+    while (!queue.retryAfterIfFull(kStart)) queue.add(submission("wk-" + std::to_string(added++)));
+    EXPECT_EQ(added, 37);  // 36 are stored within kMaxWait, and one more may wait behind them
+    EXPECT_EQ(queue.retryAfterIfFull(kStart), 2s);
     auto slow = settings();
-    slow.stateWriteRps = 0.1;
+    slow.storeWritesPerSecond = 0.1;
     SubmissionQueue slowQueue(slow, kStart);
-    EXPECT_FALSE(slowQueue.retryAfter(kStart));
+    EXPECT_FALSE(slowQueue.retryAfterIfFull(kStart));
     slowQueue.add(submission("wk-1"));
-    EXPECT_EQ(slowQueue.retryAfter(kStart), 30s);
+    EXPECT_EQ(slowQueue.retryAfterIfFull(kStart), 30s);
 }
--- /dev/null
+++ b/tests/autoscaling/capacity_plan_test.cpp
@@ -0,0 +1,292 @@
+#include "coordination/autoscaling/capacity_plan.h"
+
+#include <gtest/gtest.h>
+
+#include "base/clock.h"
+#include "bookkeeping/machine_types.h"
+
+namespace burlpoint::tests {
+
+using namespace std::chrono_literals;
+using bookkeeping::Fleet;
+using bookkeeping::Job;
+using bookkeeping::Machine;
+using bookkeeping::MachineTypes;
+using bookkeeping::Offering;
+using bookkeeping::RegistrationState;
+using coordination::CapacityPlan;
+using coordination::MissingMachines;
+using protocol::JobKind;
+using protocol::JobSpec;
+
+namespace {
+
+using Names = std::set<std::string>;
+
+JobSpec make(const std::string& id, std::uint32_t tasks, double cpus, JobKind kind = JobKind::service) {
+    JobSpec spec;
+    spec.id = id;
+    spec.team = "free";
+    spec.tasks = tasks;
+    spec.cpus = cpus;
+    spec.kind = kind;
+    return spec;
+}
+
+}  // namespace
+
+/// Plans over a hand-made fleet. Plain machines have the lowest price per processor.
+struct CapacityPlanTest : testing::Test {
+    protocol::Settings settings;
+    protocol::Policy policy;
+    bookkeeping::StateReplica replica;
+    Fleet fleet;
+    MachineTypes types;
+    coordination::InstanceRequestQueue pending{7};
+    coordination::CapacityErrors capacityErrors;
+    Time now{1000s};
+    std::vector<std::unique_ptr<Job>> jobs;
+
+    CapacityPlanTest() {
+        settings.zones = {"y", "z"};
+        settings.teams = {{"free", 0, 0, 0, 0}, {"limited", 0, 8, 0, 0}};
+        types["gpu"] = {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"z"}};
+        types["large"] = {"large", 32, 0, 128, 50, 1, 5, 1.2, Seconds(10), {"z"}};
+        types["plain"] = {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"z"}};
+    }
+    Machine& machine(const std::string& id, const std::string& type = "plain",
+                     const std::string& zone = "z") {
+        auto& added = fleet.add(id, now);
+        added.type = type;
+        added.zone = zone;
+        added.typeInfo = &types.at(type);
+        added.agent.incarnation = 1;
+        added.lease.active = true;
+        fleet.setReconciled(added, true);
+        return added;
+    }
+    Job& job(JobSpec spec) {
+        auto added = std::make_unique<Job>();
+        added->spec = std::move(spec);
+        added->beginRun(bookkeeping::JobOrigin::accepted, now);
+        jobs.push_back(std::move(added));
+        return *jobs.back();
+    }
+    /// A plan of all jobs in the order in which they were made.
+    CapacityPlan plan() {
+        const auto due = [](const Job& job) { return Time(std::chrono::milliseconds(*job.dueAtMs)); };
+        CapacityPlan out({settings, policy, replica, fleet, types, pending, capacityErrors, due, now});
+        for (const auto& added : jobs) out.add(*added);
+        return out;
+    }
+    static Offering plain(const std::string& zone = "z", bool spot = false) { return {"plain", zone, spot}; }
+};
+
+TEST_F(CapacityPlanTest, ExistingRoomIsUsedBeforeMachinesAreRequested) {
+    machine("m1");
+    machine("m2");
+    machine("m3");
+    job(make("wk-1", 4, 4));
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    EXPECT_EQ(plan().neededMachines(), (Names{"m1", "m2"}));
+}
+
+TEST_F(CapacityPlanTest, RemainingTasksGetTheCheapestOfferingPerTask) {
+    machine("m1");
+    job(make("wk-1", 5, 4));  // two on m1
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 2}}));
+    types["large"].price = 2;
+    job(make("wk-2", 8, 4));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 2}, {{"large", "z", false}, 1}}));
+}
+
+TEST_F(CapacityPlanTest, SpotMachinesAreRequestedOnlyForJobsThatAllowThem) {
+    auto spec = make("wk-1", 1, 4);
+    job(spec);
+    spec.spot = true;
+    spec.id = "wk-2";
+    spec.cpus = 8;
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}, {plain("z", true), 1}}));
+}
+
+TEST_F(CapacityPlanTest, PendingMachinesAreNotRequestedAgain) {
+    pending.enqueue(plain(), 2, now);
+    pending.enqueue({"unknown", "z", false}, 5, now);
+    job(make("wk-1", 6, 4));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
+}
+
+TEST_F(CapacityPlanTest, LeavingOrLostMachinesHaveNoRoom) {
+    machine("m1").cloud.draining = true;
+    machine("m2").cloud.deletionRequested = true;
+    machine("m3").cloud.failed = true;
+    machine("m4").cloud.interruptionAt = now + 30s;
+    machine("m5").agent.unreachableSince = now;
+    machine("m6").history.failedJobs = {"wk-8", "wk-9"};
+    machine("m7").lease.active = false;  // lost, as it was up before
+    machine("m8").typeInfo = nullptr;
+    job(make("wk-1", 1, 8));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
+    EXPECT_EQ(plan().neededMachines(), Names{});
+    auto& booting = machine("m9");
+    booting.agent.incarnation = 0;
+    booting.lease.active = false;
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    EXPECT_EQ(plan().neededMachines(), Names{"m9"});
+    replica.registeredMachines["m9"] = {{"address", "plain", "z", false},
+                                        1};  // it was up under an earlier leader
+    EXPECT_EQ(plan().neededMachines(), Names{});
+}
+
+TEST_F(CapacityPlanTest, ReservedRoomIsUsedByItsJobOnly) {
+    auto& reserved = machine("m1");
+    auto& first = job(make("wk-1", 1, 8));
+    auto& second = job(make("wk-2", 1, 8));
+    fleet.reserve(reserved, second, now + 10s);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
+    EXPECT_EQ(plan().neededMachines(), Names{"m1"});
+    fleet.reserve(reserved, first, now);  // over
+    second.run->waiting = 0;
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+}
+
+TEST_F(CapacityPlanTest, TeamQuotaCountsUsedAndPlannedResources) {
+    auto spec = make("wk-1", 10, 1);
+    spec.team = "limited";
+    auto& running = job(spec);
+    fleet.place(machine("m1"), running, 0, 1, bookkeeping::PlacementState::running, now);
+    fleet.place(*fleet.find("m1"), running, 1, 1, bookkeeping::PlacementState::running, now);
+    running.run->waiting = 2;
+    spec.id = "wk-2";
+    spec.cpus = 4;
+    job(spec);  // of 8 processors 2 are used and 2 planned
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    spec.id = "wk-3";
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    running.run->waiting = 0;
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // wk-2 has its one task on m1
+    settings.teams[1].maxCpus = 10;
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
+}
+
+TEST_F(CapacityPlanTest, ArrayConcurrencyFollowsItsCompletionTarget) {
+    policy.backlogHorizon = Seconds(45);
+    auto spec = make("wk-1", 30, 8, JobKind::array);
+    spec.estimatedRunTime = Seconds(15);
+    auto& array = job(spec);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 10}}));  // three rounds
+    array.dueAtMs = 1'060'000;  // due in 60 s: two rounds in half of that
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 15}}));
+    array.dueAtMs.reset();
+    array.spec.deadline = Seconds(300);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 3}}));
+    array.run->waitingSince = now - 135s;  // time for one round is left
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 30}}));
+    array.spec.kind = JobKind::service;
+    array.run->waitingSince = now;
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 30}}));
+}
+
+TEST_F(CapacityPlanTest, GangGoesToTheZoneWithMostRoomWhereTheRestIsObtainable) {
+    types["plain"].zones = {"y", "z"};
+    machine("m1", "plain", "z");
+    auto spec = make("wk-1", 3, 8, JobKind::gang);
+    spec.singleZone = true;
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 2}}));
+    capacityErrors.record(plain("z"), now);
+    capacityErrors.record({"large", "z", false}, now);
+    capacityErrors.record({"gpu", "z", false}, now);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 3}}));
+    capacityErrors.record(plain("y"), now);
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    EXPECT_EQ(plan().neededMachines(), Names{});
+}
+
+TEST_F(CapacityPlanTest, GangsWithoutRoomAreSpreadOverZones) {
+    types["plain"].zones = {"y", "z"};
+    auto spec = make("wk-1", 2, 8, JobKind::gang);
+    spec.singleZone = true;
+    job(spec);
+    spec.id = "wk-2";
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 2}, {plain("z"), 2}}));
+}
+
+TEST_F(CapacityPlanTest, PartlyRunningGangStaysInItsZone) {
+    types["plain"].zones = {"y", "z"};
+    auto spec = make("wk-1", 3, 8, JobKind::gang);
+    spec.singleZone = true;
+    auto& gang = job(spec);
+    fleet.place(machine("m1", "plain", "z"), gang, 0, 1, bookkeeping::PlacementState::running, now);
+    machine("m2", "plain", "y");
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 2}}));
+    EXPECT_EQ(plan().neededMachines(), Names{});
+}
+
+TEST_F(CapacityPlanTest, SpreadServiceHasAtMostHalfOfItsReplicasInAZone) {
+    auto spec = make("wk-1", 5, 8);
+    spec.spreadZones = true;
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}}));  // no other zone offers machines
+    types["plain"].zones = {"z", "y"};
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}, {plain("y"), 2}}));
+}
+
+TEST_F(CapacityPlanTest, PlainWorkNeitherKeepsNorRequestsAcceleratorMachines) {
+    machine("m1", "gpu");
+    job(make("wk-1", 3, 8));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
+    EXPECT_EQ(plan().neededMachines(), Names{});
+    auto spec = make("wk-2", 1, 8);
+    spec.types = {"gpu"};
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}, {{"gpu", "z", false}, 1}}));
+    std::swap(jobs[0], jobs[1]);
+    EXPECT_EQ(plan().neededMachines(), Names{"m1"});
+}
+
+TEST_F(CapacityPlanTest, ArrayGetsAcceleratorMachineOnlyUpToTwiceThePlainPrice) {
+    types.erase("large");
+    capacityErrors.record(plain(), now);
+    auto spec = make("wk-1", 1, 8, JobKind::array);
+    spec.estimatedRunTime = Seconds(100);
+    job(spec);
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // four times the price of a plain processor
+    types["gpu"].price = 4;
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{{"gpu", "z", false}, 1}}));
+    types["gpu"].price = 4.1;
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    jobs[0]->spec.kind = JobKind::service;
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{{"gpu", "z", false}, 1}}));
+}
+
+TEST_F(CapacityPlanTest, OfferingWithRecentErrorIsProbedWithAFewMachines) {
+    types["plain"].zones = {"z", "y"};
+    capacityErrors.record(plain("z"), now);
+    job(make("wk-1", 10, 8));
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 10}}));
+    now += 4s;  // the back-off is over
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}, {plain("y"), 7}}));
+}
+
+TEST_F(CapacityPlanTest, NothingIsRequestedForTerminatedOrRepeatedlyFailingJobs) {
+    auto& job1 = job(make("wk-1", 1, 8));
+    for (const auto* id : {"m1", "m2"}) job1.run->errorMachines[id] = now;
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
+    job1.run->errorMachines["m3"] = now;
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+    job1.run->errorMachines.clear();
+    job1.terminalState = storage::TerminalState::cancelled;
+    job1.run.reset();
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+}
+
+TEST_F(CapacityPlanTest, NoMachineIsRequestedThatIsTooSmall) {
+    job(make("wk-1", 1, 64));
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});
+}
+
+}  // namespace burlpoint::tests
--- a/tests/fleet_recount.h
+++ b/tests/bookkeeping/fleet_recount.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Compares what the fleet keeps as indexes and running totals with a recount of what is on its machines.
+// Compares the indexes and running sums of the fleet with a recount of the placements on its machines.
 
 #include <algorithm>
 #include <cmath>
@@ -17,24 +17,26 @@
     return std::abs(a.cpus - b.cpus) + std::abs(a.gpus - b.gpus) + std::abs(a.memoryGb - b.memoryGb) > kSlack;
 }
 
-/// Where a machine's running totals and its entries among the images differ from a recount, in words.
+/// Describes where a machine's running sums and its image index entries differ from a recount. Empty:
+/// nowhere.
 inline std::string recountMachine(const bookkeeping::Fleet& fleet, const bookkeeping::Machine& machine) {
     bookkeeping::Machine expected;
     for (const auto& [key, placement] : machine.placements) {
         const auto& spec = placement.job->spec;
         const auto need = bookkeeping::needOf(spec);
         const auto priority = static_cast<std::size_t>(placement.job->priority());
-        const bool service = spec.kind == protocol::Kind::service;
-        expected.used += need;
-        if (spec.gpus <= 0) expected.plainUse[service ? bookkeeping::kReplicaUse : priority] += need;
-        if (!service && !bookkeeping::isLargeGang(spec)) expected.stoppable[priority] += need;
+        const bool service = spec.kind == protocol::JobKind::service;
+        expected.use.total += need;
+        if (spec.gpus <= 0) expected.use.plain[service ? bookkeeping::kReplicaUse : priority] += need;
+        if (!service && !bookkeeping::isLargeGang(spec)) expected.use.preemptible[priority] += need;
     }
     std::string wrong;
-    if (differs(expected.used, machine.used)) wrong += "use of " + machine.id + "; ";
-    for (std::size_t i = 0; i < machine.plainUse.size(); ++i)
-        if (differs(expected.plainUse[i], machine.plainUse[i])) wrong += "plain use of " + machine.id + "; ";
-    for (std::size_t i = 0; i < machine.stoppable.size(); ++i)
-        if (differs(expected.stoppable[i], machine.stoppable[i]))
+    if (differs(expected.use.total, machine.use.total)) wrong += "use of " + machine.id + "; ";
+    for (std::size_t i = 0; i < machine.use.plain.size(); ++i)
+        if (differs(expected.use.plain[i], machine.use.plain[i]))
+            wrong += "plain use of " + machine.id + "; ";
+    for (std::size_t i = 0; i < machine.use.preemptible.size(); ++i)
+        if (differs(expected.use.preemptible[i], machine.use.preemptible[i]))
             wrong += "stoppable on " + machine.id + "; ";
     for (const auto& [image, gb] : machine.images) {
         const auto& with = fleet.withImage(image);
@@ -43,8 +45,8 @@
     return wrong;
 }
 
-/// Where the fleet's indexes and running totals, and those of the jobs' runs, differ from a recount, in
-/// words.
+/// Describes where the indexes and running sums of the fleet and of the jobs' runs differ from a recount.
+/// Empty: nowhere.
 inline std::string recount(const bookkeeping::Fleet& fleet, const bookkeeping::StateReplica& replica) {
     using bookkeeping::Job;
     std::string wrong;
@@ -59,7 +61,8 @@
             ++zones[placement.job][machine->zone];
         }
         wrong += recountMachine(fleet, *machine);
-        if (machine->roster == bookkeeping::RosterState::stored && !machine->reconciled)
+        if (machine->registry.state == bookkeeping::RegistrationState::stored &&
+            !machine->registry.reconciled)
             ++unreconciled[{machine->type, machine->zone, machine->spot}];
     }
     for (const auto& [team, use] : teams)
--- /dev/null
+++ b/tests/controller/large_fleet_test.cpp
@@ -0,0 +1,191 @@
+// A leader of 4,000 machines, from their boot over a failover and an outage to their deletion, compared with
+// one of 400. The measure of cost is the number of machines scanned for waiting jobs, not time.
+#include <gtest/gtest.h>
+
+#include "base/clock.h"
+#include "controller/leader_harness.h"
+
+using namespace burlpoint;
+using namespace burlpoint::tests;
+
+namespace {
+
+constexpr int kLargeFleet = 4000;
+constexpr int kSmallFleet = 400;
+constexpr auto kHeartbeatInterval = 2s;
+
+/// A fleet whose machines send heartbeats in turn, each once in an interval, and run what they are told to
+/// start.
+class SimulatedFleet {
+  public:
+    explicit SimulatedFleet(int machines) {
+        for (int i = 0; i < machines; ++i) names_.push_back(std::string("m").append(std::to_string(i)));
+        harness_.settings.zones = {"z", "y"};
+    }
+
+    LeaderHarness& harness() { return harness_; }
+    const std::vector<std::string>& names() const { return names_; }
+    std::size_t running() const {
+        std::size_t count = 0;
+        for (const auto& [machine, tasks] : tasks_) count += tasks.size();
+        return count;
+    }
+
+    /// All workers send their first heartbeat, and the machines' entries in the registry are stored.
+    void boot() {
+        harness_.lead();
+        for (std::size_t i = 0; i < names_.size(); ++i) {
+            const protocol::Heartbeat heartbeat{
+                names_[i], names_[i], "plain", zoneOf(i), false, 1, ++harness_.sequences[names_[i]],
+                0,         {},        {}};
+            handle(names_[i], harness_.tell(HeartbeatReceived{1, heartbeat}));
+        }
+        storeRegistry();
+    }
+    /// All machines send one heartbeat, and one interval passes. `cancellationsCurrent`: the key-value store
+    /// answers.
+    void heartbeatAll(bool cancellationsCurrent = true) {
+        const auto step = std::chrono::duration_cast<Clock::duration>(kHeartbeatInterval) / names_.size();
+        for (std::size_t i = 0; i < names_.size(); ++i) {
+            harness_.now += step;
+            if (i % (names_.size() / 20) == 0) answer(harness_.tell(Tick{}));
+            if (!deleted_.contains(names_[i])) heartbeatOne(i, cancellationsCurrent);
+        }
+    }
+    /// The leader ends, and another one begins with what is stored.
+    void changeLeader() {
+        harness_.leader.reset();
+        harness_.replica.fencingToken = ++fencingToken_;
+        harness_.leader = std::make_unique<Leader>(harness_.settings, harness_.policy, harness_.replica,
+                                                   fencingToken_, harness_.now, 0);
+    }
+    void submit(const std::string& id, std::uint32_t tasks, const std::string& image) {
+        auto spec = make(id, tasks, 1);
+        spec.image = image;
+        harness_.job(spec);
+    }
+    double scansPerHeartbeat() const {
+        return static_cast<double>(harness_.leader->machinesScanned() - scansBefore_) /
+               static_cast<double>(heartbeats_);
+    }
+    void countFromHere() {
+        scansBefore_ = harness_.leader->machinesScanned();
+        heartbeats_ = 0;
+    }
+    std::size_t refusedHeartbeats() const { return refused_; }
+    std::size_t deleted() const { return deleted_.size(); }
+
+  private:
+    static std::string zoneOf(std::size_t machine) { return machine % 2 ? "y" : "z"; }
+
+    void heartbeatOne(std::size_t i, bool cancellationsCurrent) {
+        ++heartbeats_;
+        const auto& name = names_[i];
+        protocol::Heartbeat heartbeat{
+            name,          name, "plain",     zoneOf(i), false, 1, ++harness_.sequences[name],
+            tokens_[name], {},   tasks_[name]};
+        HeartbeatReceived arrived{1, std::move(heartbeat), cancellationsCurrent};
+        handle(name, harness_.tell(std::move(arrived)));
+    }
+    void handle(const std::string& name, const std::vector<Action>& actions) {
+        answer(actions);
+        for (const auto& action : actions)
+            if (const auto* reply = std::get_if<AnswerHeartbeat>(&action)) carryOut(name, *reply);
+    }
+    void carryOut(const std::string& name, const AnswerHeartbeat& reply) {
+        if (reply.verdict == coordination::HeartbeatVerdict::refused) {
+            ++refused_;
+            return;
+        }
+        tokens_[name] = fencingToken_;
+        auto& tasks = tasks_[name];
+        for (const auto& command : reply.commands) {
+            if (command.kind == CommandKind::start)
+                tasks.push_back({command.attempt, TaskState::running, protocol::ExitReason::none, false});
+            else
+                std::erase_if(tasks, [&](const auto& task) { return task.attempt == command.attempt; });
+        }
+    }
+    /// Writes are stored at once, and machines to be deleted are gone at once.
+    void answer(const std::vector<Action>& actions) {
+        for (const auto& action : actions) {
+            if (std::holds_alternative<WriteState>(action)) {
+                storage::TransactionResult result;
+                result.status = storage::TransactionStatus::applied;
+                result.revision = ++harness_.revision;
+                answer(harness_.tell(StateWritten{result}));
+            } else if (const auto* scaleIn = std::get_if<ScaleIn>(&action)) {
+                deleted_.insert(scaleIn->machines.begin(), scaleIn->machines.end());
+                answer(harness_.tell(
+                    ScaleInCompleted{scaleIn->machines, coordination::ScaleInOutcome::deleted}));
+            } else if (std::holds_alternative<ListMachines>(action)) {
+                answer(harness_.tell(MachinesListed{}));
+            }
+        }
+    }
+    void storeRegistry() {
+        for (int i = 0; i < 1000 && harness_.replica.registeredMachines.size() < names_.size(); ++i)
+            heartbeatAll();
+    }
+
+    LeaderHarness harness_;
+    std::vector<std::string> names_;
+    std::map<std::string, std::vector<TaskStatus>> tasks_;
+    std::map<std::string, std::uint64_t> tokens_;
+    std::uint64_t fencingToken_ = 5;
+    std::uint64_t scansBefore_ = 0;
+    std::uint64_t heartbeats_ = 0;
+    std::size_t refused_ = 0;
+    std::set<std::string> deleted_;
+};
+
+/// Simulates the life of a fleet. Returns the number of machines scanned per heartbeat while jobs wait.
+double simulateFleet(int machines) {
+    SimulatedFleet simulated(machines);
+    simulated.harness().settings.storeWritesPerSecond = 100;
+    simulated.harness().settings.cloudRequestsPerSecond = 3;
+    simulated.harness().policy.idleKeep = Seconds(3600);  // until the entries of all are stored
+    simulated.boot();
+    EXPECT_EQ(simulated.harness().replica.registeredMachines.size(), static_cast<std::size_t>(machines));
+
+    // More tasks than the machines have room for, with ten images.
+    const auto tasks = static_cast<std::uint32_t>(machines);
+    for (int i = 0; i < 10; ++i)
+        simulated.submit("wk-" + std::to_string(i), tasks, "image-" + std::to_string(i));
+    const auto full = static_cast<std::size_t>(machines) * 8;  // all processors are in use
+    for (int round = 0; round < 30 && simulated.running() < full; ++round) simulated.heartbeatAll();
+    EXPECT_EQ(simulated.running(), full);
+    simulated.countFromHere();
+    for (int round = 0; round < 3; ++round) simulated.heartbeatAll();
+    const auto scans = simulated.scansPerHeartbeat();
+
+    // The next leader answers every worker, and all running tasks go on.
+    simulated.changeLeader();
+    for (int round = 0; round < 3; ++round) simulated.heartbeatAll();
+    EXPECT_EQ(simulated.running(), full);
+    EXPECT_EQ(simulated.refusedHeartbeats(), 0u);
+
+    // While the key-value store is unavailable nothing starts, and all running tasks go on.
+    for (int round = 0; round < 3; ++round) simulated.heartbeatAll(false);
+    EXPECT_EQ(simulated.running(), full);
+
+    return scans;
+}
+
+}  // namespace
+
+TEST(LargeFleet, TenTimesTheMachinesThenAHeartbeatCostsNoMore) {
+    const auto few = simulateFleet(kSmallFleet);
+    const auto many = simulateFleet(kLargeFleet);
+    EXPECT_LT(many, few * 1.5 + 20);
+}
+
+TEST(LargeFleet, FourThousandMachinesIdleThenAllAreDeleted) {
+    SimulatedFleet simulated(kLargeFleet);
+    simulated.harness().settings.storeWritesPerSecond = 100;
+    simulated.harness().settings.cloudRequestsPerSecond = 3;
+    simulated.boot();
+    for (int round = 0; round < 100 && simulated.deleted() < simulated.names().size(); ++round)
+        simulated.heartbeatAll();
+    EXPECT_EQ(simulated.deleted(), static_cast<std::size_t>(kLargeFleet));
+}
--- /dev/null
+++ b/tests/leadership/leadership_test.cpp
@@ -0,0 +1,203 @@
+// Leader election: fencing tokens, leases, lease votes of the peers, and what ends a leadership.
+#include <gtest/gtest.h>
+
+#include "base/clock.h"
+#include "leadership/service_controller.h"
+#include "protocol/msgpack_codec.h"
+
+using namespace burlpoint;
+using namespace burlpoint::tests;
+using protocol::MessagePacker;
+
+namespace {
+
+using Leadership = ServiceControllerTest;
+
+}  // namespace
+
+TEST_F(Leadership, TwoControllersThenOneLeaderAtATimeWithRisingTokens) {
+    ServiceController a(io, stub), b(io, stub, "two");
+    const auto tick = [&] {
+        a.election.tick(Clock::now());
+        b.election.tick(Clock::now());
+        io.run_one_for(5ms);
+    };
+    while (!a.fencingToken && !b.fencingToken) tick();
+    std::uint64_t last = 0;
+    for (int round = 0; round < 3; ++round) {
+        while (!a.fencingToken && !b.fencingToken) tick();
+        EXPECT_TRUE(!a.fencingToken || !b.fencingToken);
+        auto& leader = a.fencingToken ? a : b;
+        EXPECT_TRUE(leader.election.valid(Clock::now()));
+        EXPECT_GT(leader.fencingToken, last);
+        last = leader.fencingToken;
+        leader.election.resign(Clock::now(), coordination::Election::Resignation::mayTryAgain);
+        EXPECT_FALSE(leader.election.valid(Clock::now()));
+    }
+}
+
+// The lease ended without the leader's doing. Its next renewal tells it, and its writes fail as the fencing
+// token has been raised.
+TEST_F(Leadership, LeaseEndedThenLeaderStopsAndItsWritesFail) {
+    ServiceController a(io, stub);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    const auto old = a.replica.tokenVersion;
+    stub.store.endLease(stub.store.leases.begin()->first);
+    while (a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    std::vector<std::string> failed;
+    EXPECT_EQ(stub.store.transact({{storage::keys::kToken, old}},
+                                  {{"bp/x", MessagePacker().nilValue().take(), 0}}, failed),
+              0u);
+}
+
+// A candidate whose attempt began while nobody led must not depose a controller that won in the meantime.
+TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
+    ServiceController a(io, stub);
+    a.until([&] { return a.watcher.synced(); });
+    stub.holdLeases = true;
+    while (stub.store.leases.empty()) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    std::vector<std::string> failed;
+    stub.store.transact({},
+                        {{storage::keys::kLeader, storage::encodeLeader({"two", 1}), 0},
+                         {storage::keys::kToken, storage::encodeToken(1), 0}},
+                        failed);
+    stub.wake();
+    a.until([&] { return a.replica.leader.has_value(); });
+    stub.release();
+    for (int i = 0; i < 200; ++i) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_EQ(a.fencingToken, 0u);
+    EXPECT_EQ(
+        storage::decodeToken(protocol::unpackBody(stub.store.values.at(storage::keys::kToken).data).get()),
+        1u);
+}
+
+// If the fencing token rises for whatever reason, a leader stops although its own lease lasts.
+TEST_F(Leadership, FencingTokenRaisedThenLeaderStops) {
+    ServiceController a(io, stub);
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    std::vector<std::string> failed;
+    stub.store.transact({},
+                        {{storage::keys::kLeader, storage::encodeLeader({"two", 9}), 0},
+                         {storage::keys::kToken, storage::encodeToken(9), 0}},
+                        failed);
+    stub.wake();
+    a.until([&] { return a.replica.fencingToken == 9; });
+    a.election.tick(Clock::now());
+    EXPECT_EQ(a.fencingToken, 0u);
+}
+
+// A leader that the key-value store refuses cannot end its lease there. Once it tells its peers that it
+// resigned, they need not wait until the lease ends.
+TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
+    ServiceController a(io, stub), b(io, stub, "two");
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    b.until([&] { return b.replica.leader.has_value(); });
+    for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
+    EXPECT_EQ(b.fencingToken, 0u);                   // the leader has not resigned
+    b.election.noteResignation(a.fencingToken - 1);  // the token of an earlier leadership
+    for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
+    EXPECT_EQ(b.fencingToken, 0u);
+    const auto fencingToken = a.fencingToken;
+    a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
+    EXPECT_EQ(a.election.resignedToken(), fencingToken);
+    b.election.noteResignation(fencingToken);
+    while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_GT(b.fencingToken, fencingToken);
+}
+
+// In an outage nobody can write the leader's key. Votes of all peers extend the lease, so that workers keep
+// their tasks. Each peer is bound by its vote even if the key disappears.
+TEST_F(Leadership, OutageThenVotesOfAllPeersExtendTheLeaderLease) {
+    ServiceController a(io, stub), b(io, stub, "two");
+    a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    b.until([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
+    EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken, Clock::now()),
+              0ms);  // the key-value store answers
+    const auto later = Clock::now() + 20s;
+    EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken + 1, later), 0ms);
+    EXPECT_EQ(b.election.voteForExtension("two", a.fencingToken, later), 0ms);
+    const auto life = b.election.voteForExtension("one", a.fencingToken, later);
+    ASSERT_GT(life, 0ms);
+    a.election.noteVote("two", life, later);
+    EXPECT_FALSE(a.election.valid(later));  // one of two
+    a.election.noteVote("three", life, later);
+    EXPECT_TRUE(a.election.valid(later + life / 2));
+    EXPECT_FALSE(a.election.valid(later + life));
+    stub.store.endLease(stub.store.leases.begin()->first);
+    stub.wake();
+    b.until([&] { return !b.replica.leader; });
+    for (int i = 0; i < 100; ++i) b.election.tick(later + i * life / 120), io.run_one_for(2ms);
+    EXPECT_EQ(b.fencingToken, 0u);
+    while (!b.fencingToken) b.election.tick(later + 2 * life), io.run_one_for(5ms);
+    // A restarted process doesn't know its vote, so it waits as if it had voted.
+    ServiceController c(io, stub, "three");
+    c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
+    stub.store.endLease(stub.store.leases.rbegin()->first);
+    stub.wake();
+    c.until([&] { return !c.replica.leader; });
+    for (int i = 0; i < 300; ++i) c.election.tick(Clock::now()), io.run_one_for(2ms);
+    EXPECT_EQ(c.fencingToken, 0u);
+    while (!c.fencingToken) c.election.tick(Clock::now() + 10s), io.run_one_for(5ms);
+}
+
+// A leader whose lease is renewed while its reads fail does not see the cancellations that others confirm.
+TEST_F(Leadership, ReadsFailThenLeaderStopsThoughItsLeaseIsRenewed) {
+    ServiceController a(io, stub);
+    a.config.workerLease = Seconds(10);
+    a.config.cancelTimeout = Seconds(14);
+    coordination::Election election(
+        a.config, a.policy, a.state, a.replica, a.watcher, [&](std::uint64_t t) { a.fencingToken = t; },
+        [] {});
+    while (!a.fencingToken) election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_TRUE(election.valid(Clock::now()));
+    EXPECT_TRUE(election.cancellationsCurrent(Clock::now()));
+    // It may act for longer than it may start anything.
+    EXPECT_FALSE(election.cancellationsCurrent(a.watcher.asOf() + 1900ms));
+    EXPECT_TRUE(election.valid(a.watcher.asOf() + 1500ms));
+    stub.readsFail = true;
+    int rounds = 0;
+    for (; election.valid(Clock::now()) && rounds < 1000; ++rounds)
+        election.tick(Clock::now()), io.run_one_for(20ms);
+    EXPECT_LT(rounds, 1000);
+    EXPECT_TRUE(election.leading());
+    EXPECT_FALSE(stub.store.leases.empty());
+    stub.readsFail = false;
+    a.watcher.readLatest([](coordination::FreshRead) {});
+    while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
+}
+
+// For the worker lease and cancel timeout of every deployment: after the longest time without a read, the
+// worker leases still end within the cancel timeout.
+TEST_F(Leadership, NoReadsThenWorkerLeasesEndWithinTheCancelTimeout) {
+    for (const auto& [lease, cancel] : {std::pair(26.5, 46.5), {13, 33}, {24, 44}, {10, 30}, {30, 40}}) {
+        auto s = serviceSettings("one");
+        s.workerLease = Seconds(lease);
+        s.cancelTimeout = Seconds(cancel);
+        EXPECT_LT(coordination::Election::maxTimeWithoutRead(s) + s.workerLease * 1.002 + Seconds(4),
+                  s.cancelTimeout);
+    }
+}
+
+// While the key-value store refuses all writes, a leader stays leader. A candidate keeps trying and wins as
+// soon as writes are accepted.
+TEST_F(Leadership, WritesRefusedThenLeaderStaysAndCandidateKeepsTrying) {
+    ServiceController a(io, stub, "one", Seconds(1));
+    while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    const auto unrenewed = Clock::now() + 1s;
+    stub.store.limits = {32, 2048, 0};
+    const auto fencingToken = a.fencingToken;
+    while (Clock::now() < unrenewed) a.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_EQ(a.fencingToken, fencingToken);
+    EXPECT_TRUE(a.election.valid(Clock::now()));
+    ServiceController b(io, stub, "two", Seconds(1));
+    b.until([&] { return b.watcher.synced(); });
+    a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
+    const auto before = stub.store.tooMany;
+    while (stub.store.tooMany < before + 3) b.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_EQ(b.fencingToken, 0u);
+    stub.store.limits.changes = 2;
+    while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
+    EXPECT_GT(b.fencingToken, fencingToken);
+}
--- a/tests/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -1,7 +1,10 @@
-#include "coordination/peer_exchange.h"
+#include "coordination/leadership/peer_exchange.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "protocol/msgpack_codec.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using coordination::PeerExchange;
@@ -17,7 +20,7 @@
     ASSERT_TRUE(replica.apply({key, &handle.get(), version}, changes));
 }
 
-/// A node "one" with the peers "two" and "three".
+/// A controller "one" with the peers "two" and "three".
 struct PeerExchangeTest : testing::Test {
     PeerExchangeTest() { settings.peers = {{"two", "z", ""}, {"three", "z", ""}}; }
 
@@ -28,10 +31,11 @@
         spec.team = "team";
         spec.cpus = 1;
         apply(replica, storage::keys::job(spec.id),
-              storage::encodeJob({spec, storage::Final::cancelled, 0, 0, 4}), version);
+              storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, 4}), version);
     }
-    void leads(const std::string& node, std::uint64_t token) {
-        apply(replica, storage::keys::kLeader, storage::encodeLeader({node, token}), ++replica.revision);
+    void leads(const std::string& node, std::uint64_t fencingToken) {
+        apply(replica, storage::keys::kLeader, storage::encodeLeader({node, fencingToken}),
+              ++replica.revision);
     }
     static PeerStatus status(const std::string& node, std::uint64_t leaderToken = 0,
                              std::uint64_t stateAgeMs = 0) {
@@ -46,12 +50,12 @@
     bookkeeping::StateReplica replica;
     std::vector<Cancellation> noted;
     PeerExchange exchange{settings, replica, [this](const Cancellation& c) { noted.push_back(c); }};
-    const transport::Time start{1000s};
+    const Time start{1000s};
 };
 
 }  // namespace
 
-TEST_F(PeerExchangeTest, OnlyPeersOfTheSettingsCount) {
+TEST_F(PeerExchangeTest, UnknownPeerThenItsStatusIsIgnored) {
     EXPECT_FALSE(exchange.noteStatus(status("four"), start));
     EXPECT_FALSE(exchange.inTouch("four", start));
     EXPECT_FALSE(exchange.inTouch("two", start));
@@ -60,11 +64,11 @@
     EXPECT_FALSE(exchange.inTouch("two", start + 2500ms));
 }
 
-TEST_F(PeerExchangeTest, NamesAPeerInTouchWithThisVeryLeader) {
+TEST_F(PeerExchangeTest, LeaderOutOfTouchThenNamesAPeerInTouchWithThatLeader) {
     exchange.noteStatus(status("three", 7), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // nobody leads
     leads("two", 8);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // that was the one before
+    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // it is in touch with an earlier leader
     exchange.noteStatus(status("two", 8), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // the leader itself
     exchange.noteStatus(status("three", 8), start);
@@ -72,31 +76,31 @@
     EXPECT_EQ(exchange.peerInTouchWithLeader(start + 3s), "");
 }
 
-// Seen on a simulated day: a follower that the state service refused did not know the new leader, and was the
-// only way to it for the workers behind a cut.
-TEST_F(PeerExchangeTest, APeerThatLeadsIsKnownBeforeItsRecordIsRead) {
+// In a simulation, a follower that the key-value store refused did not know the new leader, and was the only
+// way to it for the workers behind a network partition.
+TEST_F(PeerExchangeTest, PeerLeadsWithAHigherTokenThenItIsTheKnownLeader) {
     EXPECT_FALSE(exchange.knownLeader(start));
     leads("one", 7);
     auto claim = status("two", 8);
-    claim.token = 8;
+    claim.fencingToken = 8;
     exchange.noteStatus(claim, start);
     ASSERT_TRUE(exchange.knownLeader(start));
     EXPECT_EQ(exchange.knownLeader(start)->node, "two");
-    EXPECT_EQ(exchange.knownLeader(start)->token, 8u);
-    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // not heard of for a while
-    claim.token = 6;
+    EXPECT_EQ(exchange.knownLeader(start)->fencingToken, 8u);
+    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other was not heard for a while
+    claim.fencingToken = 6;
     exchange.noteStatus(claim, start);
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored one is newer
     exchange.noteStatus(status("two"), start);
-    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // it leads no more
+    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the other leads no more
 }
 
-TEST_F(PeerExchangeTest, RefusedAloneMeansThatAPeerIsServedForAWhileAlready) {
+TEST_F(PeerExchangeTest, PeerServedForAWhileLongerThenRefusedAlone) {
     const auto lastAnswer = start;
     const auto now = start + 4s;
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // nobody was heard
     exchange.noteStatus(status("two", 0, 2100), now);
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // it is not served any more either
+    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // the peer is not served any more either
     exchange.noteStatus(status("two", 0, 100), now);
     EXPECT_TRUE(exchange.refusedAlone(lastAnswer, now));
     EXPECT_FALSE(exchange.refusedAlone(now - 2s, now));  // too short to tell
@@ -106,7 +110,7 @@
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now - 300ms));
 }
 
-TEST_F(PeerExchangeTest, CancellationsAreToldInPartsAndOnlyOnce) {
+TEST_F(PeerExchangeTest, ManyCancellationsThenSentInPartsAndOnlyOnce) {
     bookkeeping::StateReplica other;
     PeerExchange asking(settings, other, [](const Cancellation&) {});
     for (std::uint32_t job = 0; job < 1100; ++job) cancel(job, job + 1);
@@ -131,7 +135,7 @@
     EXPECT_TRUE(answer.complete);
 }
 
-TEST_F(PeerExchangeTest, ARestartedPeerIsAskedFromTheBeginning) {
+TEST_F(PeerExchangeTest, PeerRestartedThenItsLogIsReadFromTheStart) {
     for (std::uint32_t job = 0; job < 3; ++job) cancel(job, job + 1);
     PeerExchange restarted(settings, replica, [](const Cancellation&) {});
     PeerStatus question, answer, again;
@@ -144,7 +148,7 @@
     EXPECT_EQ(again.cancelled, answer.cancelled);
 }
 
-TEST_F(PeerExchangeTest, WhatAPeerTellsIsTakenIn) {
+TEST_F(PeerExchangeTest, AnswerOfAPeerThenCancellationsAndLogPositionAreTakenIn) {
     auto answer = status("two");
     answer.cancelled = {{"wk-1", 4}, {"wk-2", 9}};
     answer.log = 77;
--- a/tests/settings_test.cpp
+++ b/tests/protocol/settings_test.cpp
@@ -1,7 +1,12 @@
+// The platform's settings (TOML) and the operators' policy (XML): valid files, and the errors for others.
 #include "protocol/settings.h"
 
 #include <gtest/gtest.h>
 
+#include "base/clock.h"
+#include "protocol/policy.h"
+
+using namespace burlpoint;
 using namespace burlpoint::protocol;
 
 namespace {
@@ -57,7 +62,7 @@
     text.replace(text.find(from), from.size(), to);
     try {
         parseSettings(text);
-    } catch (const BadSettings& error) {
+    } catch (const InvalidSettings& error) {
         return error.what();
     }
     return "";
@@ -66,7 +71,7 @@
 std::string policyComplaint(const std::string& xml) {
     try {
         parsePolicy(xml);
-    } catch (const BadSettings& error) {
+    } catch (const InvalidSettings& error) {
         return error.what();
     }
     return "";
@@ -78,16 +83,16 @@
 
 }  // namespace
 
-TEST(Settings, ReadsThePlatformsFile) {
+TEST(Settings, ValidFileIsReadAndUnknownTablesAreIgnored) {
     const auto s = parseSettings(kGood + "\n[later]\nunknown = 1\n");
     EXPECT_EQ(s.peers.at(0).address, "10.0.0.2:8081");
-    EXPECT_EQ(s.team("t")->cpusMax, 16);
+    EXPECT_EQ(s.team("t")->maxCpus, 16);
     EXPECT_EQ(s.team("u"), nullptr);
     EXPECT_EQ(s.clockError, std::chrono::milliseconds(25));
-    EXPECT_EQ(s.lease, Seconds(24));
+    EXPECT_EQ(s.workerLease, Seconds(24));
 }
 
-TEST(Settings, NamesTheFieldThatIsWrong) {
+TEST(Settings, ErrorNamesTheInvalidField) {
     EXPECT_TRUE(names(complaint("label = \"one\"", ""), "label"));
     EXPECT_TRUE(names(complaint("bind = \"10.0.0.1:8080\"", "bind = \"here\""), "bind"));
     EXPECT_TRUE(names(complaint("label = \"two\"", "label = \"one\""), "two nodes named one"));
@@ -100,31 +105,31 @@
     EXPECT_TRUE(names(complaint("area = \"north\"", "area = "), "line "));
 }
 
-// The state service's next limits may be absent, and each of them too; what is there is checked.
-TEST(Settings, TheStateServicesNextLimits) {
+// The next limits of the key-value store may be absent, all or some of them. Writes keep to the lower ones.
+TEST(Settings, NextStoreLimitsAreOptionalAndChecked) {
     const auto without = parseSettings(kGood);
-    EXPECT_FALSE(without.nextState);
+    EXPECT_FALSE(without.nextStoreLimits);
     EXPECT_EQ(without.minValueKb(), 8);
-    EXPECT_EQ(without.minTxnOps(), 32u);
-    EXPECT_EQ(without.minWriteRps(), 40);
+    EXPECT_EQ(without.minTransactionWrites(), 32u);
+    EXPECT_EQ(without.minWritesPerSecond(), 40);
     const std::string at = "[cluster.cloud]", table = "[cluster.state.next]\n";
     const auto with = [&](const std::string& next) {
         auto text = kGood;
         return parseSettings(text.replace(text.find(at), at.size(), next + "\n" + at));
     };
     const auto lower = with(table + "write_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 10");
-    EXPECT_EQ(lower.stateWriteRps, 40);
+    EXPECT_EQ(lower.storeWritesPerSecond, 40);
     EXPECT_EQ(lower.minValueKb(), 2);
-    EXPECT_EQ(lower.valueBytes(), 2048u);
-    EXPECT_EQ(lower.minTxnOps(), 10u);
-    EXPECT_EQ(lower.minWriteRps(), 28);
+    EXPECT_EQ(lower.maxValueBytes(), 2048u);
+    EXPECT_EQ(lower.minTransactionWrites(), 10u);
+    EXPECT_EQ(lower.minWritesPerSecond(), 28);
     const auto higher = with(table + "write_rps = 50.0\nvalue_kb = 9.0\ntxn_ops = 40\nnew = 1");
     EXPECT_EQ(higher.minValueKb(), 8);
-    EXPECT_EQ(higher.minTxnOps(), 32u);
-    EXPECT_EQ(higher.minWriteRps(), 40);
+    EXPECT_EQ(higher.minTransactionWrites(), 32u);
+    EXPECT_EQ(higher.minWritesPerSecond(), 40);
     const auto some = with(table + "value_kb = 2.0");
     EXPECT_EQ(some.minValueKb(), 2);
-    EXPECT_EQ(some.minTxnOps(), 32u);
+    EXPECT_EQ(some.minTransactionWrites(), 32u);
     const auto wrong = [&](const std::string& next) { return complaint(at, next + "\n" + at); };
     EXPECT_TRUE(names(wrong("[cluster.state]\nnext = 1"), "line "));  // the table twice
     EXPECT_TRUE(names(complaint("txn_ops = 32", "txn_ops = 32\nnext = 1"), "cluster.state.next: a table"));
@@ -135,7 +140,7 @@
     EXPECT_TRUE(names(wrong(table + "txn_ops = nan"), "cluster.state.next.txn_ops: must lie"));
 }
 
-TEST(Settings, OperatorsFileNamesTheElementThatIsWrong) {
+TEST(Policy, ErrorNamesTheInvalidElement) {
     EXPECT_EQ(parsePolicy("<burlpoint/>").idleKeep, Policy{}.idleKeep);
     EXPECT_EQ(parsePolicy("<burlpoint><idle-keep-s>7.5</idle-keep-s></burlpoint>").idleKeep, Seconds(7.5));
     EXPECT_TRUE(names(policyComplaint("<burlpoint><idle-keep>1</idle-keep></burlpoint>"), "<idle-keep>"));
--- a/tests/fetch_pacing_test.cpp
+++ b/tests/scheduling/fetch_pacing_test.cpp
@@ -1,25 +1,24 @@
-#include "coordination/fetch_pacing.h"
+#include "coordination/scheduling/fetch_pacing.h"
 
 #include <gtest/gtest.h>
 
 #include <memory>
 
+#include "base/clock.h"
+
 using namespace burlpoint;
 using namespace std::chrono_literals;
 using bookkeeping::Fleet;
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using coordination::FetchPacing;
-using protocol::Seconds;
-using transport::Clock;
-using transport::Time;
 
 namespace {
 
 constexpr double kCacheGb = 10;
 
 /// Machines of eight processors and jobs of one processor and ten seconds a task.
-struct Pacing : testing::Test {
+struct FetchPacingTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
     protocol::MachineType type{"plain", 8, 0, 32, kCacheGb, 1, 1, 0.3, Seconds(10), {"a", "b"}};
@@ -28,18 +27,18 @@
     Time now{1000s};
     FetchPacing pacing{settings, policy};
 
-    Pacing() {
-        settings.report = Seconds(2);
+    FetchPacingTest() {
+        settings.heartbeatInterval = Seconds(2);
         policy.fetchStart = Seconds(5);
     }
     Machine& machine(const std::string& id, const std::string& zone, const std::vector<std::string>& images) {
         auto& machine = fleet.add(id, now);
         machine.type = type.name;
-        machine.kind = &type;
+        machine.typeInfo = &type;
         machine.zone = zone;
-        machine.reports = true;
-        machine.acknowledged = true;
-        machine.lastReport = now;
+        machine.lease.active = true;
+        machine.agent.acknowledged = true;
+        machine.lease.lastHeartbeat = now;
         for (const auto& image : images) fleet.useImage(machine, image, 1, kCacheGb);
         return machine;
     }
@@ -49,8 +48,8 @@
         job.spec.image = image;
         job.spec.tasks = tasks;
         job.spec.cpus = 1;
-        job.spec.estimate = Seconds(10);
-        job.beginRun(false, now);
+        job.spec.estimatedRunTime = Seconds(10);
+        job.beginRun(bookkeeping::JobOrigin::accepted, now);
         return job;
     }
     void refresh() {
@@ -58,7 +57,7 @@
         for (const auto& each : jobs) waiting.push_back(each.get());
         std::vector<const Machine*> up;
         for (const auto& [id, each] : fleet.machines())
-            if (each->reports && each->acknowledged) up.push_back(each.get());
+            if (each->lease.active && each->agent.acknowledged) up.push_back(each.get());
         pacing.refresh(waiting, up, fleet, now);
     }
 };
@@ -66,19 +65,19 @@
 }  // namespace
 
 // Md = M times the share of the machines that are up and lack the image.
-TEST_F(Pacing, AdmissionExpectsFetchesOnTheMachinesThatLackTheImage) {
+TEST_F(FetchPacingTest, AdmissionExpectsFetchesInProportionToMachinesWithoutTheImage) {
     machine("m1", "a", {"i"});
     machine("m2", "a", {});
     machine("m3", "b", {});
-    machine("m4", "b", {"i"}).reports = false;  // not up, so it counts on neither side
+    machine("m4", "b", {"i"}).lease.active = false;  // not up, so it counts neither way
     auto& paced = job("i", 30);
     refresh();
     pacing.admit(paced, fleet);
     EXPECT_TRUE(paced.run->admitted);
-    EXPECT_NEAR(paced.run->pacedTotal, 20, 1e-9);
+    EXPECT_NEAR(paced.run->expectedPacedFetches, 20, 1e-9);
 }
 
-TEST_F(Pacing, AdmissionWaitsForAMachineAndHappensOnce) {
+TEST_F(FetchPacingTest, AdmissionNeedsAMachineThatIsUpAndHappensOnce) {
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
@@ -87,56 +86,57 @@
     refresh();
     pacing.admit(paced, fleet);
     EXPECT_TRUE(paced.run->admitted);
-    EXPECT_DOUBLE_EQ(paced.run->pacedTotal, 10);
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);
     fleet.useImage(first, "i", 1, kCacheGb);
     refresh();
     pacing.admit(paced, fleet);
-    EXPECT_DOUBLE_EQ(paced.run->pacedTotal, 10);  // Md is that of the admission
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);  // Md is that of the admission
 }
 
 // More machines may have the image than were up at the last refresh.
-TEST_F(Pacing, NoFewerFetchesThanNoneAreExpected) {
+TEST_F(FetchPacingTest, ExpectedFetchesAreNeverNegative) {
     machine("m1", "a", {"i"});
     auto& paced = job("i", 10);
     refresh();
     machine("m2", "a", {"i"});
     pacing.admit(paced, fleet);
-    EXPECT_DOUBLE_EQ(paced.run->pacedTotal, 0);
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 0);
 }
 
 // m/M >= md/Md: with M = 10 and Md = 5, each fetch takes two launches.
-TEST_F(Pacing, FetchesKeepToTheirShareOfTheLaunches) {
+TEST_F(FetchPacingTest, FetchesKeepToTheirShareOfTheLaunches) {
     machine("m1", "a", {"i"});
     auto& lacking = machine("m2", "b", {});
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
-    ASSERT_DOUBLE_EQ(paced.run->pacedTotal, 5);
+    ASSERT_DOUBLE_EQ(paced.run->expectedPacedFetches, 5);
     EXPECT_TRUE(pacing.allows(paced, lacking, now));  // 0/10 >= 0/5
-    paced.run->launched = 1;
-    paced.run->paced = 1;
+    paced.run->launchedTasks = 1;
+    paced.run->pacedFetches = 1;
     EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 1/10 < 1/5
-    paced.run->launched = 2;
+    paced.run->launchedTasks = 2;
     EXPECT_TRUE(pacing.allows(paced, lacking, now));  // 2/10 >= 1/5
-    paced.run->paced = 2;
+    paced.run->pacedFetches = 2;
     EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 2/10 < 2/5
 }
 
-// Nothing is left to spread where every machine had the image at admission.
-TEST_F(Pacing, AJobWithoutExpectedFetchesIsNotHeldToAShare) {
+// There is no share to keep to if every machine had the image at admission.
+TEST_F(FetchPacingTest, JobWithoutExpectedFetchesIsNotLimitedToAShare) {
     machine("m1", "a", {"i"});
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
-    ASSERT_DOUBLE_EQ(paced.run->pacedTotal, 0);
+    ASSERT_DOUBLE_EQ(paced.run->expectedPacedFetches, 0);
     auto& later = machine("m2", "b", {});
     refresh();
-    paced.run->paced = 3;
+    paced.run->pacedFetches = 3;
     EXPECT_TRUE(pacing.allows(paced, later, now));
 }
 
-// ts is work over the processors of all machines that have the image; a machine above E[ts] fetches nothing.
-TEST_F(Pacing, AMachineWithMoreCachedWorkThanTheMeanFetchesNothing) {
+// ts is the waiting work of a machine's images, each shared by the processors of all machines that have it. A
+// machine with ts above E[ts] fetches nothing.
+TEST_F(FetchPacingTest, MachineWithMoreCachedWorkThanTheMeanFetchesNothing) {
     auto& busy = machine("m1", "a", {"x", "y"});
     auto& lighter = machine("m2", "a", {"y"});
     auto& idle = machine("m3", "b", {});
@@ -152,25 +152,25 @@
     EXPECT_FALSE(pacing.allows(other, lighter, now));
 }
 
-// tr >= min(E[tr], threshold), with the threshold as the smaller: the zone rests for the mean fetch time.
-TEST_F(Pacing, AZoneRestsForTheMeanFetchTime) {
+// tr >= min(E[tr], threshold) with the threshold as the smaller one: the mean fetch time has to pass.
+TEST_F(FetchPacingTest, ZoneFetchesAgainAfterTheMeanFetchTime) {
     auto& here = machine("m1", "a", {});
     machine("m2", "b", {});
     auto& paced = job("i", 100);
     refresh();
     pacing.recordFetch(paced, "b", now - 1h);  // E[tr] is half an hour and more
     pacing.recordFetch(paced, "a", now);
-    EXPECT_EQ(paced.run->paced, 2u);
+    EXPECT_EQ(paced.run->pacedFetches, 2u);
     EXPECT_FALSE(pacing.allows(paced, here, now));
     EXPECT_FALSE(pacing.allows(paced, here, now + 4900ms));
-    EXPECT_TRUE(pacing.allows(paced, here, now + 5s));  // the operators' starting value
+    EXPECT_TRUE(pacing.allows(paced, here, now + 5s));  // the policy's fetchStart
     pacing.recordFetchTime(Seconds(3));
     EXPECT_FALSE(pacing.allows(paced, here, now + 2900ms));
     EXPECT_TRUE(pacing.allows(paced, here, now + 3s));
 }
 
-// With the mean as the smaller: of two zones only the one that waits longer than the mean may fetch.
-TEST_F(Pacing, OfTwoZonesTheOneThatRestedLongerFetches) {
+// With E[tr] as the smaller one, only a zone with tr of at least the mean may fetch.
+TEST_F(FetchPacingTest, OfTwoZonesTheOneAboveTheMeanTimeSinceFetchFetches) {
     auto& first = machine("m1", "a", {});
     auto& second = machine("m2", "b", {});
     auto& paced = job("i", 100);
@@ -181,7 +181,7 @@
     EXPECT_FALSE(pacing.allows(paced, second, now));  // tr = 1 s
 }
 
-TEST_F(Pacing, AZoneThatNeverFetchedMayFetchAtOnce) {
+TEST_F(FetchPacingTest, ZoneThatNeverFetchedMayFetchAtOnce) {
     machine("m1", "a", {});
     auto& second = machine("m2", "b", {});
     auto& paced = job("i", 100);
@@ -190,8 +190,8 @@
     EXPECT_TRUE(pacing.allows(paced, second, now));
 }
 
-// DESIGN: with one zone tr equals E[tr], so that the zone check never bites.
-TEST_F(Pacing, ASingleZoneNeverWaitsForItself) {
+// With one zone tr equals E[tr], so its check has no effect.
+TEST_F(FetchPacingTest, SingleZoneNeverWaitsForItself) {
     auto& here = machine("m1", "a", {});
     auto& paced = job("i", 100);
     refresh();
@@ -199,21 +199,22 @@
     EXPECT_TRUE(pacing.allows(paced, here, now));
 }
 
-// DESIGN: a cut zone inflates E[tr]. Only zones that were heard within three report intervals count.
-TEST_F(Pacing, AZoneThatIsCutOffDoesNotHoldBackTheOthers) {
+// A zone that is cut off would inflate E[tr], so only zones with a heartbeat in the last three heartbeat
+// intervals count.
+TEST_F(FetchPacingTest, ZoneWithoutRecentHeartbeatsDoesNotDelayTheOthers) {
     auto& first = machine("m1", "a", {});
-    machine("m2", "b", {}).lastReport = now - 6s;
+    machine("m2", "b", {}).lease.lastHeartbeat = now - 6s;
     auto& paced = job("i", 100);
     pacing.recordFetch(paced, "a", now - 1s);
     pacing.recordFetch(paced, "b", now - 1h);
     refresh();
     EXPECT_TRUE(pacing.allows(paced, first, now));  // E[tr] is that of zone a alone
-    fleet.find("m2")->lastReport = now - 5900ms;
+    fleet.find("m2")->lease.lastHeartbeat = now - 5900ms;
     refresh();
     EXPECT_FALSE(pacing.allows(paced, first, now));
 }
 
-TEST_F(Pacing, TheMeanFetchTimeFollowsByTenths) {
+TEST_F(FetchPacingTest, MeanFetchTimeMovesByATenthOfEachDifference) {
     EXPECT_EQ(pacing.expectedFetchTime(), Seconds(5));
     pacing.recordFetchTime(Seconds(10));
     EXPECT_DOUBLE_EQ(pacing.expectedFetchTime().count(), 10);  // the first counts in full
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling/scheduling_test.cpp
@@ -1,43 +1,43 @@
-// What a report is answered with: the rules for starts, the design's three steps, and what other machines
-// offer.
+// Which tasks start with the response to a heartbeat: degraded-first scheduling, placement constraints, and
+// the look-up of machines that have an image.
 #include <gtest/gtest.h>
 
-#include "placement_fixture.h"
+#include "base/clock.h"
+#include "scheduling/placement_fixture.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
 using namespace std::chrono_literals;
 using bookkeeping::PlacementState;
-using protocol::Seconds;
 
 namespace {
 
 using Names = std::vector<std::string>;
 
 class SchedulerTest : public PlacementFixture {};
-class StartRulesTest : public PlacementFixture {
+class MayStartTest : public PlacementFixture {
   protected:
-    bool mayStart(const Job& job, const Machine& on) const { return rules.mayStart(job, on, now); }
+    bool mayStart(const Job& job, const Machine& on) const { return constraints.mayStart(job, on, now); }
 };
-class CachedImageLookupTest : public PlacementFixture {};
+class ImageLocalityTest : public PlacementFixture {};
 
 }  // namespace
 
-// --- the design's steps -----------------------------------------------------------------------------------
+// --- degraded-first scheduling ----------------------------------------------------------------------------
 
 TEST_F(SchedulerTest, CachedTasksFillAMachineThatHasTheImage) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     giveImage(on, job);
     EXPECT_EQ(schedule(on), (Names{"wk-1/0", "wk-1/1", "wk-1/2", "wk-1/3"}));
-    EXPECT_EQ(job.run->launched, 4u);
-    EXPECT_EQ(job.run->paced, 0u);
+    EXPECT_EQ(job.run->launchedTasks, 4u);
+    EXPECT_EQ(job.run->pacedFetches, 0u);
 }
 
-TEST_F(SchedulerTest, AStartIsMarkedWithTheReportThatItAnswers) {
+TEST_F(SchedulerTest, StartRecordsTheHeartbeatThatItAnswers) {
     accept(spec("wk-1"));
     auto& on = machine("m1");
-    on.sequence = 7;
+    on.agent.sequence = 7;
     ASSERT_FALSE(schedule(on).empty());
     for (const auto& [key, placement] : on.placements) {
         EXPECT_EQ(placement.state, PlacementState::sent);
@@ -45,8 +45,9 @@
     }
 }
 
-// Machines with the images report soon and have room for three tasks of four of each job.
-TEST_F(SchedulerTest, OnlyTasksWithoutRoomElsewhereFetch) {
+// The machines with the images send heartbeats soon and have capacity for three of the four tasks of each
+// job.
+TEST_F(SchedulerTest, OnlyTasksThatDoNotFitOnMachinesWithTheImageFetch) {
     auto other = spec("wk-2");
     other.image = "other";
     Job* jobs[] = {&accept(spec("wk-1")), &accept(other)};
@@ -58,23 +59,23 @@
         place(cached, accept(busy), 0);
     }
     EXPECT_EQ(schedule(machine("m1")), (Names{"wk-1/0", "wk-2/0"}));
-    for (const auto* job : jobs) EXPECT_EQ(job->run->paced, 1u);
+    for (const auto* job : jobs) EXPECT_EQ(job->run->pacedFetches, 1u);
 }
 
-TEST_F(SchedulerTest, LeftoverRoomTakesFetchingTasks) {
+TEST_F(SchedulerTest, LeftoverCapacityTakesFetchingTasks) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     EXPECT_EQ(schedule(on).size(), 4u);
-    EXPECT_EQ(job.run->paced, 1u);  // they share one fetch
+    EXPECT_EQ(job.run->pacedFetches, 1u);  // they share one fetch
 }
 
-TEST_F(SchedulerTest, LeftoverRoomWaitsForMachinesWithTheImage) {
+TEST_F(SchedulerTest, LeftoverCapacityStaysFreeWhileMachinesWithTheImageSuffice) {
     auto& job = accept(spec("wk-1"));
     giveImage(machine("cached"), job);
     EXPECT_EQ(schedule(machine("m1")), Names{});
 }
 
-TEST_F(SchedulerTest, AHighersRankFetchGoesBeforeALowersCachedTasks) {
+TEST_F(SchedulerTest, FetchOfAHigherRankComesBeforeCachedTasksOfALowerRank) {
     auto low = spec("wk-101");
     auto high = spec("wk-102");
     high.priority = Priority::high;
@@ -86,7 +87,7 @@
 }
 
 TEST_F(SchedulerTest, PlannedGangTasksStartThoughTheMachineIsFull) {
-    auto gang = spec("wk-103", Kind::gang);
+    auto gang = spec("wk-103", JobKind::gang);
     gang.tasks = 2;
     gang.cpus = 4;
     accept(gang);
@@ -94,15 +95,15 @@
     refresh();
     gangs.plan(now);
     EXPECT_EQ(schedule(on), (Names{"wk-103/0", "wk-103/1"}));
-    EXPECT_EQ(schedule(on), Names{});  // they have left
+    EXPECT_EQ(schedule(on), Names{});  // they were sent
 }
 
-TEST_F(SchedulerTest, AGangOfSeveralIsNotStartedTaskByTask) {
-    accept(spec("wk-103", Kind::gang));
+TEST_F(SchedulerTest, GangOfSeveralTasksIsNotStartedTaskByTask) {
+    accept(spec("wk-103", JobKind::gang));
     EXPECT_EQ(schedule(machine("m1")), Names{});
 }
 
-TEST_F(SchedulerTest, FreedRoomIsKeptForAHighJob) {
+TEST_F(SchedulerTest, FreedCapacityIsReservedForAHighPriorityJob) {
     auto high = spec("wk-102");
     high.priority = Priority::high;
     high.cpus = 8;
@@ -110,13 +111,13 @@
     auto& on = machine("m1");
     place(on, accept(spec("wk-101")), 0);
     EXPECT_EQ(schedule(on), Names{});
-    EXPECT_EQ(on.reservedFor, &job);
-    EXPECT_TRUE(on.holding);
+    EXPECT_EQ(on.reservation.job, &job);
+    EXPECT_TRUE(on.reservation.withoutPreemption);
 }
 
-// --- the rules for starts ---------------------------------------------------------------------------------
+// --- placement constraints --------------------------------------------------------------------------------
 
-TEST_F(StartRulesTest, OwnersConstraintsAreKept) {
+TEST_F(MayStartTest, OwnerConstraintsOnTypeZoneAndSpotAreKept) {
     auto bound = spec("wk-1");
     bound.types = Names{"gpu"};
     bound.zone = "b";
@@ -129,20 +130,20 @@
     EXPECT_FALSE(mayStart(job, spot));
 }
 
-TEST_F(StartRulesTest, AJobThatIsOverOrPausedOrHasNothingWaitingStartsNothing) {
+TEST_F(MayStartTest, JobThatIsOverOrBackingOffOrHasNothingWaitingStartsNothing) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     ASSERT_TRUE(mayStart(job, on));
-    job.run->notBefore = now + 1s;
+    job.run->backoffUntil = now + 1s;
     EXPECT_FALSE(mayStart(job, on));
-    job.run->notBefore = now;
+    job.run->backoffUntil = now;
     for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(on, job, task);
     EXPECT_FALSE(mayStart(job, on));
-    job.final = storage::Final::cancelled;
+    job.terminalState = storage::TerminalState::cancelled;
     EXPECT_FALSE(mayStart(job, machine("m2")));
 }
 
-TEST_F(StartRulesTest, AFailureKeepsAJobFromTheMachineForAMinute) {
+TEST_F(MayStartTest, JobAvoidsAMachineForAMinuteAfterAFailureThere) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     job.run->errorMachines["m1"] = now;
@@ -152,62 +153,62 @@
     EXPECT_TRUE(mayStart(job, on));
 }
 
-// It is the job that is at fault then, and it would find no machine any more.
-TEST_F(StartRulesTest, AJobThatFailedOnThreeMachinesAvoidsNone) {
+// The job is then the likely cause itself, and otherwise it would soon find no machine.
+TEST_F(MayStartTest, JobThatFailedOnThreeMachinesAvoidsNone) {
     auto& job = accept(spec("wk-1"));
     auto& on = machine("m1");
     for (const char* id : {"m1", "m2", "m3"}) job.run->errorMachines[id] = now;
     EXPECT_TRUE(mayStart(job, on));
 }
 
-// --- what machines with the image offer -------------------------------------------------------------------
+// --- machines with the image ------------------------------------------------------------------------------
 
-TEST_F(CachedImageLookupTest, RoomCountsOnMachinesWithTheImageThatReportSoon) {
+TEST_F(ImageLocalityTest, CapacityCountsOnlyMachinesWithTheImageThatHeartbeatSoon) {
     auto wide = spec("wk-1");
     wide.tasks = 20;
     auto& job = accept(wide);
     auto& cached = machine("cached");
     giveImage(cached, job);
     machine("without");
-    EXPECT_EQ(images.roomWithImage(job, now), 4u);
-    now += 250ms;  // the answer is kept for so long
-    cached.lastReport = now - 4s;
-    EXPECT_EQ(images.roomWithImage(job, now), 0u);
+    EXPECT_EQ(images.capacityWithImage(job, now), 4u);
+    now += 250ms;  // after which the answer is no longer cached
+    cached.lease.lastHeartbeat = now - 4s;
+    EXPECT_EQ(images.capacityWithImage(job, now), 0u);
 }
 
-TEST_F(CachedImageLookupTest, AnAnswerServesForAMoment) {
+TEST_F(ImageLocalityTest, AnswerIsCachedForAQuarterOfASecond) {
     auto& job = accept(spec("wk-1"));
     giveImage(machine("m1"), job);
-    images.roomWithImage(job, now);
-    const auto looked = meter.total();
-    images.roomWithImage(job, now + 249ms);
-    EXPECT_EQ(meter.total(), looked);
-    images.roomWithImage(job, now + 250ms);
-    EXPECT_GT(meter.total(), looked);
+    images.capacityWithImage(job, now);
+    const auto looked = scans.total();
+    images.capacityWithImage(job, now + 249ms);
+    EXPECT_EQ(scans.total(), looked);
+    images.capacityWithImage(job, now + 250ms);
+    EXPECT_GT(scans.total(), looked);
 }
 
-TEST_F(CachedImageLookupTest, AShortAimWaitsForAMachineThatHasTheImage) {
+TEST_F(ImageLocalityTest, ShortWaitObjectiveWaitsForAMachineThatHasTheImage) {
     settings.objectives = {{"wait", "class", Seconds(3)}};
-    auto& job = accept(spec("wk-1", Kind::service));
+    auto& job = accept(spec("wk-1", JobKind::service));
     EXPECT_FALSE(images.waitsForImage(job, now));  // no machine has it
     now += 250ms;
     auto& cached = machine("cached");
     giveImage(cached, job);
     EXPECT_TRUE(images.waitsForImage(job, now));
-    EXPECT_FALSE(images.waitsForImage(job, now + 3s));  // the aim is missed anyway
+    EXPECT_FALSE(images.waitsForImage(job, now + 3s));  // the objective is missed anyway
 }
 
-TEST_F(CachedImageLookupTest, ALongAimAllowsAFetch) {
+TEST_F(ImageLocalityTest, LongWaitObjectiveAllowsAFetch) {
     settings.objectives = {{"wait", "class", Seconds(30)}};
     auto& job = accept(spec("wk-1"));
     giveImage(machine("cached"), job);
     EXPECT_FALSE(images.waitsForImage(job, now));
 }
 
-TEST_F(CachedImageLookupTest, WithoutPreemptionNothingIsWaitedFor) {
+TEST_F(ImageLocalityTest, WithoutPreemptionNoJobWaitsForAnImage) {
     policy.preempt = false;
     settings.objectives = {{"wait", "class", Seconds(3)}};
-    auto& job = accept(spec("wk-1", Kind::service));
+    auto& job = accept(spec("wk-1", JobKind::service));
     giveImage(machine("cached"), job);
     EXPECT_FALSE(images.waitsForImage(job, now));
 }
--- a/tests/upgrade/store_check.h
+++ b/tests/upgrade/store_check.h
@@ -1,17 +1,20 @@
 #pragma once
 
+// Checks what the controllers of an upgrade test store, by the key-value store's log. Used on the test's one
+// thread.
+
 #include <map>
 #include <string>
 #include <vector>
 
-#include "state_stub.h"
 #include "storage/records.h"
+#include "storage/store_stub.h"
 #include "upgrade/rules.h"
 
 namespace burlpoint::tests {
 
-/// Follows what is stored: tokens only rise and none is used twice, records of jobs stay, those that are over
-/// never change their end, and stored bits are those of completed tasks and stay until the job is over.
+/// Fencing tokens only rise and none is used twice. Records of jobs stay, and terminal states never change.
+/// Stored bits are those of completed tasks, and stay until the job is over.
 class StoreCheck {
   public:
     StoreCheck(Rules& rules, const Store& store) : rules_(rules), store_(store) {}
@@ -39,8 +42,8 @@
     Rules& rules_;
     const Store& store_;
     std::size_t seen_ = 0, leaderships_ = 0, partsWritten_ = 0;
-    std::uint64_t token_ = 0, leaderToken_ = 0;
-    std::map<std::string, storage::Final> ends_;
+    std::uint64_t fencingToken_ = 0, leaderToken_ = 0;
+    std::map<std::string, storage::TerminalState> storedStates_;
     std::map<std::string, std::vector<bool>> bits_;  // by key
 };
 
--- /dev/null
+++ b/tests/workers/failure_detector_test.cpp
@@ -0,0 +1,176 @@
+#include "coordination/workers/failure_detector.h"
+
+#include <gtest/gtest.h>
+
+#include "base/clock.h"
+
+using namespace burlpoint;
+using namespace std::chrono_literals;
+using bookkeeping::Machine;
+using coordination::FailureDetector;
+using coordination::Isolation;
+
+namespace {
+
+using Machines = std::vector<Machine*>;
+
+struct FailureDetectorTest : testing::Test {
+    FailureDetectorTest() {
+        settings.heartbeatInterval = Seconds(2);  // suspected after 4.5 s
+        settings.workerLease = Seconds(30);       // failed after 12 s
+        settings.peers.resize(2);                 // three controllers
+    }
+
+    protocol::Settings settings;
+    bookkeeping::Fleet fleet;
+    const Time began{1000s};
+    Time now = began;
+    std::uint64_t fencingToken = 5;
+    std::optional<FailureDetector> created;
+
+    /// Created on first use, so that a test can choose the fencing token before.
+    FailureDetector& detector() {
+        if (!created) created.emplace(settings, fleet, fencingToken, began, 31s);
+        return *created;
+    }
+    /// Its last heartbeat came now.
+    Machine& sendingHeartbeats(const std::string& id) {
+        auto& machine = fleet.add(id, now);
+        machine.registry.reconciled = true;
+        machine.lease.active = true;
+        machine.lease.lastHeartbeat = now;
+        return machine;
+    }
+    /// An earlier leader's tasks may be on it.
+    Machine& unreconciled(const std::string& id) {
+        auto& machine = fleet.add(id, now);
+        machine.registry.reconciled = false;
+        machine.lease.lastHeartbeat = began;
+        return machine;
+    }
+    FailureDetector::Findings findings() {
+        const auto census = detector().takeCensus(now);
+        return detector().evaluate(census, now);
+    }
+};
+
+}  // namespace
+
+TEST_F(FailureDetectorTest, CensusTakenThenTheNextIsDueAfterHalfASecond) {
+    EXPECT_TRUE(detector().isDue(now));
+    detector().takeCensus(now);
+    EXPECT_FALSE(detector().isDue(now + 499ms));
+    EXPECT_TRUE(detector().isDue(now + 500ms));
+}
+
+TEST_F(FailureDetectorTest, MachineSuspectedThenOnlyItIsProbed) {
+    auto& suspected = sendingHeartbeats("suspected");
+    now += 4600ms;
+    sendingHeartbeats("alive");
+    EXPECT_EQ(findings().toProbe, Machines{&suspected});
+    suspected.agent.probing = true;
+    EXPECT_TRUE(findings().toProbe.empty()) << "one probe at a time";
+}
+
+TEST_F(FailureDetectorTest, LeadershipBeginsThenProbesWaitForHeartbeats) {
+    auto& machine = unreconciled("m1");
+    now = began + 1500ms;
+    EXPECT_TRUE(findings().toProbe.empty());
+    now = began + 1501ms;
+    EXPECT_EQ(findings().toProbe, Machines{&machine});
+}
+
+TEST_F(FailureDetectorTest, MachineAnswersNoProbeThenItHasFailed) {
+    auto& machine = unreconciled("m1");
+    now = began + 12s;
+    EXPECT_TRUE(findings().failedMachines.empty());
+    now = began + 12001ms;
+    EXPECT_EQ(findings().failedMachines, Machines{&machine});
+    machine.agent.probedAt = now - 1s;
+    EXPECT_TRUE(findings().failedMachines.empty()) << "it answers";
+    machine.agent.probedAt = {};
+    machine.cloud.deletionRequested = true;
+    EXPECT_TRUE(findings().failedMachines.empty()) << "its deletion was requested before";
+}
+
+TEST_F(FailureDetectorTest, SuspectedMachineWithoutTasksThenItIsOnlyProbed) {
+    sendingHeartbeats("m1");
+    now += 20s;
+    const auto found = findings();
+    EXPECT_EQ(found.toProbe.size(), 1u);
+    EXPECT_TRUE(found.failedMachines.empty());
+}
+
+// Heartbeats of such a machine arrive, but it does not receive what it is sent.
+TEST_F(FailureDetectorTest, UnreachableMachineSendsHeartbeatsThenItIsSuspectedAndFails) {
+    auto& unreachable = sendingHeartbeats("unreachable");
+    unreachable.agent.unreachableSince = now;
+    now += 13s;
+    unreachable.lease.lastHeartbeat = now;
+    const auto census = detector().takeCensus(now);
+    EXPECT_EQ(census.suspected, 1u);
+    EXPECT_EQ(detector().evaluate(census, now).failedMachines, Machines{&unreachable});
+}
+
+TEST_F(FailureDetectorTest, ManyMachinesSuspectedThenNoneHasFailed) {
+    for (const auto* id : {"m1", "m2", "m3"}) unreconciled(id);
+    now = began + 13s;
+    for (int i = 0; i < 8; ++i) sendingHeartbeats("up" + std::to_string(i));
+    EXPECT_TRUE(findings().failedMachines.empty()) << "three of eleven";
+    sendingHeartbeats("up8");
+    EXPECT_EQ(findings().failedMachines.size(), 3u) << "three of twelve";
+}
+
+TEST_F(FailureDetectorTest, LeaseExpiresThenItIsFoundUntilCleared) {
+    auto& machine = sendingHeartbeats("m1");
+    machine.lease.until = now + 30s;
+    now += 30s;
+    EXPECT_TRUE(detector().takeCensus(now).expired.empty());
+    now += 1ms;
+    EXPECT_EQ(detector().takeCensus(now).expired, Machines{&machine});
+    machine.lease.active = false;  // as the leader clears it
+    EXPECT_TRUE(detector().takeCensus(now).expired.empty());
+}
+
+TEST_F(FailureDetectorTest, NoWorkerReachesTheLeaderThenItIsIsolated) {
+    unreconciled("m1");
+    unreconciled("m2");
+    now = began + 10500ms;  // the suspicion timeout of 4.5 s and 6 s
+    EXPECT_EQ(findings().isolation, Isolation::none);
+    now += 1ms;
+    EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
+}
+
+TEST_F(FailureDetectorTest, LeaderStaysWithoutWorkersThenItIsIsolatedAfterTheLeases) {
+    fencingToken = 8;  // one leadership in four stays, with three controllers
+    unreconciled("m1");
+    unreconciled("m2");
+    now = began + 51s;  // the leases and 20 s
+    EXPECT_EQ(findings().isolation, Isolation::none);
+    now += 1ms;
+    EXPECT_EQ(findings().isolation, Isolation::neverReached);
+    detector().noteHeartbeat(now);
+    EXPECT_EQ(findings().isolation, Isolation::none);
+}
+
+TEST_F(FailureDetectorTest, LeaderLosesItsWorkersThenItDoesNotStay) {
+    fencingToken = 8;
+    sendingHeartbeats("m1");
+    sendingHeartbeats("m2");
+    detector().noteHeartbeat(now);
+    now += 10501ms;
+    EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
+}
+
+TEST_F(FailureDetectorTest, ControllerWasSuspendedThenNoMachineIsSuspected) {
+    auto& first = sendingHeartbeats("m1");
+    sendingHeartbeats("m2");
+    detector().noteHeartbeat(now);
+    detector().noteTick(now);
+    now += 20s;
+    detector().noteTick(now);
+    EXPECT_EQ(first.lease.lastHeartbeat, now - 2s);
+    const auto found = findings();
+    EXPECT_TRUE(found.toProbe.empty());
+    EXPECT_EQ(found.isolation, Isolation::none);
+}
