--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -27,35 +27,35 @@
 constexpr auto kCommandTimeout = 2500ms;
 constexpr auto kCloudTimeout = 6000ms;
 constexpr auto kWriteTimeout = 1500ms;
-constexpr unsigned kMachinesPerPage = 500;  // of the cloud's list
+constexpr unsigned kMachinesPerPage = 500;  // in a request for the cloud's machine list
 
-/// The outcome of direct commands. A worker that turns them down with 409 sends a heartbeat, too.
+/// Reads the response to direct commands. A worker that rejects them with 409 returns a heartbeat, too.
 CommandsAnswered readCommandResponse(const HttpResult& result, const std::string& machine,
                                      const bookkeeping::HeartbeatVersion& known) {
-    CommandsAnswered answered{machine, std::nullopt, known};
+    CommandsAnswered event{machine, std::nullopt, known};
     try {
         if (result.status == 200 || result.status == 409)
-            answered.heartbeat = protocol::decodeHeartbeat(result.body);
+            event.heartbeat = protocol::decodeHeartbeat(result.body);
     } catch (const MalformedMessage& error) {
-        spdlog::error("malformed answer of a worker machine={} error={}", machine, error.what());
+        spdlog::error("malformed worker response machine={} error={}", machine, error.what());
     }
-    return answered;
+    return event;
 }
 
-/// The outcome of the instance request of that name.
-ScaleOutCompleted readInstanceRequestAnswer(const HttpResult& result, const std::string& name) {
-    ScaleOutCompleted answered;
-    answered.name = name;
+/// Reads the cloud's response to the instance request `name`.
+ScaleOutCompleted readInstanceResponse(const HttpResult& result, const std::string& name) {
+    ScaleOutCompleted event;
+    event.name = name;
     const bool noCapacity = result.status == 503 && protocol::saysNoCapacity(result.body);
-    if (result.status == 400 || noCapacity) answered.outcome = InstanceRequestOutcome::rejected;
-    if (!result.ok()) return answered;
+    if (result.status == 400 || noCapacity) event.outcome = InstanceRequestOutcome::rejected;
+    if (!result.ok()) return event;
     try {
-        answered.machines = protocol::decodeInstanceIds(result.body);
-        answered.outcome = InstanceRequestOutcome::fulfilled;
+        event.machines = protocol::decodeInstanceIds(result.body);
+        event.outcome = InstanceRequestOutcome::fulfilled;
     } catch (const MalformedMessage& error) {
-        spdlog::error("malformed answer of the cloud request={} error={}", name, error.what());
+        spdlog::error("malformed cloud response request={} error={}", name, error.what());
     }
-    return answered;
+    return event;
 }
 
 }  // namespace
@@ -75,13 +75,13 @@
     for (auto& [request, reply] : std::exchange(pendingHeartbeats_, {})) reply(protocol::respond(503));
 }
 
-std::uint64_t ActionExecutor::awaitAnswer(Reply reply) {
+std::uint64_t ActionExecutor::addPendingHeartbeat(Reply reply) {
     const auto request = ++lastRequest_;
     pendingHeartbeats_[request] = std::move(reply);
     return request;
 }
 
-bool ActionExecutor::entitled() const { return services_.election.valid(Clock::now()); }
+bool ActionExecutor::mayActAsLeader() const { return services_.election.valid(Clock::now()); }
 
 template <typename Handle>
 auto ActionExecutor::whileLeading(Handle handle) const {
@@ -91,20 +91,21 @@
 }
 
 void ActionExecutor::perform(Action& action) {
-    std::visit([this](auto& a) { carryOut(a); }, action);
+    std::visit([this](auto& a) { execute(a); }, action);
 }
 
-void ActionExecutor::carryOut(AnswerHeartbeat& action) {
+void ActionExecutor::execute(AnswerHeartbeat& action) {
     const auto found = pendingHeartbeats_.find(action.request);
     if (found == pendingHeartbeats_.end()) return;
     const auto reply = std::move(found->second);
     pendingHeartbeats_.erase(found);
-    if (action.verdict == HeartbeatVerdict::refused || !entitled()) return reply(protocol::respond(503));
+    if (action.verdict == HeartbeatVerdict::refused || !mayActAsLeader())
+        return reply(protocol::respond(503));
     reply(protocol::respond(200, protocol::encodeHeartbeatResponse(fencingToken_, action.commands)));
 }
 
-void ActionExecutor::carryOut(SendCommands& action) {
-    if (!entitled()) return deliver_(CommandsAnswered{action.machine, std::nullopt, action.known});
+void ActionExecutor::execute(SendCommands& action) {
+    if (!mayActAsLeader()) return deliver_(CommandsAnswered{action.machine, std::nullopt, action.known});
     workers_.request(
         action.address, "POST", paths::kCommands,
         protocol::encodeDirectCommands(fencingToken_, action.incarnation, action.commands), kCommandTimeout,
@@ -113,32 +114,32 @@
         }));
 }
 
-void ActionExecutor::carryOut(WriteState& action) {
+void ActionExecutor::execute(WriteState& action) {
     services_.state.transact(
         action.conditions, action.writes, kWriteTimeout,
         whileLeading([this](const TransactionResult& result) { deliver_(StateWritten{result}); }));
 }
 
-void ActionExecutor::carryOut(RefreshReplica&) {
+void ActionExecutor::execute(RefreshReplica&) {
     services_.watcher.readLatest(whileLeading([this](FreshRead read) {
         deliver_(ReplicaRefreshed{read == FreshRead::upToDate ? RefreshOutcome::refreshed
                                                               : RefreshOutcome::failed});
     }));
 }
 
-void ActionExecutor::carryOut(ScaleOut& action) {
+void ActionExecutor::execute(ScaleOut& action) {
     const auto& name = action.request.name;
-    // Only an entitled leader may create and delete machines, as with commands to workers.
-    if (!entitled()) return deliver_(ScaleOutCompleted{name, InstanceRequestOutcome::unknown, {}});
+    // Machines, like commands to workers, may be created and deleted only under a valid leader lease.
+    if (!mayActAsLeader()) return deliver_(ScaleOutCompleted{name, InstanceRequestOutcome::unknown, {}});
     services_.http.request(settings_.cloudAddress, "POST", paths::kInstanceRequest,
                            protocol::encodeInstanceRequest(action.request), kCloudTimeout,
                            whileLeading([this, name](const HttpResult& result) {
-                               deliver_(readInstanceRequestAnswer(result, name));
+                               deliver_(readInstanceResponse(result, name));
                            }));
 }
 
-void ActionExecutor::carryOut(ScaleIn& action) {
-    if (!entitled()) return deliver_(ScaleInCompleted{action.machines, ScaleInOutcome::unknown});
+void ActionExecutor::execute(ScaleIn& action) {
+    if (!mayActAsLeader()) return deliver_(ScaleInCompleted{action.machines, ScaleInOutcome::unknown});
     services_.http.request(settings_.cloudAddress, "POST", paths::kInstanceDeletion,
                            protocol::encodeInstanceDeletion(action.machines), kCloudTimeout,
                            whileLeading([this, machines = action.machines](const HttpResult& result) {
@@ -148,33 +149,34 @@
                            }));
 }
 
-void ActionExecutor::carryOut(ListMachines&) {
+void ActionExecutor::execute(ListMachines&) {
     const auto listed = std::make_shared<MachinesListed>();
     listed->requestedAt = Clock::now();
-    listPage("", listed);
+    requestPage("", listed);
 }
 
-void ActionExecutor::listPage(const std::string& after, const std::shared_ptr<MachinesListed>& listed) {
+void ActionExecutor::requestPage(const std::string& after, const std::shared_ptr<MachinesListed>& listed) {
     services_.http.request(
         settings_.cloudAddress, "GET", paths::instancePage(after, kMachinesPerPage), "", kCloudTimeout,
-        whileLeading([this, listed](const HttpResult& result) { pageListed(result, listed); }));
+        whileLeading([this, listed](const HttpResult& result) { handlePage(result, listed); }));
 }
 
-void ActionExecutor::pageListed(const HttpResult& result, const std::shared_ptr<MachinesListed>& listed) {
+void ActionExecutor::handlePage(const HttpResult& result, const std::shared_ptr<MachinesListed>& listed) {
     try {
         if (result.ok()) {
             auto page = protocol::decodeInstancePage(result.body);
             std::move(page.machines.begin(), page.machines.end(), std::back_inserter(listed->machines));
-            if (page.more && !listed->machines.empty()) return listPage(listed->machines.back().id, listed);
+            if (page.more && !listed->machines.empty())
+                return requestPage(listed->machines.back().id, listed);
             listed->complete = true;
         }
     } catch (const MalformedMessage& error) {
-        spdlog::error("malformed list of machines error={}", error.what());
+        spdlog::error("malformed machine list from cloud error={}", error.what());
     }
     deliver_(std::move(*listed));
 }
 
-void ActionExecutor::carryOut(ListTypes&) {
+void ActionExecutor::execute(ListTypes&) {
     services_.http.request(settings_.cloudAddress, "GET", paths::kTypes, "", kCloudTimeout,
                            whileLeading([this](const HttpResult& result) {
                                if (!result.ok()) return;
@@ -182,13 +184,14 @@
                                    const auto handle = protocol::unpackBody(result.body);
                                    deliver_(TypesListed{protocol::decodeMachineTypes(handle.get())});
                                } catch (const MalformedMessage& error) {
-                                   spdlog::error("malformed list of machine types error={}", error.what());
+                                   spdlog::error("malformed machine type list from cloud error={}",
+                                                 error.what());
                                }
                            }));
 }
 
-void ActionExecutor::carryOut(Resign& action) {
-    spdlog::info("resigning reason={}", nameOf(action.reason));
+void ActionExecutor::execute(Resign& action) {
+    spdlog::info("resigning leadership reason={}", nameOf(action.reason));
     services_.election.resign(Clock::now(), resignationFor(action.reason));
 }
 
--- a/src/coordination/controller/action_executor.h
+++ b/src/coordination/controller/action_executor.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Carries out what a leader decides: responses to heartbeats, direct commands to workers, reads and writes of
-// the key-value store, and requests to the cloud. Owns the heartbeats that wait for their responses, the
-// connections to workers, and the count of leaderships by which outcomes that an earlier one asked for are
+// Executes the leader's actions: responses to heartbeats, direct commands to workers, reads and writes of the
+// key-value store, and requests to the cloud provider. Owns the heartbeat requests that await a response, the
+// connections to workers, and the leadership epoch, by which outcomes of actions of an earlier leadership are
 // recognized. Used on the event loop's thread only.
 
 #include <cstddef>
@@ -25,69 +25,69 @@
 
 namespace burlpoint::coordination {
 
-/// Carries out a leader's actions and delivers their outcomes as events for that same leader. Outcomes that
-/// arrive after that leadership has ended are dropped.
+/// Executes a leader's actions and delivers their outcomes as events to the same leader. Outcomes that arrive
+/// after that leadership has ended are dropped.
 class ActionExecutor {
   public:
-    /// Takes an event for the leader. Never called from inside `begin` or `end`.
+    /// Receives an event for the leader. Never called from within `begin` or `end`.
     using Deliver = std::function<void(LeaderEvent)>;
 
-    /// The services that actions go to, shared with the rest of the controller; all must outlive the
+    /// The services that actions use. They are shared with the rest of the controller and must outlive the
     /// executor.
     struct Services {
-        transport::HttpClient& http;  // to the cloud
+        transport::HttpClient& http;  // for requests to the cloud provider
         storage::KeyValueClient& state;
         StateWatcher& watcher;
         Election& election;
     };
 
-    /// `workerSockets`: the most connections open to workers at a time. They are apart from those to the
-    /// services, so that unreachable machines do not use these up.
+    /// `workerSockets` is the maximum number of concurrent connections to workers. These connections have a
+    /// pool of their own, so that unreachable machines cannot exhaust the connections to the services.
     ActionExecutor(asio::io_context& io, const protocol::Settings& settings, std::size_t workerSockets,
                    Services services, Deliver deliver);
 
-    /// A leadership of this controller begins; its commands and responses carry `fencingToken`.
+    /// Starts a leadership of this controller. Its commands and heartbeat responses carry `fencingToken`.
     void begin(std::uint64_t fencingToken);
 
-    /// The leadership has ended: heartbeats that wait for a response get 503.
+    /// Ends the leadership. Heartbeats that await a response are answered with 503.
     void end();
 
-    /// The number of the present leadership, or of the time since the last one. It changes whenever one
-    /// begins or ends, so that outcomes of an earlier one can be recognized.
+    /// A number that increases whenever a leadership begins or ends. An outcome that belongs to an earlier
+    /// leadership is recognized by its different epoch.
     std::uint64_t epoch() const { return epoch_; }
 
-    /// Keeps the reply to a heartbeat until the leader's `AnswerHeartbeat`, or until the leadership ends.
-    /// Returns the heartbeat's request number, which is never used twice.
-    std::uint64_t awaitAnswer(transport::Reply reply);
+    /// Stores the reply callback of a heartbeat until the leader's `AnswerHeartbeat`, or until the leadership
+    /// ends. Returns the request number of the heartbeat, which is unique within this process.
+    std::uint64_t addPendingHeartbeat(transport::Reply reply);
 
-    /// Carries out an action of the present leader; only between `begin` and `end`. What only an entitled
-    /// leader may do (responses, commands, scaling out and in) is done only if this controller is entitled at
-    /// this moment; otherwise the leader is told at once that the outcome is not known. Resigning calls `end`
-    /// by way of the election.
+    /// Executes an action of the current leader. May be called only between `begin` and `end`. Heartbeat
+    /// responses, commands, scale-out and scale-in need a leader lease that is valid at this moment. Without
+    /// one, a heartbeat is answered with 503, and for the other three an event with an unknown outcome is
+    /// delivered before the call returns. A resignation calls `end` through the election.
     void perform(Action& action);
 
-    /// Closes connections to workers unused for `age`.
+    /// Closes connections to workers that have been idle for `age`.
     void closeIdle(Duration age) { workers_.closeIdle(age); }
 
   private:
-    void carryOut(AnswerHeartbeat& action);
-    void carryOut(SendCommands& action);
-    void carryOut(WriteState& action);
-    void carryOut(RefreshReplica& action);
-    void carryOut(ScaleOut& action);
-    void carryOut(ScaleIn& action);
-    void carryOut(ListMachines& action);
-    void carryOut(ListTypes& action);
-    void carryOut(Resign& action);
-
-    /// Requests the page of the cloud's list after that machine, then the pages after it.
-    void listPage(const std::string& after, const std::shared_ptr<MachinesListed>& listed);
-    /// Takes in a page; a page that fails ends the list, which is delivered as incomplete.
-    void pageListed(const transport::HttpResult& result, const std::shared_ptr<MachinesListed>& listed);
-
-    /// May this controller act as the leader at this moment?
-    bool entitled() const;
-    /// Makes `handle` a callback that does nothing once the present leadership has ended.
+    void execute(AnswerHeartbeat& action);
+    void execute(SendCommands& action);
+    void execute(WriteState& action);
+    void execute(RefreshReplica& action);
+    void execute(ScaleOut& action);
+    void execute(ScaleIn& action);
+    void execute(ListMachines& action);
+    void execute(ListTypes& action);
+    void execute(Resign& action);
+
+    /// Requests the page of the cloud's machine list that follows the machine `after`, then all later pages.
+    void requestPage(const std::string& after, const std::shared_ptr<MachinesListed>& listed);
+    /// Appends a page to `listed`. If the page could not be read, `listed` is delivered as incomplete.
+    void handlePage(const transport::HttpResult& result, const std::shared_ptr<MachinesListed>& listed);
+
+    /// True if this controller may act as the leader at this moment.
+    bool mayActAsLeader() const;
+    /// Wraps `handle` in a callback that does nothing once the current leadership has ended.
     template <typename Handle>
     auto whileLeading(Handle handle) const;
 
@@ -96,7 +96,7 @@
     const Services services_;
     const Deliver deliver_;
     std::uint64_t epoch_ = 0;
-    std::uint64_t fencingToken_ = 0;  // of the present leadership; 0 while there is none
+    std::uint64_t fencingToken_ = 0;  // of the current leadership; 0 if this controller does not lead
     std::uint64_t lastRequest_ = 0;
     std::unordered_map<std::uint64_t, transport::Reply> pendingHeartbeats_;  // by request number
 };
--- a/src/coordination/controller/cloud_inventory.cpp
+++ b/src/coordination/controller/cloud_inventory.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr Seconds kMaxAge{86'400};  // greater ages are not believed: subtracted, they could overflow
+constexpr Seconds kMaxInstanceAge{86'400};  // limits the reported age: subtracting a huge age could overflow
 
 }  // namespace
 
@@ -45,23 +45,23 @@
     std::set<std::string> listed;
     for (const auto& instance : event.machines) {
         listed.insert(instance.id);
-        noteListed(instance, now);
+        applyListedInstance(instance, now);
     }
     const auto vanished = context_.autoscaler.vanished(context_.fleet, listed, event.requestedAt);
     for (auto* machine : vanished) context_.membership.remove(*machine, now);
 }
 
-/// The cloud has the machine: requested by this leader or an earlier one, or by a request that was carried
-/// out late.
-void CloudInventory::noteListed(const CloudInstance& instance, Time now) {
+/// Updates the fleet from a machine in the cloud's list. The machine may be new to this leader: an earlier
+/// leader may have requested it, or a request whose outcome was unknown may have created it late.
+void CloudInventory::applyListedInstance(const CloudInstance& instance, Time now) {
     if (context_.membership.isDeleted(instance.id)) return;
     const bool known = context_.fleet.find(instance.id) != nullptr;
     auto& machine =
         context_.membership.findOrAdd(instance.id, {instance.type, instance.zone, instance.spot}, now);
-    // The age tells how long a machine has been booting. One that may have had tasks does not boot, so its
-    // age means nothing.
+    // The instance age is the boot time so far, which only matters for a machine that is still booting. A
+    // machine that may have had tasks has booted already.
     if (machine.agent.incarnation == 0 && !bookkeeping::mayHoldTasks(context_.replica, instance.id)) {
-        const auto age = std::chrono::duration_cast<Clock::duration>(std::min(instance.age, kMaxAge));
+        const auto age = std::chrono::duration_cast<Clock::duration>(std::min(instance.age, kMaxInstanceAge));
         machine.cloud.firstSeenAt = std::min(machine.cloud.firstSeenAt, now - age);
     }
     if (!known) machine.history.lastBusyAt = now;
@@ -79,10 +79,11 @@
     context_.jobQueue.markStale();
 }
 
-/// Replaces the known type of that name; true if it is worth storing.
+/// Replaces the known machine type of that name. Returns true if the change is to be stored.
 bool CloudInventory::updateType(const protocol::MachineType& type) {
     auto& known = context_.types[type.name];
-    // Prices move all the time and are asked for anew; only the rest is worth a write.
+    // Prices change all the time and are requested again from the cloud, so a change of price alone does not
+    // justify a write to the key-value store.
     auto compared = type;
     compared.price = known.price;
     compared.spotPrice = known.spotPrice;
--- a/src/coordination/controller/cloud_inventory.h
+++ b/src/coordination/controller/cloud_inventory.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Takes the cloud's answers into the fleet: machines that were created, deleted or listed, and the list of
-// machine types. Owns nothing: machines are in the fleet, and requests under way are the autoscaler's. Part
-// of a leader, on its thread.
+// Applies the cloud provider's responses to the fleet: machines that were created, deleted or listed, and the
+// list of machine types. Owns no state: the fleet owns the machines, and the autoscaler owns the pending
+// requests. Part of a leader, used on its thread.
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
@@ -17,7 +17,7 @@
 
 namespace burlpoint::coordination {
 
-/// What taking in an answer of the cloud reads and changes.
+/// The state that the handling of a cloud response reads and changes.
 struct CloudInventoryContext {
     const bookkeeping::StateReplica& replica;
     bookkeeping::Fleet& fleet;
@@ -31,7 +31,7 @@
 
 class CloudInventory {
   public:
-    /// All that the context refers to has to outlive this.
+    /// All objects that the context refers to must outlive this object.
     explicit CloudInventory(const CloudInventoryContext& context);
 
     void handle(const ScaleOutCompleted& event, Time now);
@@ -40,7 +40,7 @@
     void handle(const TypesListed& event);
 
   private:
-    void noteListed(const protocol::CloudInstance& instance, Time now);
+    void applyListedInstance(const protocol::CloudInstance& instance, Time now);
     bool updateType(const protocol::MachineType& type);
 
     const CloudInventoryContext context_;
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr double kStoreRequestShare = 0.5;  // of the key-value store's request rate, for this controller
+constexpr double kStoreRequestShare = 0.5;  // this controller's share of the store's request rate limit
 
 transport::ServerLimits serverLimits(const protocol::Settings& settings, double share) {
     transport::ServerLimits limits;
@@ -26,13 +26,13 @@
     return limits;
 }
 
-/// The least time between two reads of the replica. Three quarters of the key-value store's request rate are
-/// divided among the controllers for reads, each followed by this pause.
-Duration readSpacing(const protocol::Settings& settings) {
-    constexpr Duration kLeast{25};
+/// The minimum time between two reads that update the replica. Three quarters of the key-value store's
+/// request rate limit are divided among the controllers for such reads.
+Duration minReadInterval(const protocol::Settings& settings) {
+    constexpr Duration kMinInterval{25};
     const double controllers = static_cast<double>(settings.peers.size()) + 1;
-    return std::max(kLeast, Duration(static_cast<int>(1000 * 1.5 * controllers /
-                                                      (settings.storeRequestsPerSecond * 0.75))));
+    return std::max(kMinInterval, Duration(static_cast<int>(1000 * 1.5 * controllers /
+                                                            (settings.storeRequestsPerSecond * 0.75))));
 }
 
 }  // namespace
@@ -43,15 +43,16 @@
       state_(http_, settings.storeAddress, settings.storeRequestsPerSecond, kStoreRequestShare, Clock::now()),
       watcher_(
           io, state_, replica_, [this](const std::vector<Change>& changes) { replicaChanged(changes); },
-          readSpacing(settings)),
+          minReadInterval(settings)),
       election_(
           settings, policy, state_, replica_, watcher_,
           [this](std::uint64_t fencingToken) { leadershipGained(fencingToken); },
           [this] { leadershipLost(); }),
       userApi_(io, settings, state_, replica_, watcher_),
-      peerExchange_(
-          settings, replica_,
-          [this](const protocol::Cancellation& told) { watcher_.noteCancelled(told.job, told.version); }),
+      peerExchange_(settings, replica_,
+                    [this](const protocol::Cancellation& cancellation) {
+                        watcher_.noteCancelled(cancellation.job, cancellation.version);
+                    }),
       forwarder_(settings, http_, peerExchange_, sockets::count(settings, sockets::kForwards)),
       executor_(io, settings, sockets::count(settings, sockets::kWorkers),
                 {http_, state_, watcher_, election_},
@@ -92,13 +93,13 @@
 
 void Controller::leadershipGained(std::uint64_t fencingToken) {
     overload_.noteLeading(Clock::now());
-    // A peer that the key-value store refuses learns of this leader from its messages alone.
-    peers_.exchangeFrom(Clock::now());
+    // A peer that the key-value store refuses learns of the new leader only from a status message.
+    peers_.scheduleExchange(Clock::now());
     leader_.begin(fencingToken);
 }
 
 void Controller::leadershipLost() {
-    spdlog::info("no longer leading");
+    spdlog::info("leadership lost");
     leader_.end();
 }
 
--- a/src/coordination/controller/controller.h
+++ b/src/coordination/controller/controller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// One controller process. Controller owns the parts that a process consists of and connects them; what each
-// part decides or remembers is its own. Everything runs on one thread, that of the event loop.
+// The controller process. Controller owns the components of the process and connects them; decisions and
+// state belong to the components. All code runs on the event loop's thread.
 
 #include <cstdint>
 #include <vector>
@@ -32,8 +32,9 @@
 
 class Controller {
   public:
-    /// Listens and starts; everything else happens as `io` runs. `settings` and `policy` must outlive the
-    /// controller. Throws if an address in the settings is malformed or in use.
+    /// Opens the listening sockets and starts the components; all further work is done while `io` runs.
+    /// `settings` and `policy` must outlive the controller. Throws if a listen address in the settings is
+    /// malformed or in use.
     Controller(asio::io_context& io, const protocol::Settings& settings, const protocol::Policy& policy);
 
   private:
@@ -42,7 +43,7 @@
     void leadershipLost();
     void replicaChanged(const std::vector<bookkeeping::Change>& changes);
 
-    transport::HttpClient http_;  // to the key-value store, the cloud and peers
+    transport::HttpClient http_;  // for requests to the key-value store, the cloud provider and peers
     storage::KeyValueClient state_;
     bookkeeping::StateReplica replica_;
     StateWatcher watcher_;
--- a/src/coordination/controller/direct_commands.h
+++ b/src/coordination/controller/direct_commands.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Messages that the leader sends to workers by itself, beside the responses to their heartbeats: probes, and
-// stops that cannot wait for the next heartbeat. Owns nothing: what is to stop is in the fleet, and whether a
-// probe is under way is in each machine. Part of a leader, on its thread.
+// Messages that the leader sends to workers on its own initiative, in addition to heartbeat responses:
+// probes, and stop commands that cannot wait for the next heartbeat. Owns no state: the fleet holds the
+// placements to stop and whether a probe of a machine is pending. Part of a leader, used on its thread.
 
 #include <vector>
 
@@ -14,14 +14,16 @@
 
 class DirectCommands {
   public:
-    /// All are kept by reference and have to outlive this; what is to be sent is appended to `actions`.
+    /// All arguments are kept by reference and must outlive this object. Messages to send are appended to
+    /// `actions`.
     DirectCommands(bookkeeping::Fleet& fleet, TaskTerminator& terminator, std::vector<Action>& actions);
 
-    /// Sends the machine a direct message, which carries the fencing token. Its answer is newer than every
-    /// message so far. Does nothing while a probe is under way, or if the address is not known.
+    /// Sends the machine's worker a direct message that carries the fencing token. The worker's response is
+    /// newer than all messages received from it so far. Does nothing while a probe is pending, or if the
+    /// machine's address is not known.
     void probe(bookkeeping::Machine& machine);
 
-    /// Sends the stops that the terminator has marked as urgent since the last call.
+    /// Sends the stop commands that the terminator has marked as urgent since the last call.
     void sendUrgentStops();
 
   private:
--- a/src/coordination/controller/event_queue.h
+++ b/src/coordination/controller/event_queue.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The queue of what happens to a controller: requests to it and events for its leader. Events are handled in
-// the order of their arrival, in batches: each batch takes one turn of the event loop, so that timers and
-// sockets have theirs in between. Owns the events that wait. Used on the event loop's thread only.
+// The queue of incoming requests and of events for the leader. Events are handled in order of arrival, in
+// batches: each batch is one handler of the event loop, so that timers and sockets are served between
+// batches. Owns the queued events. Used on the event loop's thread only.
 
 #include <deque>
 #include <functional>
@@ -14,10 +14,10 @@
 
 namespace burlpoint::coordination {
 
-/// The listening socket that a request came to.
+/// The listening socket on which a request arrived.
 enum class Listener {
-    clients,  // for users, workers and the load balancer
-    peers     // for other controllers
+    clients,  // used by users, workers and the load balancer
+    peers     // used by other controllers
 };
 
 struct IncomingRequest {
@@ -32,11 +32,11 @@
   public:
     using Handler = std::function<void(ControllerEvent&)>;
 
-    /// `handler` is called from `io` for each event, never from inside `push`. Both have to outlive the
-    /// events.
+    /// `handler` is called from `io` for each event, never from within `push`. `io` and all that `handler`
+    /// refers to must outlive the queued events.
     EventQueue(asio::io_context& io, Handler handler);
 
-    /// Adds the event. An event that is added while a batch is handled belongs to the next one.
+    /// Adds the event. An event that is added while a batch is being handled is part of the next batch.
     void push(ControllerEvent event);
 
   private:
@@ -45,7 +45,7 @@
     asio::io_context& io_;
     const Handler handler_;
     std::deque<ControllerEvent> events_;
-    bool batchPosted_ = false;  // a call of `handleBatch` waits in the event loop
+    bool batchPosted_ = false;  // true while a call of `handleBatch` is queued in the event loop
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/fleet_health_check.cpp
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -22,7 +22,7 @@
     const auto findings = detector_.evaluate(census, now);
     for (auto* machine : findings.toProbe) directCommands_.probe(*machine);
     for (auto* machine : findings.failedMachines) {
-        spdlog::info("machine failed, neither heartbeats nor probe answers machine={}", machine->id);
+        spdlog::info("machine failed: no heartbeats and no probe responses machine={}", machine->id);
         machine->cloud.deletionRequested = true;
     }
     resignIfIsolated(findings.isolation);
--- a/src/coordination/controller/fleet_health_check.h
+++ b/src/coordination/controller/fleet_health_check.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Acts on what the failure detector finds: ends the leases of workers that were not heard in time, has
-// suspected machines probed and failed ones deleted, and resigns when it is rather this controller that is
-// cut off. Owns nothing: when a check is due is the failure detector's. Part of a leader, on its thread.
+// Acts on the findings of the failure detector: expires the leases of workers without recent heartbeats,
+// probes suspected machines, has failed machines deleted, and resigns if it is rather this controller that is
+// partitioned from the workers. Owns no state: the failure detector keeps the schedule of the checks. Part of
+// a leader, used on its thread.
 
 #include <vector>
 
@@ -18,11 +19,13 @@
 
 class FleetHealthCheck {
   public:
-    /// All are kept by reference and have to outlive this; what is to be done is appended to `actions`.
+    /// All arguments are kept by reference and must outlive this object. Resulting actions are appended to
+    /// `actions`.
     FleetHealthCheck(FailureDetector& detector, MachineRegistry& registry, AttemptCompletion& completion,
                      DirectCommands& directCommands, std::vector<Action>& actions);
 
-    /// To be called with every tick: notes it, and checks the fleet if that is due.
+    /// Reports the tick to the failure detector, and checks the fleet if a check is due. Must be called on
+    /// every tick.
     void tick(Time now);
 
   private:
--- a/src/coordination/controller/fleet_membership.cpp
+++ b/src/coordination/controller/fleet_membership.cpp
@@ -19,7 +19,7 @@
     machine.spot = offering.spot;
     machine.typeInfo = bookkeeping::findType(types_, offering.type);
     machine.registry.reconciled = !registry_.mayHoldTasks(id);
-    tombstones_.restoreCounters(machine);  // it was removed earlier and is back, in the cloud's list say
+    tombstones_.restoreCounters(machine);  // it may have been removed earlier and be listed again
     return machine;
 }
 
@@ -41,7 +41,7 @@
 }
 
 void quarantine(Machine& machine) {
-    spdlog::info("machine quarantined, its worker restarted its message counters machine={}", machine.id);
+    spdlog::info("machine quarantined: worker restarted its message counters machine={}", machine.id);
     machine.agent.quarantined = true;
     machine.cloud.deletionRequested = true;
 }
--- a/src/coordination/controller/fleet_membership.h
+++ b/src/coordination/controller/fleet_membership.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Which machines belong to the fleet: adds machines when they are first heard of, and removes those that were
-// deleted or that the cloud no longer has. Owns the tombstones of removed machines, by which late copies of
-// their messages are recognized; the machines themselves are in the fleet. Part of a leader, on its thread.
+// Fleet membership: adds machines when they first appear in a message, a list or a stored record, and removes
+// machines that were deleted or that the cloud no longer lists. Owns the tombstones of removed machines, by
+// which delayed messages of these machines are recognized; the fleet owns the machines. Part of a leader,
+// used on its thread.
 
 #include <string>
 
@@ -19,27 +20,29 @@
 
 class FleetMembership {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     FleetMembership(bookkeeping::Fleet& fleet, const bookkeeping::MachineTypes& types,
                     MachineRegistry& registry, AttemptCompletion& completion, JobQueue& jobQueue);
 
-    /// The machine, added with these properties if it is not in the fleet. An added machine without a stored
-    /// registry entry counts as reconciled, as no earlier leader gave it a task.
+    /// Returns the machine, which is added with the properties of `offering` if it is not in the fleet. An
+    /// added machine counts as reconciled unless its stored registry entry shows that an earlier leader may
+    /// have started tasks on it.
     bookkeeping::Machine& findOrAdd(const std::string& id, const bookkeeping::Offering& offering, Time now);
 
-    /// Ends all attempts on the machine, has its registry entry deleted and takes it out of the fleet.
+    /// Ends all attempts on the machine, has its registry entry deleted and removes it from the fleet.
     void remove(bookkeeping::Machine& machine, Time now);
 
-    /// The cloud has deleted the machine: later messages of it, and lists with it, are out of date.
+    /// Records that the cloud has deleted the machine. Messages and lists that show it later are out of date.
     void noteDeleted(const std::string& id) { tombstones_.addDeleted(id); }
 
-    /// Has the cloud deleted the machine?
+    /// True if the cloud has deleted the machine.
     bool isDeleted(const std::string& id) const { return tombstones_.isDeleted(id); }
 
-    /// Is the machine in the fleet, or was it earlier?
+    /// True if the machine is in the fleet or was in it earlier.
     bool isOrWasMember(const std::string& id) const;
 
-    /// Was the heartbeat sent before its machine was removed? Never true for a machine in the fleet.
+    /// True if the heartbeat was sent before its machine was removed. Always false for a machine in the
+    /// fleet.
     bool isFromBeforeRemoval(const protocol::Heartbeat& heartbeat) const;
 
   private:
@@ -51,7 +54,7 @@
     MachineTombstones tombstones_;
 };
 
-/// Stops trusting the machine: its messages are ignored from now on, and the autoscaler deletes it.
+/// Marks the machine as untrusted: its later messages are ignored, and the autoscaler deletes it.
 void quarantine(bookkeeping::Machine& machine);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/heartbeat_commands.h
+++ b/src/coordination/controller/heartbeat_commands.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The commands that go into the response to a heartbeat: stops and acknowledgements first, then starts where
-// the machine may take them. Owns nothing: what starts is the scheduler's decision. Part of a leader, on its
-// thread.
+// Composes the commands in the response to a heartbeat: stops and acknowledgements first, then starts if the
+// machine may run new tasks. Owns no state: the scheduler decides which tasks start. Part of a leader, used
+// on its thread.
 
 #include <vector>
 
@@ -18,11 +18,11 @@
 
 class HeartbeatCommands {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     HeartbeatCommands(bookkeeping::StateReplica& replica, SchedulingInputs& inputs,
                       DegradedFirstScheduler& scheduler);
 
-    /// The commands for the machine, which the event's heartbeat has been applied to.
+    /// Returns the commands for the machine. The event's heartbeat must have been applied to the machine.
     std::vector<protocol::WorkerCommand> compose(bookkeeping::Machine& machine,
                                                  const HeartbeatReceived& event, Time now);
 
--- a/src/coordination/controller/heartbeat_endpoint.h
+++ b/src/coordination/controller/heartbeat_endpoint.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Serves heartbeats, both those that workers send to this controller and those that a peer forwards: the
-// leader answers them while it is entitled to act, and otherwise the forwarder does. Owns nothing. Used on
-// the event loop's thread only.
+// Serves heartbeat requests, sent by workers or forwarded by a peer. The leader answers them if this
+// controller leads under a valid leader lease; otherwise they go to the forwarder. Owns no state. Used on the
+// event loop's thread only.
 
 #include "coordination/controller/heartbeat_forwarder.h"
 #include "coordination/controller/leader_runner.h"
@@ -13,10 +13,10 @@
 
 class HeartbeatEndpoint {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     HeartbeatEndpoint(const Election& election, LeaderRunner& leader, HeartbeatForwarder& forwarder);
 
-    /// Answers the request by `reply`, called exactly once, perhaps later.
+    /// Answers the request through `reply`, which is called exactly once, possibly after this call returns.
     void serve(transport::Request request, transport::Reply reply, HeartbeatOrigin origin);
 
   private:
--- a/src/coordination/controller/heartbeat_forwarder.cpp
+++ b/src/coordination/controller/heartbeat_forwarder.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-constexpr auto kReturnWindow = 9s;        // a worker back within this did not reach the leader
-constexpr auto kForwardPeriod = 30s;      // after which the worker is asked to try the leader again
-constexpr auto kForwardTimeout = 2500ms;  // less than the 4 s that the worker waits
+constexpr auto kReturnWindow = 9s;        // a worker that returns sooner could not reach the leader
+constexpr auto kForwardPeriod = 30s;      // afterwards the worker is redirected to the leader again
+constexpr auto kForwardTimeout = 2500ms;  // less than the worker's own timeout of 4 s
 
-/// Redirects a worker to the controller of that name; empty: to any other.
+/// A redirect to the controller of that name. An empty name means any other controller.
 Response redirectTo(const std::string& controller) {
     return protocol::respond(421, protocol::encodeRedirect(controller));
 }
@@ -35,14 +35,14 @@
     if (isObsolete(now)) *this = {};
     lastHeartbeat_ = now;
     if (now < forwardUntil_) return Decision::forward;
-    switch (contacts_++) {
+    switch (heartbeatCount_++) {
         case 0:
             return Decision::forward;
         case 1:
             return Decision::redirect;
         default:
             forwardUntil_ = now + kForwardPeriod;
-            contacts_ = 1;
+            heartbeatCount_ = 1;
             return Decision::forward;
     }
 }
@@ -55,7 +55,8 @@
     const auto known = peers_.knownLeader(now);
     if (role == LocalRole::leader || heartbeat.origin == HeartbeatOrigin::peer || !known)
         return heartbeat.reply(redirectTo(""));
-    // A leader not heard of for a while may be gone; naming it would send the worker into a time-out.
+    // A leader that has not been heard from recently may be down; a worker redirected to it would run into a
+    // timeout.
     const auto& leader = known->node;
     if (!peers_.inTouch(leader, now)) return heartbeat.reply(redirectTo(peers_.peerInTouchWithLeader(now)));
     std::string machine;
@@ -64,8 +65,8 @@
     } catch (const protocol::MalformedMessage& error) {
         return heartbeat.reply(protocol::respond(400, protocol::errorReply(error.what())));
     }
-    // Seen on a simulated day: after a failover hundreds of workers came at once, forwarding failed for want
-    // of free sockets, and each worker lost a second with every controller, until its lease expired.
+    // Without this limit, the heartbeats of hundreds of workers after a failover used up the free sockets.
+    // Forwarding then failed, and each worker lost a second with every controller until its lease expired.
     if (forwarding_ >= maxForwards_) return heartbeat.reply(redirectTo(leader));
     if (deciders_[machine].decide(now) == ForwardDecider::Decision::redirect)
         return heartbeat.reply(redirectTo(leader));
--- a/src/coordination/controller/heartbeat_forwarder.h
+++ b/src/coordination/controller/heartbeat_forwarder.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// What a controller that may not answer a heartbeat does with it: it redirects the worker to the leader, or
-// forwards the heartbeat to the leader and returns the leader's response. Owns what is remembered of each
-// worker for that choice, and the count of heartbeats being forwarded. Used on the event loop's thread only.
+// Handles heartbeats that this controller may not answer as the leader: redirects the worker to the leader,
+// or forwards the heartbeat to the leader and returns the leader's response. Owns the per-worker history on
+// which that choice is based, and the number of heartbeats being forwarded. Used on the event loop's thread
+// only.
 
 #include <cstddef>
 #include <string>
@@ -16,53 +17,55 @@
 
 namespace burlpoint::coordination {
 
-/// Whether a follower forwards a worker's heartbeats or redirects the worker to the leader. The first
-/// heartbeat is forwarded, as the worker's lease may soon expire; at the second the worker is redirected. If
-/// it is back soon, it cannot reach the leader although this controller can, which then forwards its
-/// heartbeats for a while.
+/// Decides whether a follower forwards a worker's heartbeat or redirects the worker to the leader. The first
+/// heartbeat is forwarded, as the worker's lease may expire soon; on the second the worker is redirected. A
+/// worker that returns shortly after a redirect cannot reach the leader, whereas this controller can, so its
+/// heartbeats are forwarded for a period.
 class ForwardDecider {
   public:
     enum class Decision { forward, redirect };
 
-    /// Decides on the worker's next heartbeat, received at `now`.
+    /// Decides about the worker's next heartbeat, which was received at `now`.
     Decision decide(Time now);
 
-    /// Has the worker stayed away for so long that its history no longer affects a decision?
+    /// True if the last heartbeat is so old that the worker's history no longer affects a decision.
     bool isObsolete(Time now) const;
 
   private:
     Time lastHeartbeat_{};
-    Time forwardUntil_{};  // heartbeats are forwarded without asking the worker to try the leader
-    int contacts_ = 0;     // heartbeats since the worker was last known to reach the leader
+    Time forwardUntil_{};     // until then, heartbeats are forwarded and the worker is not redirected
+    int heartbeatCount_ = 0;  // heartbeats since the start of the history; reset to 1 by a forwarding period
 };
 
-/// Who sent a heartbeat to this controller.
+/// The sender of a heartbeat request: the worker itself, or a peer that forwards it.
 enum class HeartbeatOrigin { worker, peer };
 
-/// A heartbeat that this controller may not answer itself.
+/// A heartbeat request that this controller may not answer as the leader.
 struct PendingHeartbeat {
-    std::string body;  // as received
+    std::string body;  // the request body as received
     HeartbeatOrigin origin = HeartbeatOrigin::worker;
-    transport::Reply reply;  // called exactly once, perhaps after the call that took this in
+    transport::Reply reply;  // called exactly once, possibly after `HeartbeatForwarder::answer` returns
 };
 
-/// Whether this controller holds the leadership while it is not entitled to act on it.
+/// The role of this controller. A controller with the role `leader` passes heartbeats to the forwarder only
+/// while its leader lease is not valid.
 enum class LocalRole { follower, leader };
 
-/// Answers heartbeats while this controller is not entitled to answer as the leader.
+/// Answers heartbeats while this controller may not act as the leader.
 class HeartbeatForwarder {
   public:
-    /// All of these must outlive this. `http` carries forwarded heartbeats to the leader, at most
-    /// `maxForwards` at a time; beyond that workers are redirected to the leader at once.
+    /// The references must outlive this object. `http` carries forwarded heartbeats to the leader, at most
+    /// `maxForwards` at a time; beyond that limit, workers are redirected to the leader at once.
     HeartbeatForwarder(const protocol::Settings& settings, transport::HttpClient& http,
                        const PeerExchange& peers, std::size_t maxForwards);
 
-    /// Answers with the leader's response (200), with the name of the controller to turn to, empty if none is
-    /// known (421), or that the heartbeat is malformed (400). A leader that is not entitled names nobody. A
-    /// peer's heartbeat is never forwarded again.
+    /// Answers with the leader's response (200), with a redirect to the named controller (421), or with an
+    /// error if the heartbeat is malformed (400). The name in a redirect is empty if no suitable controller
+    /// is known, and always for the role `LocalRole::leader` and for heartbeats forwarded by a peer. A
+    /// heartbeat is forwarded at most once.
     void answer(PendingHeartbeat heartbeat, LocalRole role, Time now);
 
-    /// Drops what is remembered of workers that have stayed away for a while.
+    /// Drops the history of workers that have sent no heartbeats for a while.
     void dropObsolete(Time now);
 
   private:
@@ -72,8 +75,8 @@
     transport::HttpClient& http_;
     const PeerExchange& peers_;
     const std::size_t maxForwards_;
-    std::size_t forwarding_ = 0;  // heartbeats that the leader has not answered yet
-    std::unordered_map<std::string, ForwardDecider> deciders_;  // by machine
+    std::size_t forwarding_ = 0;  // forwarded heartbeats that the leader has not answered yet
+    std::unordered_map<std::string, ForwardDecider> deciders_;  // by machine id
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/heartbeat_intake.cpp
+++ b/src/coordination/controller/heartbeat_intake.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint32_t kProbeAfter = 2;  // stale heartbeats in a row
+constexpr std::uint32_t kStaleHeartbeatsBeforeProbe = 2;  // consecutive stale heartbeats
 
 }  // namespace
 
@@ -38,7 +38,7 @@
 void HeartbeatIntake::handle(const HeartbeatReceived& event, Time now) {
     const Heartbeat& heartbeat = event.heartbeat;
     if (hasNewerToken(heartbeat)) {
-        // Another controller leads by now: its fencing token outranks this one's wherever it was seen.
+        // A higher fencing token proves that another controller has become leader, whoever reports it.
         refuse(event);
         context_.actions.emplace_back(Resign{ResignationReason::newerTokenSeen});
         return;
@@ -56,7 +56,7 @@
     applyNewest(machine, event, wasMember, now);
 }
 
-/// A heartbeat that is newer than every message of its machine before.
+/// Handles a heartbeat that is newer than all previous messages of its machine.
 void HeartbeatIntake::applyNewest(Machine& machine, const HeartbeatReceived& event, bool wasMember,
                                   Time now) {
     machine.agent.staleHeartbeats = 0;
@@ -65,27 +65,28 @@
     const auto renewal = context_.leases.renew(machine, event.heartbeat, now);
     context_.reconciler.apply(machine, event.heartbeat, StatusSource::heartbeat, now);
     if (renewal == WorkerLeases::Renewal::mustExpire) return refuse(event);
-    // A requested machine's entry is written as it comes up, before it has taken the fencing token and can be
-    // given tasks.
+    // The complete registry entry of a requested machine is written on its first heartbeat, before the worker
+    // has acknowledged the fencing token and may be given tasks.
     if (machine.agent.acknowledged || (wasMember && machine.registry.reconciled))
         context_.registry.ensureEntry(machine);
     accept(event, context_.commands.compose(machine, event, now));
     context_.terminator.noteAnswered(machine.id);
 }
 
-/// A heartbeat that is not newer than the machine's newest message: a late copy, or overtaken by the answer
-/// to a direct command.
+/// Handles a heartbeat that is not newer than the machine's newest message: a delayed duplicate, or one that
+/// was overtaken by the response to a direct command.
 void HeartbeatIntake::handleStale(Machine& machine, const HeartbeatReceived& event) {
-    // With an older fencing token it may come from a worker that restarted its counters, which must not take
-    // this leader's token unnoticed.
+    // A stale heartbeat with an older fencing token may come from a worker that has restarted its message
+    // counters. An accepting response would carry this leader's token to that worker unnoticed.
     if (machine.lease.active && !hasOlderToken(event.heartbeat)) {
         context_.leases.extendForStaleHeartbeat(machine);
-        // As the answer may renew the worker's lease, it carries what is to stop.
+        // The response may renew the worker's lease, so it must carry the pending stop commands.
         accept(event, stopCommands(machine));
     } else {
         refuse(event);
     }
-    if (++machine.agent.staleHeartbeats >= kProbeAfter) context_.directCommands.probe(machine);
+    if (++machine.agent.staleHeartbeats >= kStaleHeartbeatsBeforeProbe)
+        context_.directCommands.probe(machine);
 }
 
 void HeartbeatIntake::handle(const CommandsAnswered& event, Time now) {
@@ -100,14 +101,14 @@
         return;
     }
     if (machine->agent.quarantined) return;
-    // The answer was made after the commands were sent, so its counters must have moved on.
+    // The worker created the response after the commands were sent, so its message counters must be higher.
     if (heartbeatVersionOf(heartbeat) <= event.known ||
         (machine->agent.acknowledged && hasOlderToken(heartbeat)))
         return quarantine(*machine);
     applyAnswer(*machine, heartbeat, now);
 }
 
-/// A trusted answer to direct commands: the worker can be reached.
+/// Handles a trusted response to direct commands, which shows that the worker is reachable.
 void HeartbeatIntake::applyAnswer(Machine& machine, const Heartbeat& heartbeat, Time now) {
     machine.agent.probedAt = now;
     machine.agent.unreachableSince.reset();
@@ -117,8 +118,8 @@
                                      heartbeat.incarnation != machine.agent.incarnation;
     if (heartbeatVersionOf(heartbeat) > machine.agent.latestVersion())
         context_.reconciler.apply(machine, heartbeat, StatusSource::answer, now);
-    // The worker turned the commands down for the old incarnation; with the right one it takes the fencing
-    // token.
+    // The worker rejected the commands because they named its old incarnation. A probe that names the current
+    // one makes it adopt the fencing token.
     if (namedOldIncarnation) context_.directCommands.probe(machine);
 }
 
--- a/src/coordination/controller/heartbeat_intake.h
+++ b/src/coordination/controller/heartbeat_intake.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Takes in workers' messages: heartbeats, and answers to direct commands. Decides whether a message is newer
-// than all before it, whether its machine can be trusted, and whether a heartbeat is answered, which renews
-// the worker's lease. Owns nothing: what the messages tell is applied to the fleet by `HeartbeatReconciler`.
-// Part of a leader, on its thread.
+// Handles workers' messages: heartbeats, and responses to direct commands. Decides whether a message is newer
+// than all previous ones, whether its machine can be trusted, and whether a heartbeat is accepted, which
+// renews the worker's lease. Owns no state: `HeartbeatReconciler` applies the contents of the messages to the
+// fleet. Part of a leader, used on its thread.
 
 #include <cstdint>
 #include <vector>
@@ -23,9 +23,9 @@
 
 namespace burlpoint::coordination {
 
-/// What taking in a message reads and changes.
+/// The state that the handling of a message reads and changes.
 struct HeartbeatIntakeContext {
-    std::uint64_t fencingToken;  // of the leadership
+    std::uint64_t fencingToken;  // of the current leadership
     bookkeeping::Fleet& fleet;
     FleetMembership& membership;
     const WorkerLeases& leases;
@@ -35,18 +35,18 @@
     TaskTerminator& terminator;
     HeartbeatCommands& commands;
     DirectCommands& directCommands;
-    std::vector<Action>& actions;  // what is to be done is appended here
+    std::vector<Action>& actions;  // resulting actions are appended here
 };
 
 class HeartbeatIntake {
   public:
-    /// All that the context refers to has to outlive this.
+    /// All objects that the context refers to must outlive this object.
     explicit HeartbeatIntake(const HeartbeatIntakeContext& context);
 
-    /// Takes in a heartbeat and appends its answer to the actions.
+    /// Handles a heartbeat and appends the response to the actions.
     void handle(const HeartbeatReceived& event, Time now);
 
-    /// Takes in the answer to direct commands, or that there was none.
+    /// Handles the response to direct commands, or the lack of one.
     void handle(const CommandsAnswered& event, Time now);
 
   private:
--- a/src/coordination/controller/job_changes.cpp
+++ b/src/coordination/controller/job_changes.cpp
@@ -33,8 +33,8 @@
 void JobChanges::apply(bookkeeping::Job& job, Time now) {
     jobQueue_.markStale();
     if (job.terminalState == TerminalState::none) {
-        // A job that waited for others cannot be on a machine: an earlier leader would have seen those stored
-        // as done, and so would this one as it began.
+        // A job that has waited for its dependencies until now has no tasks on machines: had an earlier
+        // leader started it, its dependencies would have been stored as done when this leadership began.
         if (!job.run && job.ready()) activator_.begin(job, bookkeeping::JobOrigin::accepted, now);
         return;
     }
--- a/src/coordination/controller/job_changes.h
+++ b/src/coordination/controller/job_changes.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Takes changes of stored jobs into the leader's work: begins the runs of jobs that became ready, and stops
-// those that ended or were cancelled. Owns nothing: the jobs and their runs are in the replica. Part of a
-// leader, on its thread.
+// Applies changes of stored jobs: begins the runs of jobs that have become ready, and stops jobs that have
+// ended or were cancelled. Owns no state: the replica owns the jobs and their runs. Part of a leader, used on
+// its thread.
 
 #include <string>
 #include <vector>
@@ -18,15 +18,15 @@
 
 class JobChanges {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     JobChanges(bookkeeping::StateReplica& replica, JobQueue& jobQueue, JobActivator& activator,
                StateWriter& writer, TaskTerminator& terminator);
 
-    /// Begins the runs of all jobs that were ready before this leader began, in place of any earlier
-    /// leader's.
+    /// Begins the runs of all jobs that were ready before this leadership began. Runs of an earlier
+    /// leadership are discarded.
     void inheritAll(Time now);
 
-    /// The jobs' stored records have changed. Ids that the replica does not know are skipped.
+    /// Applies changed records of jobs. Ids that the replica does not contain are skipped.
     void apply(const std::vector<std::string>& ids, Time now);
     void apply(const std::vector<bookkeeping::Change>& changes, Time now);
 
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Pauses between walks over all waiting jobs and the fleet.
+// Intervals between full scans of the waiting jobs and the fleet.
 constexpr auto kPreemptionInterval = 250ms;
 constexpr auto kAutoscalingInterval = 1s;
 constexpr auto kLogInterval = 10s;
@@ -33,7 +33,7 @@
       attemptIds_(fencingToken),
       registry_(replica, fleet_),
       writer_(settings, replica, fleet_, registry_, types_, wallClock_, now),
-      failureDetector_(settings, fleet_, fencingToken, now, WorkerLeases::bound(settings)),
+      failureDetector_(settings, fleet_, fencingToken, now, WorkerLeases::maxDuration(settings)),
       autoscaler_(settings, policy, replica, fencingToken, now),
       pacing_(settings, policy),
       jobQueue_(policy),
@@ -73,7 +73,7 @@
     for (const auto& [id, stored] : replica_.registeredMachines) {
         const auto& record = stored.record;
         auto& machine = membership_.findOrAdd(id, {record.type, record.zone, record.spot}, now_);
-        if (!registry_.mayHoldTasks(id)) continue;  // it was requested and may still boot
+        if (!registry_.mayHoldTasks(id)) continue;  // it was requested and may still be booting
         machine.address = record.address;
         fleet_.setRegistration(machine, RegistrationState::stored);
         leases_.inherit(machine, now_);
@@ -108,7 +108,8 @@
 void Leader::on(const StateWritten& event) {
     const auto outcome = writer_.handle(event, now_);
     for (auto* job : outcome.ended) jobQueue_.remove(*job);
-    // Only now may the jobs that need these start: until their end was stored a cancellation could still win.
+    // Jobs that depend on the ended ones may start only now: until the end was stored, a concurrent
+    // cancellation could still have taken precedence.
     jobChanges_.apply(outcome.changes, now_);
     switch (outcome.followUp) {
         case StateWriter::FollowUp::none:
@@ -131,7 +132,7 @@
     registry_.ensureEntriesOfMachinesWithHeartbeat();
 }
 
-// --- the cloud --------------------------------------------------------------------------------------------
+// --- the cloud provider -----------------------------------------------------------------------------------
 
 void Leader::on(const ScaleOutCompleted& event) { cloudInventory_.handle(event, now_); }
 
@@ -141,7 +142,7 @@
 
 void Leader::on(const TypesListed& event) { cloudInventory_.handle(event); }
 
-// --- time -------------------------------------------------------------------------------------------------
+// --- periodic work ----------------------------------------------------------------------------------------
 
 void Leader::on(const Tick&) {
     healthCheck_.tick(now_);
--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The decisions of a leading controller. Leader owns what one leadership knows of machines and jobs' runs,
-// and the modules that decide; it hands each event to the module in charge and collects the actions that
-// follow. Which task starts where is decided by DegradedFirstScheduler, and by GangPlanner for gangs of
-// several tasks. Used on the event loop's thread only.
+// The decision logic of the leader. Leader owns the state of one leadership, such as machines and the runs of
+// jobs, and the modules that make decisions. It passes each event to the responsible module and collects the
+// resulting actions. DegradedFirstScheduler decides which task starts on which machine, and GangPlanner does
+// so for gangs of several tasks. Used on the event loop's thread only.
 
 #include <cstdint>
 #include <string>
@@ -50,29 +50,30 @@
 
 namespace burlpoint::coordination {
 
-/// One leadership of a controller, from its beginning to its resignation: a function of its state, an event
-/// and the time. It does no I/O. The replica must be fresh when it is made.
+/// One leadership of a controller, from its start to its end. Its actions depend only on its state, the event
+/// and the time passed in. It does no I/O. The replica must be up to date when the object is constructed.
 class Leader {
   public:
-    /// `wallMs` is the time of day at `now`, for the ages of jobs accepted earlier. All references are kept
-    /// and have to outlive this.
+    /// `wallMs` is the wall-clock time at `now` in milliseconds; the ages of jobs that were accepted earlier
+    /// are computed from it. All references are kept and must outlive this object.
     Leader(const protocol::Settings& settings, const protocol::Policy& policy,
            bookkeeping::StateReplica& replica, std::uint64_t fencingToken, Time now, std::uint64_t wallMs);
     ~Leader();
     Leader(const Leader&) = delete;
     Leader& operator=(const Leader&) = delete;
 
-    /// Handles the event and returns what is to be done, to be carried out in that order. Time never goes
-    /// back.
+    /// Handles the event and returns the resulting actions, which must be executed in this order. A `now`
+    /// that is earlier than that of a previous call is replaced by the latter.
     std::vector<Action> handle(LeaderEvent event, Time now);
 
     std::uint64_t fencingToken() const { return fencingToken_; }
     const bookkeeping::Fleet& fleet() const { return fleet_; }
-    /// What is stored and what is still to be, for tests and logs.
+    /// The writer of the leader's state, whose stored and pending writes are of use in tests and logs.
     const StateWriter& stateWriter() const { return writer_; }
-    /// Machines looked at on behalf of waiting jobs so far: what grows with the fleet.
+    /// The number of machines scanned so far on behalf of waiting jobs. Measures the cost that may grow with
+    /// the size of the fleet.
     std::uint64_t machinesScanned() const { return scans_.total(); }
-    /// The jobs with running tasks, and how many each has.
+    /// The ids of all jobs with running tasks, each with its number of running tasks.
     std::vector<std::pair<std::string, std::uint32_t>> runningCounts() const;
 
   private:
@@ -89,7 +90,7 @@
     void on(const TypesListed& event);
     void on(const Tick& event);
 
-    // The parts of a tick that have pauses of their own.
+    // The parts of a tick that have longer intervals of their own.
     void preemptIfDue();
     void autoscaleIfDue();
     void logStateIfDue();
@@ -99,7 +100,7 @@
     const std::uint64_t fencingToken_;
     const WallClock wallClock_;
     Time now_;
-    std::vector<Action> actions_;  // of the event being handled
+    std::vector<Action> actions_;  // result of the event being handled
 
     bookkeeping::Fleet fleet_;
     bookkeeping::MachineTypes types_;
--- a/src/coordination/controller/leader_actions.h
+++ b/src/coordination/controller/leader_actions.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The actions that a leader decides on: messages to workers and to the cloud, reads and writes of the
-// key-value store, and its resignation. Plain values without state of their own; `ActionExecutor` carries
-// them out and reports their outcomes as the events of leader_events.h.
+// The actions of a leader: messages to workers and to the cloud provider, reads and writes of the key-value
+// store, and its resignation. Plain value types; `ActionExecutor` executes them and reports their outcomes as
+// the events in leader_events.h.
 
 #include <cstdint>
 #include <string>
@@ -24,39 +24,39 @@
 
 /// The response to a heartbeat.
 struct AnswerHeartbeat {
-    std::uint64_t request = 0;  // as in the `HeartbeatReceived`
+    std::uint64_t request = 0;  // the request number in the `HeartbeatReceived`
     HeartbeatVerdict verdict = HeartbeatVerdict::accepted;
-    std::vector<protocol::WorkerCommand> commands;  // none if it is refused
+    std::vector<protocol::WorkerCommand> commands;  // empty if the heartbeat is refused
 };
 
-/// A direct message with commands to a worker; its outcome is a `CommandsAnswered`. Without commands it is a
-/// probe.
+/// A direct message to a worker with commands; the outcome is a `CommandsAnswered`. A message without
+/// commands is a probe.
 struct SendCommands {
     std::string machine;
     std::string address;
     std::uint64_t incarnation = 0;
     std::vector<protocol::WorkerCommand> commands;
-    /// The machine's newest heartbeat so far: whatever answers this message is newer.
+    /// The version of the machine's newest message so far. The response to this message must be newer.
     bookkeeping::HeartbeatVersion known{};
 };
 
-/// Brings the replica up to date with the key-value store; its outcome is a `ReplicaRefreshed`.
+/// Brings the replica up to date with the key-value store; the outcome is a `ReplicaRefreshed`.
 struct RefreshReplica {};
 
-/// Requests machines from the cloud; its outcome is a `ScaleOutCompleted`.
+/// Requests machines from the cloud provider; the outcome is a `ScaleOutCompleted`.
 struct ScaleOut {
     protocol::InstanceRequest request;
 };
 
-/// Deletes machines; its outcome is a `ScaleInCompleted`.
+/// Deletes machines at the cloud provider; the outcome is a `ScaleInCompleted`.
 struct ScaleIn {
     std::vector<std::string> machines;
 };
 
-/// Asks the cloud for its list of machines; its outcome is a `MachinesListed`.
+/// Requests the cloud's machine list; the outcome is a `MachinesListed`.
 struct ListMachines {};
 
-/// Asks the cloud for its list of machine types. Its outcome is a `TypesListed`, or nothing if it fails.
+/// Requests the cloud's list of machine types. The outcome is a `TypesListed`; a failure delivers no event.
 struct ListTypes {};
 
 /// Ends the leadership.
--- a/src/coordination/controller/leader_debug_log.cpp
+++ b/src/coordination/controller/leader_debug_log.cpp
@@ -19,7 +19,7 @@
 }
 
 void logWaitingJob(const bookkeeping::Job& job, Time now) {
-    spdlog::debug("job waits job={} class={} rank={} waiting={} tasks={} possible={} waiting_s={:.1f}",
+    spdlog::debug("job waiting job={} class={} rank={} waiting={} tasks={} possible={} waiting_s={:.1f}",
                   job.spec.id, job.spec.jobClass, static_cast<int>(rankOf(job)), job.run->waiting,
                   job.spec.tasks, job.run->placedTotal, Seconds(now - job.run->waitingSince).count());
 }
@@ -31,7 +31,7 @@
     for (const auto& [id, machine] : fleet.machines()) logMachine(*machine, now);
     for (const auto* job : jobQueue.waiting()) logWaitingJob(*job, now);
     for (const auto& offering : capacityErrors.unavailableNow(now))
-        spdlog::debug("capacity error in force type={} zone={} spot={}", offering.type, offering.zone,
+        spdlog::debug("capacity error active type={} zone={} spot={}", offering.type, offering.zone,
                       offering.spot);
 }
 
--- a/src/coordination/controller/leader_debug_log.h
+++ b/src/coordination/controller/leader_debug_log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The whole state of a leader as debug log lines: machines, waiting jobs and capacity errors. Owns nothing.
+// Writes the state of a leader to the debug log: machines, waiting jobs and capacity errors. Stateless.
 
 #include "base/clock.h"
 #include "bookkeeping/fleet.h"
@@ -9,7 +9,7 @@
 
 namespace burlpoint::coordination {
 
-/// Logs one line for each machine, each waiting job and each offering that the cloud refused lately.
+/// Logs one line for each machine, each waiting job and each offering with an active capacity error.
 void logLeaderState(const bookkeeping::Fleet& fleet, const JobQueue& jobQueue,
                     const CapacityErrors& capacityErrors, Time now);
 
--- a/src/coordination/controller/leader_events.h
+++ b/src/coordination/controller/leader_events.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The events that a leader handles: messages of workers, outcomes of its earlier actions, changes of the
-// replica, and the passing of time. Plain values without state of their own; `Leader::handle` takes them in
-// on the event loop's thread. The actions that they answer are in leader_actions.h.
+// The events that a leader handles: messages from workers, outcomes of earlier actions, changes of the
+// replica, and timer ticks. Plain value types, handled by `Leader::handle` on the event loop's thread. The
+// corresponding actions are in leader_actions.h.
 
 #include <cstdint>
 #include <optional>
@@ -19,19 +19,19 @@
 
 namespace burlpoint::coordination {
 
-/// A worker's heartbeat, to be answered by an `AnswerHeartbeat` with the same request number.
+/// A worker's heartbeat. The leader answers it by an `AnswerHeartbeat` with the same request number.
 struct HeartbeatReceived {
     std::uint64_t request = 0;
     protocol::Heartbeat heartbeat;
-    /// The controller knows all cancellations up to a moment ago; without that nothing new is started.
+    /// Whether the controller knows all recent cancellations. If not, no new tasks are started.
     bool cancellationsCurrent = true;
 };
 
 /// The outcome of `SendCommands`.
 struct CommandsAnswered {
     std::string machine;
-    std::optional<protocol::Heartbeat> heartbeat;  // none: the worker could not be reached
-    bookkeeping::HeartbeatVersion known{};         // as in the `SendCommands` that this answers
+    std::optional<protocol::Heartbeat> heartbeat;  // empty if there was no valid response
+    bookkeeping::HeartbeatVersion known{};         // copied from the `SendCommands`
 };
 
 /// Jobs whose stored records have changed in the replica.
@@ -41,7 +41,7 @@
 
 enum class RefreshOutcome {
     refreshed,
-    failed  // the key-value store was not read; the replica is as old as before
+    failed  // the key-value store could not be read, and the replica is unchanged
 };
 
 /// The outcome of `RefreshReplica`.
@@ -53,7 +53,7 @@
 struct ScaleOutCompleted {
     std::string name;  // of the instance request
     InstanceRequestOutcome outcome = InstanceRequestOutcome::unknown;
-    std::vector<std::string> machines;  // the new machines if it was fulfilled
+    std::vector<std::string> machines;  // ids of the new machines if the request was fulfilled
 };
 
 /// The outcome of `ScaleIn`.
@@ -66,7 +66,7 @@
 struct MachinesListed {
     std::vector<protocol::CloudInstance> machines;
     Time requestedAt{};
-    bool complete = false;  // false: a page failed, so a machine that is not listed may still exist
+    bool complete = false;  // if false, a page is missing, so a machine that is not listed may still exist
 };
 
 /// The outcome of `ListTypes`.
@@ -74,7 +74,7 @@
     std::vector<protocol::MachineType> types;
 };
 
-/// Time has passed; comes several times a second.
+/// A timer tick; occurs several times a second.
 struct Tick {};
 
 using LeaderEvent =
--- a/src/coordination/controller/leader_runner.cpp
+++ b/src/coordination/controller/leader_runner.cpp
@@ -26,13 +26,13 @@
 void LeaderRunner::handle(LeaderEvent event) {
     if (!leader_) return;
     for (auto& action : leader_->handle(std::move(event), Clock::now())) {
-        if (!leader_) return;  // the action before was to resign
+        if (!leader_) return;  // the previous action was a resignation
         executor_.perform(action);
     }
 }
 
 void LeaderRunner::handleHeartbeat(HeartbeatReceived event, transport::Reply reply) {
-    event.request = executor_.awaitAnswer(std::move(reply));
+    event.request = executor_.addPendingHeartbeat(std::move(reply));
     handle(std::move(event));
 }
 
--- a/src/coordination/controller/leader_runner.h
+++ b/src/coordination/controller/leader_runner.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Runs this controller's leader while it leads: creates and ends it with the leadership, passes events to it
-// and has its actions carried out. Owns the leader. Used on the event loop's thread only.
+// Manages the `Leader` of this controller: creates it when a leadership begins, destroys it when the
+// leadership ends, passes events to it and has its actions executed. Owns the leader. Used on the event
+// loop's thread only.
 
 #include <cstdint>
 #include <memory>
@@ -18,28 +19,29 @@
 
 class LeaderRunner {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     LeaderRunner(const protocol::Settings& settings, const protocol::Policy& policy,
                  bookkeeping::StateReplica& replica, ActionExecutor& executor);
 
-    /// This controller has won the leadership, and the replica is fresh: begins to lead with a first tick.
+    /// Creates the leader after this controller has won the election, and runs a first tick. The replica must
+    /// be up to date.
     void begin(std::uint64_t fencingToken);
 
-    /// The leadership has ended. May be called while an event is handled.
+    /// Destroys the leader after the leadership has ended. May be called while an event is handled.
     void end();
 
-    /// The leader; null: this controller does not lead. It may still not be entitled to act, see
-    /// `Election::valid`.
+    /// The leader, or null if this controller does not lead. Only `Election::valid` tells whether the leader
+    /// may act at this moment.
     const Leader* leader() const { return leader_.get(); }
 
-    /// The number of the present leadership, or of the time since the last one.
+    /// A number that increases whenever a leadership begins or ends.
     std::uint64_t epoch() const { return executor_.epoch(); }
 
-    /// Passes the event to the leader, if there is one, and carries out what it decides.
+    /// Passes the event to the leader, if there is one, and executes the resulting actions.
     void handle(LeaderEvent event);
 
-    /// Passes a heartbeat to the leader, which must be there; `reply` is called once, when the leader has
-    /// answered or the leadership has ended.
+    /// Passes a heartbeat to the leader, which must exist. `reply` is called exactly once, when the leader
+    /// has answered or the leadership has ended.
     void handleHeartbeat(HeartbeatReceived event, transport::Reply reply);
 
   private:
--- a/src/coordination/controller/peer_messenger.cpp
+++ b/src/coordination/controller/peer_messenger.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr auto kExchangeInterval = 1s;
-constexpr auto kAnswerTimeout = 900ms;        // so that each exchange ends before the next
-constexpr std::uint64_t kMaxVoteMs = 60'000;  // bounds what a peer tells, which must not overflow
+constexpr auto kResponseTimeout = 900ms;      // below the interval, so that exchanges do not overlap
+constexpr std::uint64_t kMaxVoteMs = 60'000;  // limits the received value, so that sums cannot overflow
 
 }  // namespace
 
@@ -60,7 +60,7 @@
         if (leader) context_.peers.describeKnownState(peer.name, status);
         const SentStatus sent{peer.name, now, context_.leader.epoch()};
         context_.http.request(peer.address, "POST", protocol::paths::kPeer,
-                              protocol::encodePeerStatus(status), kAnswerTimeout,
+                              protocol::encodePeerStatus(status), kResponseTimeout,
                               [this, sent](const HttpResult& result) {
                                   if (result.ok()) handleAnswer(sent, result.body);
                               });
@@ -72,41 +72,41 @@
         const auto answer = protocol::decodePeerStatus(body);
         if (answer.node != sent.peer) return;
         noteStatus(answer, Clock::now());
-        if (context_.peers.applyCancellations(answer)) exchangeFrom(Clock::now());
-        // A vote of a peer that has more to tell would extend this leadership while tasks go on that users
-        // were told are cancelled.
+        if (context_.peers.applyCancellations(answer)) scheduleExchange(Clock::now());
+        // A vote in an incomplete response is ignored: it would extend this leadership while tasks keep
+        // running whose cancellation the peer has confirmed to users and not yet reported here.
         if (!context_.leader.leader() || sent.epoch != context_.leader.epoch() || !answer.complete) return;
-        const Duration life(std::min(answer.voteMs, kMaxVoteMs));
-        context_.election.noteVote(sent.peer, life, sent.sentAt);
+        const Duration voteDuration(std::min(answer.voteMs, kMaxVoteMs));
+        context_.election.noteVote(sent.peer, voteDuration, sent.sentAt);
     } catch (const MalformedMessage& error) {
-        spdlog::error("malformed answer of a peer peer={} error={}", sent.peer, error.what());
+        spdlog::error("malformed peer response peer={} error={}", sent.peer, error.what());
     }
 }
 
 void PeerMessenger::serve(const transport::Request& request, const transport::Reply& reply) {
     if (request.method != "POST") return reply(protocol::respond(405));
     try {
-        const auto asking = protocol::decodePeerStatus(request.body);
-        const auto answer = answerTo(asking, Clock::now());
+        const auto query = protocol::decodePeerStatus(request.body);
+        const auto answer = answerTo(query, Clock::now());
         reply(protocol::respond(200, protocol::encodePeerStatus(answer)));
     } catch (const MalformedMessage& error) {
         reply(protocol::respond(400, protocol::errorReply(error.what())));
     }
 }
 
-PeerStatus PeerMessenger::answerTo(const PeerStatus& asking, Time now) {
-    noteStatus(asking, now);
+PeerStatus PeerMessenger::answerTo(const PeerStatus& query, Time now) {
+    noteStatus(query, now);
     auto answer = ownStatus(now);
-    answer.running.clear();  // told by the leader's own messages only
-    if (asking.fencingToken == 0) return answer;
-    context_.peers.appendCancellations(asking, answer);
-    if (answer.complete) answer.voteMs = voteFor(asking, now);
+    answer.running.clear();  // only the messages that a leader sends itself carry these counts
+    if (query.fencingToken == 0) return answer;
+    context_.peers.appendCancellations(query, answer);
+    if (answer.complete) answer.voteMs = voteFor(query, now);
     return answer;
 }
 
-std::uint64_t PeerMessenger::voteFor(const PeerStatus& asking, Time now) {
-    const auto life = context_.election.voteForExtension(asking.node, asking.fencingToken, now);
-    return static_cast<std::uint64_t>(life.count());
+std::uint64_t PeerMessenger::voteFor(const PeerStatus& query, Time now) {
+    const auto voteDuration = context_.election.voteForExtension(query.node, query.fencingToken, now);
+    return static_cast<std::uint64_t>(voteDuration.count());
 }
 
 void PeerMessenger::noteStatus(const PeerStatus& status, Time now) {
--- a/src/coordination/controller/peer_messenger.h
+++ b/src/coordination/controller/peer_messenger.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The messages between this controller and its peers: once a second each asks all others and tells its own
-// status. In an outage of the key-value store the answers carry the votes that extend a leader's lease. Owns
-// when the next exchange is due; what the peers have told is in `PeerExchange`. Used on the event loop's
-// thread only.
+// The exchange of status messages with peers: once a second each controller sends its status to all others,
+// which respond with theirs. During an outage of the key-value store, the responses carry the votes that
+// extend the leader's lease. Owns the time of the next exchange; `PeerExchange` holds what the peers have
+// reported. Used on the event loop's thread only.
 
 #include <cstdint>
 #include <string>
@@ -22,53 +22,53 @@
 
 namespace burlpoint::coordination {
 
-/// What the exchange with peers reads and changes.
+/// The state that the exchange with peers reads and changes.
 struct PeerMessengerContext {
     const protocol::Settings& settings;
-    transport::HttpClient& http;  // to peers
+    transport::HttpClient& http;  // for requests to peers
     const storage::KeyValueClient& state;
     const bookkeeping::StateReplica& replica;
     PeerExchange& peers;
     Election& election;
-    UserApi& userApi;  // is told the counts of running tasks
+    UserApi& userApi;  // receives the numbers of running tasks per job
     const LeaderRunner& leader;
 };
 
 class PeerMessenger {
   public:
-    /// All that the context refers to has to outlive this.
+    /// All objects that the context refers to must outlive this object.
     explicit PeerMessenger(const PeerMessengerContext& context);
 
-    /// Asks all peers if that is due. To be called often.
+    /// Sends a status message to all peers if an exchange is due. To be called several times a second.
     void exchangeIfDue(Time now);
 
-    /// Makes the next exchange due at `now`.
-    void exchangeFrom(Time now) { nextExchange_ = now; }
+    /// Schedules the next exchange for `now`.
+    void scheduleExchange(Time now) { nextExchange_ = now; }
 
     /// Answers a peer's status message.
     void serve(const transport::Request& request, const transport::Reply& reply);
 
-    /// Does the key-value store answer peers and not this controller?
+    /// True if the key-value store answers peers but not this controller.
     bool onlyThisControllerRefused(Time now) const;
 
-    /// Has any peer been heard of late?
+    /// True if a status message was recently received from any peer.
     bool anyPeerInTouch(Time now) const;
 
   private:
-    /// The request that an answer of a peer belongs to.
+    /// A sent status message, to which a peer's response is matched.
     struct SentStatus {
         std::string peer;
         Time sentAt;
-        std::uint64_t epoch = 0;  // of this controller's leaderships
+        std::uint64_t epoch = 0;  // leadership epoch of this controller when the message was sent
     };
 
     protocol::PeerStatus ownStatus(Time now) const;
-    protocol::PeerStatus answerTo(const protocol::PeerStatus& asking, Time now);
+    protocol::PeerStatus answerTo(const protocol::PeerStatus& query, Time now);
     void handleAnswer(const SentStatus& sent, const std::string& body);
     void noteStatus(const protocol::PeerStatus& status, Time now);
-    /// For how many milliseconds this controller votes for the asking leader; 0: no vote. A vote must only go
-    /// into an answer that tells all cancellations.
-    std::uint64_t voteFor(const protocol::PeerStatus& asking, Time now);
+    /// The duration in milliseconds of this controller's vote for the leader that sent `query`; 0 means no
+    /// vote. A vote may be sent only in a response that completes the list of cancellations.
+    std::uint64_t voteFor(const protocol::PeerStatus& query, Time now);
 
     const PeerMessengerContext context_;
     Time nextExchange_{};
--- a/src/coordination/controller/periodic_tasks.cpp
+++ b/src/coordination/controller/periodic_tasks.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr auto kTickInterval = 100ms;
-// The greatest age of the newest read before one is made to keep the replica fresh. A leader must know what
-// is cancelled.
+// The age of the newest read from which on another read is made to keep the replica fresh. It is lower on the
+// leader, which must know of cancellations.
 constexpr auto kMaxReadAge = 800ms;
 constexpr auto kLeaderMaxReadAge = 400ms;
-constexpr auto kServedWithin = 3s;  // an answer of the key-value store no older shows that it serves
+constexpr auto kMaxStoreResponseAge = 3s;  // a newer response shows that the key-value store is available
 constexpr auto kCleanUpInterval = 5s;
 constexpr auto kMaxConnectionIdle = 20s;
 
@@ -49,35 +49,37 @@
     context_.watcher.readLatest([](auto) {});
 }
 
-// A controller that alone is refused by the key-value store cannot lead for long: better that a peer does it
-// at once.
+// A leader that is the only controller refused by the key-value store cannot keep its lease, so it resigns at
+// once in favour of a peer.
 void PeriodicTasks::resignIfOnlyThisControllerRefused(Time now) {
     if (!context_.leader.leader() || !context_.peers.onlyThisControllerRefused(now)) return;
     resign(ResignationReason::onlyThisControllerRefused, now);
 }
 
-// Seen on a simulated day: a leader three times slower than its peers for 30 s kept the leadership for 7 s
-// more, answered no worker in time, and the leases of a third of them expired.
+// Guards against a slow leader: in a simulation, a leader that was three times slower than its peers for 30 s
+// kept the leadership for 7 s more and answered no worker in time, and the leases of a third of the workers
+// expired.
 void PeriodicTasks::resignIfOverloaded(Time now) {
     if (!context_.leader.leader() || !context_.overload.shouldResign(now)) return;
-    // In an outage no peer could win the leadership, and none should that cannot reach the others.
-    if (now - context_.state.lastAnswer() > kServedWithin) return;
+    // During an outage of the key-value store no peer could become leader, and a peer that cannot reach the
+    // other controllers should not become leader.
+    if (now - context_.state.lastAnswer() > kMaxStoreResponseAge) return;
     if (!context_.peers.anyPeerInTouch(now)) return;
     context_.overload.noteResigned(now);
     resign(ResignationReason::overloaded, now);
 }
 
-/// Resigns, and tells the peers at once.
+/// Resigns and informs the peers at once.
 void PeriodicTasks::resign(ResignationReason reason, Time now) {
-    spdlog::info("resigning reason={}", nameOf(reason));
+    spdlog::info("resigning leadership reason={}", nameOf(reason));
     context_.election.resign(now, resignationFor(reason));
-    context_.peers.exchangeFrom(now);
+    context_.peers.scheduleExchange(now);
 }
 
 void PeriodicTasks::updateReadiness(Time now) {
-    const bool able = context_.watcher.synced() && !context_.replica.types.empty() &&
-                      !context_.peers.onlyThisControllerRefused(now);
-    context_.readiness.update(able, now);
+    const bool healthy = context_.watcher.synced() && !context_.replica.types.empty() &&
+                         !context_.peers.onlyThisControllerRefused(now);
+    context_.readiness.update(healthy, now);
 }
 
 void PeriodicTasks::cleanUp(Time now) {
--- a/src/coordination/controller/periodic_tasks.h
+++ b/src/coordination/controller/periodic_tasks.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// What a controller does by the clock, ten times a second: the steps of the election, ticks of the leader,
-// reads that keep the replica fresh, the exchange with peers, and resigning when this controller is badly
-// placed to lead. Owns the timer and when each task is next due. Used on the event loop's thread only.
+// The periodic work of a controller, run ten times a second: election steps, ticks of the leader, reads that
+// keep the replica up to date, the exchange with peers, and the checks for reasons to resign. Owns the timer
+// and the due times of the tasks. Used on the event loop's thread only.
 
 #include "base/clock.h"
 #include "bookkeeping/state_replica.h"
@@ -21,7 +21,7 @@
 
 namespace burlpoint::coordination {
 
-/// What the periodic tasks read and change.
+/// The state that the periodic tasks read and change.
 struct PeriodicTasksContext {
     const storage::KeyValueClient& state;
     const bookkeeping::StateReplica& replica;
@@ -31,7 +31,7 @@
     PeerMessenger& peers;
     Readiness& readiness;
     OverloadMonitor& overload;
-    // What has idle connections or obsolete entries to drop.
+    // Components whose idle connections or obsolete entries are dropped periodically.
     transport::HttpClient& http;
     ActionExecutor& executor;
     HeartbeatForwarder& forwarder;
@@ -39,15 +39,15 @@
 
 class PeriodicTasks {
   public:
-    /// All that the context refers to has to outlive this.
+    /// All objects that the context refers to must outlive this object.
     PeriodicTasks(asio::io_context& io, const PeriodicTasksContext& context);
 
-    /// Runs the tasks once, and then by the timer for as long as this exists.
+    /// Runs the tasks once at once, and then on every expiry of the timer for the lifetime of this object.
     void start() { tick(); }
 
   private:
     void tick();
-    /// Reads the key-value store if its last answer is too old.
+    /// Reads from the key-value store if its last response, or the replica of a leader, is too old.
     void keepReplicaFresh(Time now);
     void resignIfOnlyThisControllerRefused(Time now);
     void resignIfOverloaded(Time now);
@@ -58,7 +58,7 @@
     const PeriodicTasksContext context_;
     transport::Timer timer_;
     Time nextTick_{};
-    Time nextRead_{};  // no read to keep the replica fresh before
+    Time nextRead_{};  // earliest time of the next read by `keepReplicaFresh`
     Time nextCleanUp_{};
 };
 
--- a/src/coordination/controller/request_router.h
+++ b/src/coordination/controller/request_router.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Routes requests by listener and path to what serves them: the load balancer's readiness check, heartbeats,
-// the users' interface and the exchange with peers. Owns nothing. Used on the event loop's thread only.
+// Routes requests by listener and path to their handlers: the load balancer's readiness check, heartbeats,
+// the user API and the exchange with peers. Owns no state. Used on the event loop's thread only.
 
 #include "coordination/api/readiness.h"
 #include "coordination/api/user_api.h"
@@ -13,11 +13,12 @@
 
 class RequestRouter {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     RequestRouter(const Readiness& readiness, UserApi& userApi, HeartbeatEndpoint& heartbeats,
                   PeerMessenger& peers);
 
-    /// Answers the request or hands its reply on, by which it is answered exactly once.
+    /// Answers the request, or passes its reply callback on to the handler. The request is answered exactly
+    /// once, possibly after this call returns.
     void serve(IncomingRequest& incoming);
 
   private:
--- a/src/coordination/controller/resignation_reason.h
+++ b/src/coordination/controller/resignation_reason.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Why a controller gives up its leadership. Pure functions.
+// The reasons for which a controller resigns its leadership. Stateless functions.
 
 #include "coordination/leadership/election.h"
 
@@ -9,16 +9,17 @@
 enum class ResignationReason {
     newerTokenSeen,             // a worker's message carries a higher fencing token
     newerTokenStored,           // the key-value store holds a higher fencing token
-    workersLost,                // no worker's heartbeats reach this controller any more
-    workersNeverReached,        // no worker's heartbeat ever reached this leader
-    onlyThisControllerRefused,  // the key-value store answers other controllers and not this one
-    overloaded                  // this controller does not keep up with its work
+    workersLost,                // heartbeats have stopped arriving from all workers
+    workersNeverReached,        // no worker's heartbeat has reached this leader
+    onlyThisControllerRefused,  // the key-value store answers other controllers but not this one
+    overloaded                  // this controller's event loop falls behind
 };
 
-/// The reason as a value for logs, without spaces.
+/// The name of the reason for logs, without spaces.
 const char* nameOf(ResignationReason reason);
 
-/// If this controller itself is the likely cause, its peers go first in the next election.
+/// How this controller behaves in the next election: if the cause is likely on its own side, it defers to its
+/// peers.
 Election::Resignation resignationFor(ResignationReason reason);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/scheduling_inputs.cpp
+++ b/src/coordination/controller/scheduling_inputs.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr auto kFleetCountsInterval = 500ms;  // each count walks over the whole fleet
+constexpr auto kFleetCountsInterval = 500ms;  // each count scans the whole fleet
 
 }  // namespace
 
--- a/src/coordination/controller/scheduling_inputs.h
+++ b/src/coordination/controller/scheduling_inputs.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Brings up to date what the scheduling modules read beside the fleet: the order of the waiting jobs, and the
-// counts over all machines by which fetches are paced and accelerators are kept. Counting over the fleet is
-// too expensive for every heartbeat, so this module owns when it is next due. Part of a leader, on its
-// thread.
+// Refreshes the derived inputs of the scheduling modules: the order of the waiting jobs, and the counts over
+// all machines that control the pacing of image fetches and the reservation of accelerators. Counting over
+// the fleet is too expensive for every heartbeat, so this module owns the time of the next count. Part of a
+// leader, used on its thread.
 
 #include "base/clock.h"
 #include "base/wall_clock.h"
@@ -15,7 +15,7 @@
 
 namespace burlpoint::coordination {
 
-/// What the inputs are computed from, and the modules that hold them.
+/// The sources of the inputs, and the modules that hold the results.
 struct SchedulingInputsContext {
     bookkeeping::StateReplica& replica;
     bookkeeping::Fleet& fleet;
@@ -27,10 +27,10 @@
 
 class SchedulingInputs {
   public:
-    /// All that the context refers to has to outlive this.
+    /// All objects that the context refers to must outlive this object.
     explicit SchedulingInputs(const SchedulingInputsContext& context);
 
-    /// Refreshes the job queue if it is stale, then the counts over the fleet if they are due.
+    /// Refreshes the job queue if it is stale, and then the counts over the fleet if they are due.
     void refresh(Time now);
 
   private:
--- a/src/coordination/controller/socket_shares.h
+++ b/src/coordination/controller/socket_shares.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// How a controller divides the sockets that its settings allow among its uses. Pure constants and functions.
+// The division of the maximum number of sockets in the settings among their uses. Stateless.
 
 #include <cstddef>
 
@@ -8,14 +8,15 @@
 
 namespace burlpoint::coordination::sockets {
 
-// Shares of `maxConnections`. Every worker keeps a connection to the leader, beside the users that any
-// controller has; connections that a controller opens itself are short-lived.
+// Shares of `maxConnections`. Accepted connections have the largest share, as every worker keeps one open to
+// the leader, in addition to the connections of users; the connections that a controller opens are
+// short-lived.
 inline constexpr double kClients = 0.74;   // accepted from users, workers and the load balancer
 inline constexpr double kPeers = 0.04;     // accepted from peers
 inline constexpr double kServices = 0.07;  // opened to the key-value store, the cloud and peers
 inline constexpr double kWorkers = 0.12;   // opened to workers, for direct commands
 
-/// Of those for services, the most for forwarded heartbeats: the key-value store needs the rest.
+/// The share for forwarded heartbeats, which is part of `kServices`: the key-value store needs the rest.
 inline constexpr double kForwards = 0.04;
 
 static_assert(kForwards < kServices);
--- a/src/coordination/controller/worker_leases.cpp
+++ b/src/coordination/controller/worker_leases.cpp
@@ -11,20 +11,21 @@
 namespace {
 
 constexpr double kClockDrift = 1.002;      // two clocks, each off by up to 0.05%, in opposite directions
-constexpr Seconds kProcessingMargin{0.3};  // a busy controller takes a message in late
+constexpr Seconds kProcessingMargin{0.3};  // a busy controller handles a message with a delay
 
 }  // namespace
 
-WorkerLeases::WorkerLeases(const protocol::Settings& settings, std::uint64_t fencingToken, Time began)
-    : settings_(settings), fencingToken_(fencingToken), began_(began) {}
+WorkerLeases::WorkerLeases(const protocol::Settings& settings, std::uint64_t fencingToken,
+                           Time leadershipStart)
+    : settings_(settings), fencingToken_(fencingToken), leadershipStart_(leadershipStart) {}
 
-Clock::duration WorkerLeases::bound(const protocol::Settings& settings) {
+Clock::duration WorkerLeases::maxDuration(const protocol::Settings& settings) {
     return std::chrono::duration_cast<Clock::duration>(settings.workerLease * kClockDrift +
                                                        kProcessingMargin);
 }
 
 void WorkerLeases::inherit(Machine& machine, Time now) const {
-    machine.lease.until = now + bound(settings_);
+    machine.lease.until = now + maxDuration(settings_);
     machine.lease.lastHeartbeat = now;
 }
 
@@ -32,20 +33,20 @@
                                           Time now) const {
     const bool hasOlderToken = heartbeat.fencingToken < fencingToken_;
     if (!machine.registry.reconciled && hasOlderToken) {
-        // Its worker has not taken this leader's fencing token, so no answer of this leader has renewed the
-        // lease so far.
-        machine.lease.until = began_ + bound(settings_);
+        // The worker has not adopted this leader's fencing token, so no response of this leader has renewed
+        // the lease so far.
+        machine.lease.until = leadershipStart_ + maxDuration(settings_);
         if (machine.agent.undeliveredResponses >= kMaxUndeliveredResponses) return Renewal::mustExpire;
         ++machine.agent.undeliveredResponses;
     }
-    const auto leaseSoFar = machine.registry.reconciled ? Time{} : machine.lease.until;
-    machine.lease.until = std::max(leaseSoFar, now + bound(settings_));
+    const auto currentExpiry = machine.registry.reconciled ? Time{} : machine.lease.until;
+    machine.lease.until = std::max(currentExpiry, now + maxDuration(settings_));
     machine.lease.active = true;
     return Renewal::renewed;
 }
 
 void WorkerLeases::extendForStaleHeartbeat(Machine& machine) const {
-    machine.lease.until = std::max(machine.lease.until, machine.agent.lastMessageAt + bound(settings_));
+    machine.lease.until = std::max(machine.lease.until, machine.agent.lastMessageAt + maxDuration(settings_));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/worker_leases.h
+++ b/src/coordination/controller/worker_leases.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Workers' leases as the leader counts them. A worker stops its tasks when no heartbeat of it was answered
-// for the time of its lease; the leader may only start them elsewhere once that time is over by its own
-// count. This module owns the rules; the end of each lease, `leaseUntil`, is in the fleet. Part of a leader,
-// on its thread.
+// The leader's view of worker leases. A worker stops its tasks when none of its heartbeats was answered for
+// the duration of its lease; the leader may start them elsewhere only once the lease has expired by the
+// leader's own clock. This module owns the rules; the expiry time of each lease, `Machine::lease.until`, is
+// in the fleet. Part of a leader, used on its thread.
 
 #include <cstdint>
 
@@ -18,30 +18,32 @@
   public:
     enum class Renewal {
         renewed,
-        mustExpire  // the heartbeat must not be answered, so that the lease comes to its end
+        mustExpire  // the heartbeat must be refused, so that the lease expires
     };
 
-    /// `settings` must outlive this. `fencingToken` and `began` are the leadership's.
-    WorkerLeases(const protocol::Settings& settings, std::uint64_t fencingToken, Time began);
+    /// `settings` must outlive this object. `fencingToken` and `leadershipStart` are those of the leadership.
+    WorkerLeases(const protocol::Settings& settings, std::uint64_t fencingToken, Time leadershipStart);
 
-    /// How long a worker's lease may last, counted from the receipt of the heartbeat that renewed it.
-    static Clock::duration bound(const protocol::Settings& settings);
+    /// The maximum duration of a worker's lease, counted from the receipt of the heartbeat that renewed it.
+    static Clock::duration maxDuration(const protocol::Settings& settings);
 
-    /// A machine that an earlier leader may have answered at any time before `now`.
+    /// Sets the lease of a machine whose last heartbeat an earlier leader may have answered at any time up to
+    /// `now`.
     void inherit(bookkeeping::Machine& machine, Time now) const;
 
-    /// Renews the lease for a heartbeat received at `now`, which is the machine's newest. It is not renewed
-    /// without end while the worker shows an older fencing token, that is, while no answer reaches it.
+    /// Renews the lease for a heartbeat received at `now`, which must be the machine's newest. The number of
+    /// renewals is limited while the worker shows an older fencing token, that is, while no response reaches
+    /// it.
     Renewal renew(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, Time now) const;
 
-    /// An answer to a heartbeat that is not the newest. It was sent before the newest message arrived, so the
-    /// lease is extended as if it had come then.
+    /// Extends the lease for the response to a heartbeat that is not the machine's newest message. The
+    /// heartbeat was sent before the newest message arrived, so it is treated as received at that time.
     void extendForStaleHeartbeat(bookkeeping::Machine& machine) const;
 
   private:
     const protocol::Settings& settings_;
     const std::uint64_t fencingToken_;
-    const Time began_;
+    const Time leadershipStart_;
 };
 
 }  // namespace burlpoint::coordination
--- a/tests/controller/action_executor_test.cpp
+++ b/tests/controller/action_executor_test.cpp
@@ -20,17 +20,19 @@
 
 namespace {
 
-/// An executor beside an election, with stand-ins for the key-value store, the cloud and a worker. The
-/// stand-in for cloud and worker answers each path with `answers[path]`, else 503, and holds all answers back
-/// while `holdsBack` is set.
+/// An action executor and an election, with fakes of the key-value store, the cloud and a worker. One HTTP
+/// server fakes both cloud and worker: it responds to each path with the body `responseBodies[path]`, or 503
+/// if there is none, and holds its responses in `heldResponses` while `holdResponses` is set.
 struct ActionExecutorTest : testing::Test {
     ActionExecutorTest() {
         settings.name = "one";
         settings.cloudAddress = address();
         watcher.start();
     }
-    std::string address() const { return "127.0.0.1:" + std::to_string(others.localEndpoint().port()); }
-    void lead() {
+    std::string address() const {
+        return "127.0.0.1:" + std::to_string(cloudAndWorker.localEndpoint().port());
+    }
+    void becomeLeader() {
         while (!fencingToken) {
             election.tick(Clock::now());
             io.run_one_for(5ms);
@@ -38,17 +40,17 @@
         executor.begin(fencingToken);
     }
     void perform(Action action) { executor.perform(action); }
-    void until(const std::function<bool()>& happened) {
+    void runUntil(const std::function<bool()>& happened) {
         while (!happened()) io.run_one();
     }
     void runFor(Duration time) {
         const auto end = Clock::now() + time;
         while (Clock::now() < end) io.run_one_for(5ms);
     }
-    /// The next command that was delivered, which must be of that kind.
+    /// Waits for the next delivered event, which must be of type `T`, and removes it.
     template <typename T>
-    T next() {
-        until([&] { return !delivered.empty(); });
+    T nextEvent() {
+        runUntil([&] { return !delivered.empty(); });
         auto event = std::move(delivered.front());
         delivered.erase(delivered.begin());
         return std::get<T>(std::move(event));
@@ -60,22 +62,22 @@
 
     asio::io_context io{1};
     tests::StoreStub stub{io};
-    std::map<std::string, std::string> answers;
-    std::vector<std::string> asked;  // paths
-    bool holdsBack = false;
-    std::vector<std::function<void()>> held;
-    transport::HttpServer others{io,
-                                 transport::parseEndpoint("127.0.0.1:0"),
-                                 {},
-                                 [this](transport::Request&& request, const transport::Reply& reply) {
-                                     asked.push_back(request.path);
-                                     transport::Response response;
-                                     const auto found = answers.find(request.path);
-                                     response.status = found == answers.end() ? 503 : 200;
-                                     if (found != answers.end()) response.body = found->second;
-                                     if (!holdsBack) return reply(response);
-                                     held.push_back([reply, response] { reply(response); });
-                                 }};
+    std::map<std::string, std::string> responseBodies;
+    std::vector<std::string> requestedPaths;
+    bool holdResponses = false;
+    std::vector<std::function<void()>> heldResponses;
+    transport::HttpServer cloudAndWorker{io,
+                                         transport::parseEndpoint("127.0.0.1:0"),
+                                         {},
+                                         [this](transport::Request&& request, const transport::Reply& reply) {
+                                             requestedPaths.push_back(request.path);
+                                             transport::Response response;
+                                             const auto found = responseBodies.find(request.path);
+                                             response.status = found == responseBodies.end() ? 503 : 200;
+                                             if (found != responseBodies.end()) response.body = found->second;
+                                             if (!holdResponses) return reply(response);
+                                             heldResponses.push_back([reply, response] { reply(response); });
+                                         }};
     protocol::Settings settings;
     protocol::Policy policy;
     transport::HttpClient http{io, 10};
@@ -103,10 +105,10 @@
 }  // namespace
 
 TEST_F(ActionExecutorTest, AnswerHeartbeatThenRepliedOnceWithFencingToken) {
-    lead();
+    becomeLeader();
     std::vector<transport::Response> replies;
-    const auto first = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
-    const auto second = executor.awaitAnswer([&](auto response) { replies.push_back(response); });
+    const auto first = executor.addPendingHeartbeat([&](auto response) { replies.push_back(response); });
+    const auto second = executor.addPendingHeartbeat([&](auto response) { replies.push_back(response); });
     EXPECT_NE(first, second);
     perform(coordination::AnswerHeartbeat{second, HeartbeatVerdict::accepted, {}});
     ASSERT_EQ(replies.size(), 1u);
@@ -120,9 +122,9 @@
 }
 
 TEST_F(ActionExecutorTest, ResignationThenPendingHeartbeatsGet503) {
-    lead();
+    becomeLeader();
     int status = 0;
-    executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
+    executor.addPendingHeartbeat([&](const transport::Response& response) { status = response.status; });
     const auto epoch = executor.epoch();
     perform(coordination::Resign{coordination::ResignationReason::newerTokenSeen});
     EXPECT_EQ(status, 503);
@@ -131,68 +133,71 @@
 }
 
 TEST_F(ActionExecutorTest, ActionsPerformedThenOutcomesAreDelivered) {
-    lead();
-    answers[protocol::paths::kCommands] = protocol::encodeHeartbeat(heartbeat("m1"));
-    answers[protocol::paths::kInstanceDeletion] = "";
+    becomeLeader();
+    responseBodies[protocol::paths::kCommands] = protocol::encodeHeartbeat(heartbeat("m1"));
+    responseBodies[protocol::paths::kInstanceDeletion] = "";
     perform(commands());
-    const auto answered = next<coordination::CommandsAnswered>();
+    const auto answered = nextEvent<coordination::CommandsAnswered>();
     EXPECT_EQ(answered.machine, "m1");
     EXPECT_EQ(answered.known, (bookkeeping::HeartbeatVersion{1, 5}));
     EXPECT_EQ(answered.heartbeat, heartbeat("m1"));
     perform(coordination::ScaleIn{{"m1", "m2"}});
-    const auto deletion = next<coordination::ScaleInCompleted>();
+    const auto deletion = nextEvent<coordination::ScaleInCompleted>();
     EXPECT_EQ(deletion.outcome, ScaleInOutcome::deleted);
     EXPECT_EQ(deletion.machines, (std::vector<std::string>{"m1", "m2"}));
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});  // the cloud answers 503
-    const auto creation = next<coordination::ScaleOutCompleted>();
+    const auto creation = nextEvent<coordination::ScaleOutCompleted>();
     EXPECT_EQ(creation.name, "r1");
     EXPECT_EQ(creation.outcome, coordination::InstanceRequestOutcome::unknown);
     perform(coordination::ListMachines{});
-    EXPECT_FALSE(next<coordination::MachinesListed>().complete);
+    EXPECT_FALSE(nextEvent<coordination::MachinesListed>().complete);
     perform(coordination::WriteState{{}, {{"bp/x", protocol::MessagePacker().value("x").take(), 0}}});
-    EXPECT_EQ(next<coordination::StateWritten>().result.status, storage::TransactionStatus::applied);
+    EXPECT_EQ(nextEvent<coordination::StateWritten>().result.status, storage::TransactionStatus::applied);
     perform(coordination::RefreshReplica{});
-    EXPECT_EQ(next<coordination::ReplicaRefreshed>().outcome, coordination::RefreshOutcome::refreshed);
+    EXPECT_EQ(nextEvent<coordination::ReplicaRefreshed>().outcome, coordination::RefreshOutcome::refreshed);
 }
 
 TEST_F(ActionExecutorTest, MalformedAnswerThenOutcomeIsUnknown) {
-    lead();
-    answers[protocol::paths::kCommands] = answers[protocol::paths::kInstanceRequest] = "nonsense";
+    becomeLeader();
+    responseBodies[protocol::paths::kCommands] = responseBodies[protocol::paths::kInstanceRequest] =
+        "nonsense";
     perform(commands());
-    EXPECT_FALSE(next<coordination::CommandsAnswered>().heartbeat);
+    EXPECT_FALSE(nextEvent<coordination::CommandsAnswered>().heartbeat);
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
-    EXPECT_EQ(next<coordination::ScaleOutCompleted>().outcome, coordination::InstanceRequestOutcome::unknown);
+    EXPECT_EQ(nextEvent<coordination::ScaleOutCompleted>().outcome,
+              coordination::InstanceRequestOutcome::unknown);
 }
 
 TEST_F(ActionExecutorTest, NotEntitledThenWorkersAndCloudAreNotReached) {
-    executor.begin(7);  // though the election was not won
+    executor.begin(7);  // without having won the election
     int status = 0;
     const auto request =
-        executor.awaitAnswer([&](const transport::Response& response) { status = response.status; });
+        executor.addPendingHeartbeat([&](const transport::Response& response) { status = response.status; });
     perform(coordination::AnswerHeartbeat{request, HeartbeatVerdict::accepted, {}});
     EXPECT_EQ(status, 503);
     perform(commands());
-    EXPECT_FALSE(next<coordination::CommandsAnswered>().heartbeat);
+    EXPECT_FALSE(nextEvent<coordination::CommandsAnswered>().heartbeat);
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
-    EXPECT_EQ(next<coordination::ScaleOutCompleted>().outcome, coordination::InstanceRequestOutcome::unknown);
+    EXPECT_EQ(nextEvent<coordination::ScaleOutCompleted>().outcome,
+              coordination::InstanceRequestOutcome::unknown);
     perform(coordination::ScaleIn{{"m1"}});
-    EXPECT_EQ(next<coordination::ScaleInCompleted>().outcome, ScaleInOutcome::unknown);
+    EXPECT_EQ(nextEvent<coordination::ScaleInCompleted>().outcome, ScaleInOutcome::unknown);
     runFor(100ms);
-    EXPECT_TRUE(asked.empty());
+    EXPECT_TRUE(requestedPaths.empty());
 }
 
 TEST_F(ActionExecutorTest, LeadershipEndedThenItsOutcomesAreDropped) {
-    lead();
-    holdsBack = true;
+    becomeLeader();
+    holdResponses = true;
     perform(commands());
     perform(coordination::ScaleOut{{"r1", "plain", "z", false, 1}});
     perform(coordination::ScaleIn{{"m1"}});
     perform(coordination::ListMachines{});
     perform(coordination::ListTypes{});
-    until([&] { return held.size() == 5; });
+    runUntil([&] { return heldResponses.size() == 5; });
     executor.end();
     executor.begin(fencingToken);
-    for (const auto& answer : held) answer();
+    for (const auto& answer : heldResponses) answer();
     runFor(200ms);
     EXPECT_TRUE(delivered.empty());
 }
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -23,13 +23,14 @@
     return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
 }
 
-/// Whole controllers on loopback around a stub of the key-value store; there is no cloud.
+/// Complete controllers that communicate over loopback, with a stub of the key-value store and no cloud.
 struct ControllerTest : testing::Test {
-    static constexpr char kNowhere[] = "127.0.0.1:1";
+    static constexpr char kUnreachable[] = "127.0.0.1:1";
 
     asio::io_context io{1};
     tests::StoreStub stub{io};
-    tests::StoreStub own{io, &stub};  // a link of its own to the same store, for one controller
+    /// Serves the same store to one controller, with outages of its own.
+    tests::StoreStub separateStub{io, &stub};
     transport::HttpClient http{io, 50};
     protocol::Policy policy;
     Settings one = settings("one"), two = settings("two"), three = settings("three");
@@ -41,13 +42,13 @@
         s.listenAddress = freeAddress(io);
         s.peerListenAddress = freeAddress(io);
         s.storeAddress = stub.address();
-        s.cloudAddress = kNowhere;
+        s.cloudAddress = kUnreachable;
         return s;
     }
     static protocol::Peer peer(const Settings& s) { return {s.name, "z", s.peerListenAddress}; }
-    static protocol::Peer unreachable(const Settings& s) { return {s.name, "z", kNowhere}; }
+    static protocol::Peer unreachable(const Settings& s) { return {s.name, "z", kUnreachable}; }
 
-    HttpResult ask(const std::string& address, const std::string& path, const std::string& body = {}) {
+    HttpResult post(const std::string& address, const std::string& path, const std::string& body = {}) {
         std::optional<HttpResult> out;
         http.request(address, "POST", path, body, 4s, [&](HttpResult outcome) { out = std::move(outcome); });
         while (!out) io.run_one();
@@ -57,20 +58,20 @@
                          std::vector<protocol::TaskStatus> tasks = {}) {
         protocol::Heartbeat r{"m1", "127.0.0.1:1", "plain",      "z", false,
                               1,    ++sequence,    fencingToken, {},  std::move(tasks)};
-        return ask(to.listenAddress, protocol::paths::kHeartbeat, protocol::encodeHeartbeat(r));
+        return post(to.listenAddress, protocol::paths::kHeartbeat, protocol::encodeHeartbeat(r));
     }
-    /// The answer to a status message, as a leader would send it.
-    protocol::PeerStatus question(const Settings& to, const protocol::PeerStatus& status) {
+    /// Sends a peer status message, as a leader does, and returns the response.
+    protocol::PeerStatus queryPeer(const Settings& to, const protocol::PeerStatus& status) {
         return protocol::decodePeerStatus(
-            ask(to.peerListenAddress, protocol::paths::kPeer, protocol::encodePeerStatus(status)).body);
+            post(to.peerListenAddress, protocol::paths::kPeer, protocol::encodePeerStatus(status)).body);
     }
-    std::uint64_t store(const protocol::JobSpec& spec, storage::TerminalState terminalState) {
+    std::uint64_t storeJob(const protocol::JobSpec& spec, storage::TerminalState terminalState) {
         std::vector<std::string> failed;
         return stub.store.transact(
             {}, {{storage::keys::job(spec.id), storage::encodeJob({spec, terminalState, 0, 0, 4}), 0}},
             failed);
     }
-    static protocol::JobSpec job(const std::string& id) {
+    static protocol::JobSpec makeJob(const std::string& id) {
         protocol::JobSpec spec;
         spec.id = id;
         spec.jobClass = spec.image = std::string(1, 'x');
@@ -83,7 +84,7 @@
         const auto end = Clock::now() + time;
         while (Clock::now() < end) io.run_one_for(5ms);
     }
-    static std::string elsewhere(const HttpResult& outcome) {
+    static std::string redirectTarget(const HttpResult& outcome) {
         if (outcome.status != 421) return std::to_string(outcome.status);
         return protocol::MapReader(protocol::unpackBody(outcome.body).get())
             .maybeText("harbormaster")
@@ -94,8 +95,8 @@
 
 }  // namespace
 
-// Seen on a simulated day: behind a network cut, workers tried one controller after the other until their
-// leases expired.
+// Guards against workers behind a network partition losing their leases because they try one controller after
+// the other without reaching the leader.
 TEST_F(ControllerTest, FollowerCutOffFromLeaderThenNamesPeerInTouchWithIt) {
     one.peers = {peer(two), unreachable(three)};
     two.peers = {peer(one), peer(three)};
@@ -103,29 +104,30 @@
     coordination::Controller first(io, one, policy);
     while (heartbeat(one).status != 200) runFor(50ms);
     coordination::Controller second(io, two, policy), third(io, three, policy);
-    while (elsewhere(heartbeat(three)) != "two") runFor(50ms);
-    const auto forwarded = heartbeat(two);  // which forwards it
+    while (redirectTarget(heartbeat(three)) != "two") runFor(50ms);
+    const auto forwarded = heartbeat(two);  // controller two forwards it to the leader
     EXPECT_EQ(forwarded.status, 200);
     EXPECT_EQ(protocol::MapReader(protocol::unpackBody(forwarded.body).get()).integer("helm"), 1u);
 }
 
-// A follower that the key-value store refuses learns of a new leader from that leader alone. Seen on a
-// simulated day: it was the only controller that both the leader and the workers behind a cut could reach.
+// A follower that the key-value store refuses learns of a new leader only from that leader's status messages.
+// It must then forward heartbeats, as it may be the only controller that both the leader and the workers
+// behind a network partition can reach.
 TEST_F(ControllerTest, FollowerRefusedByStoreThenForwardsToNewLeader) {
-    two.storeAddress = own.address();
+    two.storeAddress = separateStub.address();
     one.peers = {peer(two), peer(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {peer(one), peer(two)};
     auto first = std::make_unique<coordination::Controller>(io, one, policy);
     while (heartbeat(one).status != 200) runFor(50ms);
     coordination::Controller second(io, two, policy), third(io, three, policy);
-    while (heartbeat(two).status != 200) runFor(50ms);  // it has read who leads
-    own.outage = true;
+    while (heartbeat(two).status != 200) runFor(50ms);  // two has read the leader's record
+    separateStub.outage = true;
     first.reset();
     stub.store.endLease(stub.store.values.at(storage::keys::kLeader).lease);
     stub.wake();
     while (heartbeat(three).status != 200) runFor(50ms);
-    // The next leader's message comes within a second, which is far less than these rounds take.
+    // The new leader sends a status message within a second, far less than the duration of these rounds.
     constexpr int kRounds = 400;
     int rounds = 0;
     HttpResult forwarded;
@@ -137,16 +139,16 @@
     EXPECT_EQ(protocol::MapReader(protocol::unpackBody(forwarded.body).get()).integer("helm"), 2u);
 }
 
-// The store refuses only the leader, another controller confirms a cancellation, and then the store serves
-// nobody for longer than a cancelled task may run. The peers that extend the leader's lease by their votes
-// tell it what to stop, and its other tasks go on.
+// The key-value store refuses only the leader, another controller confirms a cancellation, and then the store
+// is unavailable to all for longer than a cancelled task may keep running. The peers that extend the leader's
+// lease by their votes must report the cancellation to it; its other tasks keep running.
 TEST_F(ControllerTest, LeaderExtendedByVotesThenStopsJobsCancelledThroughPeers) {
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
     policy.leadership = Seconds(4);
     for (auto* s : {&one, &two, &three}) s->teams = {{"team", 0, 0, 0, 0}};
-    one.storeAddress = own.address();
+    one.storeAddress = separateStub.address();
     one.peers = {peer(two), peer(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {peer(one), peer(two)};
@@ -155,8 +157,8 @@
     coordination::Controller second(io, two, policy), third(io, three, policy);
     for (const auto* id : {"wk-1", "wk-2"}) {
         protocol::MessagePacker p;
-        protocol::packSpec(p, job(id));
-        while (ask(two.listenAddress, protocol::paths::kSubmissions, p.take()).status != 201) runFor(50ms);
+        protocol::packSpec(p, makeJob(id));
+        while (post(two.listenAddress, protocol::paths::kSubmissions, p.take()).status != 201) runFor(50ms);
     }
     std::vector<protocol::TaskStatus> tasks;
     std::uint64_t fencingToken = 0;
@@ -169,14 +171,14 @@
                 tasks.push_back({command.attempt, protocol::TaskState::running, {}, false});
         runFor(50ms);
     }
-    runFor(1500ms);  // the others come to know this leader and each other
-    own.outage = true;
-    runFor(1200ms);  // too short to tell a refusal from an outage
-    EXPECT_EQ(ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-1/cancel").status,
+    runFor(1500ms);  // the peers exchange status messages with this leader and with each other
+    separateStub.outage = true;
+    runFor(1200ms);  // too short to distinguish a refusal from an outage
+    EXPECT_EQ(post(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-1/cancel").status,
               200);
     stub.outage = true;
     bool stopped = false;
-    // Twice as long as the leader's own lease.
+    // 80 rounds take twice as long as the leader's lease.
     for (int i = 0; i < 80; ++i) {
         const auto answer = heartbeat(one, fencingToken, tasks);
         ASSERT_EQ(answer.status, 200) << "in round " << i;
@@ -192,9 +194,9 @@
     EXPECT_EQ(tasks.size(), 1u);
 }
 
-// A leader cut off from the store and from its peers acts until its leader lease expires, while other
-// controllers confirm cancellations to users. Seen on simulated days: it started tasks of such a job for six
-// seconds.
+// A leader that is partitioned from the key-value store and its peers may act until its leader lease expires,
+// while other controllers confirm cancellations to users. Guards against tasks of a cancelled job being
+// started in that time, which happened for six seconds in simulations.
 TEST_F(ControllerTest, LeaderThatCannotReadStoreThenStartsNothing) {
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
@@ -205,16 +207,16 @@
         s->workerLease = Seconds(24);
         s->cancelTimeout = Seconds(44);
     }
-    one.storeAddress = own.address();
+    one.storeAddress = separateStub.address();
     one.peers = {unreachable(two)};
     two.peers = {unreachable(one)};
     coordination::Controller first(io, one, policy);
     while (heartbeat(one).status != 200) runFor(50ms);
     coordination::Controller second(io, two, policy);
     protocol::MessagePacker p;
-    protocol::packSpec(p, job("wk-1"));
+    protocol::packSpec(p, makeJob("wk-1"));
     const auto body = p.take();
-    while (ask(two.listenAddress, protocol::paths::kSubmissions, body).status != 201) runFor(50ms);
+    while (post(two.listenAddress, protocol::paths::kSubmissions, body).status != 201) runFor(50ms);
     std::vector<protocol::TaskStatus> tasks;
     std::uint64_t fencingToken = 0;
     int starts = 0;
@@ -230,7 +232,7 @@
         }
         runFor(100ms);
     };
-    const auto end = [&] {
+    const auto exitTasks = [&] {
         for (auto& task : tasks) {
             task.state = protocol::TaskState::exited;
             task.why = protocol::ExitReason::stopped;
@@ -238,15 +240,15 @@
     };
     while (starts < 1) round();
     round();
-    end();
-    while (starts < 2) round();  // a replica that ends is started again
+    exitTasks();
+    while (starts < 2) round();  // a service replica that exits is restarted
     round();
-    own.outage = true;
+    separateStub.outage = true;
     const auto cancel = std::string(protocol::paths::kSubmissions).append("/wk-1/cancel");
-    while (ask(two.listenAddress, cancel).status != 200) runFor(50ms);
+    while (post(two.listenAddress, cancel).status != 200) runFor(50ms);
     runFor(1600ms);
-    end();
-    // It may lose its entitlement at any time; until then it must not start anything.
+    exitTasks();
+    // The leader may lose its leader lease at any time; until then it must not start any task.
     for (int i = 0; i < 20; ++i) {
         const auto answer = heartbeat(one, fencingToken, tasks);
         if (answer.status != 200) break;
@@ -256,13 +258,13 @@
     }
 }
 
-// Cancellations that do not fit one message come in parts, and the vote with the last one. A process other
-// than the one that was asked before starts from the beginning.
+// Cancellations that do not fit into one message are sent in parts, and only the last part carries the vote.
+// A position in the log of another process is not valid, so the list then starts from the beginning.
 TEST_F(ControllerTest, PeerWithMoreCancellationsToTellThenDoesNotVoteYet) {
-    std::uint64_t middle = 0;
+    std::uint64_t middleRevision = 0;
     for (int i = 0; i < 1200; ++i) {
-        const auto revision = store(job("wk-" + std::to_string(i)), storage::TerminalState::cancelled);
-        if (i == 599) middle = revision;
+        const auto revision = storeJob(makeJob("wk-" + std::to_string(i)), storage::TerminalState::cancelled);
+        if (i == 599) middleRevision = revision;
     }
     std::vector<std::string> failed;
     stub.store.transact({},
@@ -270,35 +272,35 @@
                          {storage::keys::kToken, storage::encodeToken(7), 0}},
                         failed);
     two.peers = {peer(one), unreachable(three)};
-    one.peerListenAddress = kNowhere;
+    one.peerListenAddress = kUnreachable;
     coordination::Controller second(io, two, policy);
-    protocol::PeerStatus asking;
-    asking.node = "one";
-    asking.fencingToken = 7;
-    asking.revision = stub.store.revision;
-    while (question(two, asking).log == 0) runFor(50ms);
-    while (ask(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
+    protocol::PeerStatus query;
+    query.node = "one";
+    query.fencingToken = 7;
+    query.revision = stub.store.revision;
+    while (queryPeer(two, query).log == 0) runFor(50ms);
+    while (post(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
         runFor(50ms);
     stub.outage = true;
-    while (question(two, asking).voteMs == 0) runFor(50ms);
-    EXPECT_TRUE(question(two, asking).cancelled.empty());  // the asking leader knows all of them
+    while (queryPeer(two, query).voteMs == 0) runFor(50ms);
+    EXPECT_TRUE(queryPeer(two, query).cancelled.empty());  // the leader knows all cancellations
 
-    asking.revision = 0;
-    std::set<std::string> heard;
+    query.revision = 0;
+    std::set<std::string> reportedJobs;
     protocol::PeerStatus answer;
     int parts = 0;
     for (; !answer.complete; ++parts) {
-        answer = question(two, asking);
+        answer = queryPeer(two, query);
         EXPECT_EQ(answer.voteMs > 0, answer.complete);
-        for (const auto& c : answer.cancelled) EXPECT_TRUE(heard.insert(c.job).second);
-        asking.log = answer.log;
-        asking.logAt = answer.logAt;
+        for (const auto& c : answer.cancelled) EXPECT_TRUE(reportedJobs.insert(c.job).second);
+        query.log = answer.log;
+        query.logAt = answer.logAt;
     }
-    EXPECT_EQ(heard.size(), 1200u);
+    EXPECT_EQ(reportedJobs.size(), 1200u);
     EXPECT_GE(parts, 3);
-    EXPECT_TRUE(question(two, asking).cancelled.empty());
-    asking.log += 1;  // of a process that has ended
-    EXPECT_EQ(question(two, asking).cancelled.size(), answer.cancelled.size() + 300);
-    asking.revision = middle;
-    EXPECT_FALSE(question(two, asking).complete);
+    EXPECT_TRUE(queryPeer(two, query).cancelled.empty());
+    query.log += 1;  // the log id of another process, which has ended
+    EXPECT_EQ(queryPeer(two, query).cancelled.size(), answer.cancelled.size() + 300);
+    query.revision = middleRevision;
+    EXPECT_FALSE(queryPeer(two, query).complete);
 }
--- a/tests/controller/heartbeat_forwarder_test.cpp
+++ b/tests/controller/heartbeat_forwarder_test.cpp
@@ -19,14 +19,15 @@
 
 namespace {
 
-/// A follower "one" that knows "two" as the leader, which answers forwarded heartbeats with `leaderStatus`.
+/// A follower "one" whose replica names "two" as the leader. The leader answers forwarded heartbeats with
+/// `leaderStatus`.
 struct HeartbeatForwarderTest : testing::Test {
     HeartbeatForwarderTest() {
         const auto address = "127.0.0.1:" + std::to_string(leader.localEndpoint().port());
         settings.peers = {{"two", "z", address}, {"three", "z", "127.0.0.1:1"}};
         replica.leader = storage::LeaderRecord{"two", 7};
     }
-    void hear(const std::string& node, std::uint64_t leaderToken) {
+    void receiveStatus(const std::string& node, std::uint64_t leaderToken) {
         protocol::PeerStatus status;
         status.node = node;
         status.leaderToken = leaderToken;
@@ -43,7 +44,7 @@
         while (!out) io.run_one();
         return *out;
     }
-    /// The controller that a 421 names.
+    /// The controller named in a 421 response.
     static std::string redirectTarget(const transport::Response& response) {
         EXPECT_EQ(response.status, 421);
         const auto handle = protocol::unpackBody(response.body);
@@ -52,7 +53,7 @@
 
     asio::io_context io{1};
     int leaderStatus = 200;
-    std::vector<std::string> forwarded;  // bodies that the leader got
+    std::vector<std::string> forwarded;  // request bodies received by the leader
     transport::HttpServer leader{io,
                                  transport::parseEndpoint("127.0.0.1:0"),
                                  {},
@@ -76,28 +77,29 @@
 }  // namespace
 
 TEST_F(HeartbeatForwarderTest, FirstHeartbeatForwardedThenWorkerIsRedirectedToLeader) {
-    hear("two", 7);
+    receiveStatus("two", 7);
     const auto first = answer(heartbeat("m1"));
     EXPECT_EQ(first.status, 200);
     EXPECT_EQ(first.body, "as the leader says");
     EXPECT_EQ(forwarded, std::vector{heartbeat("m1")});
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "two");
-    EXPECT_EQ(answer(heartbeat("m2")).status, 200);  // each worker for itself
+    EXPECT_EQ(answer(heartbeat("m2")).status, 200);  // the history is kept per worker
     EXPECT_EQ(forwarded.size(), 2u);
 }
 
 TEST_F(HeartbeatForwarderTest, LeaderDoesNotAnswerThenRedirectNamesNobody) {
-    hear("two", 7);
+    receiveStatus("two", 7);
     leaderStatus = 503;
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "");
     settings.peers[0].name = "another";
-    EXPECT_EQ(redirectTarget(answer(heartbeat("m2"))), "");  // the settings know no such controller
+    EXPECT_EQ(redirectTarget(answer(heartbeat("m2"))),
+              "");  // the leader is not among the peers in the settings
     EXPECT_EQ(forwarded.size(), 1u);
 }
 
 TEST_F(HeartbeatForwarderTest, LeaderNotInTouchThenPeerInTouchWithItIsNamed) {
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "");
-    hear("three", 7);
+    receiveStatus("three", 7);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "three");
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"), HeartbeatOrigin::peer)), "");
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"), HeartbeatOrigin::worker, LocalRole::leader)), "");
@@ -106,19 +108,20 @@
     EXPECT_TRUE(forwarded.empty());
 }
 
-// Seen on a simulated day: after a failover hundreds of workers sent their heartbeats to followers at once,
-// forwarding failed for want of sockets, and 634 tasks ended with their workers' leases.
+// After a failover, hundreds of workers may send heartbeats to followers at once. Guards against forwarding
+// that uses up all sockets: in a simulation it then failed, leases expired, and 634 tasks ended with them.
 TEST_F(HeartbeatForwarderTest, ForwardLimitReachedThenWorkerIsRedirectedAtOnce) {
-    hear("two", 7);
+    receiveStatus("two", 7);
     std::vector<transport::Response> answers;
     const auto reply = [&](transport::Response response) { answers.push_back(std::move(response)); };
     for (const auto* machine : {"m1", "m2", "m3"})
         forwarder.answer({heartbeat(machine), HeartbeatOrigin::worker, reply}, LocalRole::follower, now);
-    ASSERT_EQ(answers.size(), 1u);  // without waiting for the two under way
+    ASSERT_EQ(answers.size(), 1u);  // without waiting for the two pending ones
     EXPECT_EQ(redirectTarget(answers[0]), "two");
     while (answers.size() < 3) io.run_one();
     EXPECT_EQ(forwarded.size(), kMaxForwards);
-    // It is back, so it did not reach the leader: below the limit again, its heartbeat is forwarded.
+    // The worker m3 returns, so it did not reach the leader. The number of forwards is below the limit again,
+    // so its heartbeat is forwarded.
     EXPECT_EQ(answer(heartbeat("m3")).status, 200);
 }
 
@@ -133,20 +136,20 @@
 }
 
 TEST_F(HeartbeatForwarderTest, HeartbeatForwardedByPeerThenNotForwardedAgain) {
-    hear("two", 7);
+    receiveStatus("two", 7);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"), HeartbeatOrigin::peer)), "");
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"), HeartbeatOrigin::worker, LocalRole::leader)), "");
     EXPECT_TRUE(forwarded.empty());
 }
 
 TEST_F(HeartbeatForwarderTest, MalformedHeartbeatThenRejectedAndNotForwarded) {
-    hear("two", 7);
+    receiveStatus("two", 7);
     EXPECT_EQ(answer("nonsense").status, 400);
     EXPECT_TRUE(forwarded.empty());
 }
 
 TEST_F(HeartbeatForwarderTest, DropObsoleteThenOnlyAbsentWorkersAreForgotten) {
-    hear("two", 7);
+    receiveStatus("two", 7);
     EXPECT_EQ(answer(heartbeat("m1")).status, 200);
     forwarder.dropObsolete(now + 1s);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "two");
@@ -154,19 +157,19 @@
     EXPECT_EQ(answer(heartbeat("m1")).status, 200);
 }
 
-// Seen on a simulated day: workers cut off from the leader's zone lost their leases although a controller
-// could reach both.
+// Guards against workers that are partitioned from the leader's zone losing their leases although another
+// controller can reach both them and the leader.
 TEST(ForwardDecider, WorkerReturnsFromLeaderThenHeartbeatsAreForwardedForAWhile) {
     using Decision = coordination::ForwardDecider::Decision;
     coordination::ForwardDecider decider;
     Time now{1000s};
     EXPECT_EQ(decider.decide(now), Decision::forward);
-    EXPECT_EQ(decider.decide(now += 2s), Decision::redirect);  // try the leader
-    EXPECT_EQ(decider.decide(now += 5s), Decision::forward);   // it did not reach the leader
+    EXPECT_EQ(decider.decide(now += 2s), Decision::redirect);
+    EXPECT_EQ(decider.decide(now += 5s), Decision::forward);  // the worker did not reach the leader
     for (int i = 0; i < 14; ++i) EXPECT_EQ(decider.decide(now += 2s), Decision::forward);
-    EXPECT_EQ(decider.decide(now += 2s), Decision::redirect);  // try again
+    EXPECT_EQ(decider.decide(now += 2s), Decision::redirect);  // the forwarding period is over
     EXPECT_EQ(decider.decide(now += 5s), Decision::forward);
     EXPECT_TRUE(decider.isObsolete(now += 60s));
-    EXPECT_EQ(decider.decide(now), Decision::forward);  // from the beginning
+    EXPECT_EQ(decider.decide(now), Decision::forward);  // with an empty history
     EXPECT_EQ(decider.decide(now += 2s), Decision::redirect);
 }
--- a/tests/controller/large_fleet_test.cpp
+++ b/tests/controller/large_fleet_test.cpp
@@ -1,5 +1,6 @@
-// A leader of 4,000 machines, from their boot over a failover and an outage to their deletion, compared with
-// one of 400. The measure of cost is the number of machines scanned for waiting jobs, not time.
+// The life of a fleet of 4,000 machines under a leader (boot, failover, outage of the key-value store,
+// deletion), compared with a fleet of 400. Cost is measured as the number of machines scanned for waiting
+// jobs, not as time.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -14,8 +15,8 @@
 constexpr int kSmallFleet = 400;
 constexpr auto kHeartbeatInterval = 2s;
 
-/// A fleet whose machines send heartbeats in turn, each once in an interval, and run what they are told to
-/// start.
+/// A simulated fleet whose machines send heartbeats in turn, each once per interval, and execute the commands
+/// in the responses.
 class SimulatedFleet {
   public:
     explicit SimulatedFleet(int machines) {
@@ -31,28 +32,29 @@
         return count;
     }
 
-    /// All workers send their first heartbeat, and the machines' entries in the registry are stored.
+    /// Sends the first heartbeat of all workers, and more until the registry entries of all machines are
+    /// stored.
     void boot() {
-        harness_.lead();
+        harness_.startLeader();
         for (std::size_t i = 0; i < names_.size(); ++i) {
             const protocol::Heartbeat heartbeat{
                 names_[i], names_[i], "plain", zoneOf(i), false, 1, ++harness_.sequences[names_[i]],
                 0,         {},        {}};
-            handle(names_[i], harness_.tell(HeartbeatReceived{1, heartbeat}));
+            handle(names_[i], harness_.deliver(HeartbeatReceived{1, heartbeat}));
         }
         storeRegistry();
     }
-    /// All machines send one heartbeat, and one interval passes. `cancellationsCurrent`: the key-value store
-    /// answers.
+    /// Sends one heartbeat of every machine, evenly spread over one interval. `cancellationsCurrent` is false
+    /// during an outage of the key-value store.
     void heartbeatAll(bool cancellationsCurrent = true) {
         const auto step = std::chrono::duration_cast<Clock::duration>(kHeartbeatInterval) / names_.size();
         for (std::size_t i = 0; i < names_.size(); ++i) {
             harness_.now += step;
-            if (i % (names_.size() / 20) == 0) answer(harness_.tell(Tick{}));
+            if (i % (names_.size() / 20) == 0) completeActions(harness_.deliver(Tick{}));
             if (!deleted_.contains(names_[i])) heartbeatOne(i, cancellationsCurrent);
         }
     }
-    /// The leader ends, and another one begins with what is stored.
+    /// Replaces the leader by a new one that starts from the replica.
     void changeLeader() {
         harness_.leader.reset();
         harness_.replica.fencingToken = ++fencingToken_;
@@ -60,15 +62,15 @@
                                                    fencingToken_, harness_.now, 0);
     }
     void submit(const std::string& id, std::uint32_t tasks, const std::string& image) {
-        auto spec = make(id, tasks, 1);
+        auto spec = makeJob(id, tasks, 1);
         spec.image = image;
-        harness_.job(spec);
+        harness_.submitJob(spec);
     }
     double scansPerHeartbeat() const {
         return static_cast<double>(harness_.leader->machinesScanned() - scansBefore_) /
                static_cast<double>(heartbeats_);
     }
-    void countFromHere() {
+    void resetScanCount() {
         scansBefore_ = harness_.leader->machinesScanned();
         heartbeats_ = 0;
     }
@@ -85,14 +87,14 @@
             name,          name, "plain",     zoneOf(i), false, 1, ++harness_.sequences[name],
             tokens_[name], {},   tasks_[name]};
         HeartbeatReceived arrived{1, std::move(heartbeat), cancellationsCurrent};
-        handle(name, harness_.tell(std::move(arrived)));
+        handle(name, harness_.deliver(std::move(arrived)));
     }
     void handle(const std::string& name, const std::vector<Action>& actions) {
-        answer(actions);
+        completeActions(actions);
         for (const auto& action : actions)
-            if (const auto* reply = std::get_if<AnswerHeartbeat>(&action)) carryOut(name, *reply);
+            if (const auto* reply = std::get_if<AnswerHeartbeat>(&action)) execute(name, *reply);
     }
-    void carryOut(const std::string& name, const AnswerHeartbeat& reply) {
+    void execute(const std::string& name, const AnswerHeartbeat& reply) {
         if (reply.verdict == coordination::HeartbeatVerdict::refused) {
             ++refused_;
             return;
@@ -106,20 +108,21 @@
                 std::erase_if(tasks, [&](const auto& task) { return task.attempt == command.attempt; });
         }
     }
-    /// Writes are stored at once, and machines to be deleted are gone at once.
-    void answer(const std::vector<Action>& actions) {
+    /// Completes the actions for the key-value store and the cloud at once: writes are applied, and machines
+    /// are deleted.
+    void completeActions(const std::vector<Action>& actions) {
         for (const auto& action : actions) {
             if (std::holds_alternative<WriteState>(action)) {
                 storage::TransactionResult result;
                 result.status = storage::TransactionStatus::applied;
                 result.revision = ++harness_.revision;
-                answer(harness_.tell(StateWritten{result}));
+                completeActions(harness_.deliver(StateWritten{result}));
             } else if (const auto* scaleIn = std::get_if<ScaleIn>(&action)) {
                 deleted_.insert(scaleIn->machines.begin(), scaleIn->machines.end());
-                answer(harness_.tell(
+                completeActions(harness_.deliver(
                     ScaleInCompleted{scaleIn->machines, coordination::ScaleInOutcome::deleted}));
             } else if (std::holds_alternative<ListMachines>(action)) {
-                answer(harness_.tell(MachinesListed{}));
+                completeActions(harness_.deliver(MachinesListed{}));
             }
         }
     }
@@ -139,35 +142,36 @@
     std::set<std::string> deleted_;
 };
 
-/// Simulates the life of a fleet. Returns the number of machines scanned per heartbeat while jobs wait.
+/// Simulates a fleet from boot over a failover to an outage. Returns the number of machines scanned per
+/// heartbeat while jobs are waiting.
 double simulateFleet(int machines) {
     SimulatedFleet simulated(machines);
     simulated.harness().settings.storeWritesPerSecond = 100;
     simulated.harness().settings.cloudRequestsPerSecond = 3;
-    simulated.harness().policy.idleKeep = Seconds(3600);  // until the entries of all are stored
+    simulated.harness().policy.idleKeep = Seconds(3600);  // no scale-in before all entries are stored
     simulated.boot();
     EXPECT_EQ(simulated.harness().replica.registeredMachines.size(), static_cast<std::size_t>(machines));
 
-    // More tasks than the machines have room for, with ten images.
+    // More tasks than the fleet has capacity for, with ten images.
     const auto tasks = static_cast<std::uint32_t>(machines);
     for (int i = 0; i < 10; ++i)
         simulated.submit("wk-" + std::to_string(i), tasks, "image-" + std::to_string(i));
-    const auto full = static_cast<std::size_t>(machines) * 8;  // all processors are in use
-    for (int round = 0; round < 30 && simulated.running() < full; ++round) simulated.heartbeatAll();
-    EXPECT_EQ(simulated.running(), full);
-    simulated.countFromHere();
+    const auto fullCapacity = static_cast<std::size_t>(machines) * 8;  // with all processors in use
+    for (int round = 0; round < 30 && simulated.running() < fullCapacity; ++round) simulated.heartbeatAll();
+    EXPECT_EQ(simulated.running(), fullCapacity);
+    simulated.resetScanCount();
     for (int round = 0; round < 3; ++round) simulated.heartbeatAll();
     const auto scans = simulated.scansPerHeartbeat();
 
-    // The next leader answers every worker, and all running tasks go on.
+    // The next leader accepts the heartbeats of all workers, and all running tasks continue.
     simulated.changeLeader();
     for (int round = 0; round < 3; ++round) simulated.heartbeatAll();
-    EXPECT_EQ(simulated.running(), full);
+    EXPECT_EQ(simulated.running(), fullCapacity);
     EXPECT_EQ(simulated.refusedHeartbeats(), 0u);
 
-    // While the key-value store is unavailable nothing starts, and all running tasks go on.
+    // While the key-value store is unavailable, no task starts and all running tasks continue.
     for (int round = 0; round < 3; ++round) simulated.heartbeatAll(false);
-    EXPECT_EQ(simulated.running(), full);
+    EXPECT_EQ(simulated.running(), fullCapacity);
 
     return scans;
 }
--- a/tests/controller/leader_harness.h
+++ b/tests/controller/leader_harness.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One leader with hand-made heartbeats, for tests of what it decides.
+// Test harness for the decisions of a single leader, driven by heartbeats that the test composes.
 
 #include <gtest/gtest.h>
 
@@ -23,8 +23,7 @@
 using protocol::TaskState;
 using protocol::TaskStatus;
 
-/// One leader with hand-made heartbeats. Machines are registered, and heard from, unless a test says
-/// otherwise.
+/// A leader without I/O, with the replica, settings and clock that it uses.
 struct LeaderHarness {
     protocol::Settings settings;
     protocol::Policy policy;
@@ -49,49 +48,51 @@
                          const std::string& zone = "z") {
         replica.registeredMachines[id] = {{id, type, zone, false}, ++revision};
     }
-    void lead() { leader = std::make_unique<Leader>(settings, policy, replica, 5, now, 0); }
+    void startLeader() { leader = std::make_unique<Leader>(settings, policy, replica, 5, now, 0); }
 
-    void job(protocol::JobSpec spec) {
+    void submitJob(protocol::JobSpec spec) {
         const auto value =
             storage::encodeJob({spec, storage::TerminalState::none, 0, 0, storage::chunkTasks(8)});
         const auto handle = protocol::unpackBody(value);
         std::vector<bookkeeping::Change> changes;
         replica.apply({storage::keys::job(spec.id), &handle.get(), ++revision}, changes);
-        if (leader) tell(JobsChanged{{spec.id}});
+        if (leader) deliver(JobsChanged{{spec.id}});
     }
-    std::vector<Action> tell(LeaderEvent event) { return leader->handle(std::move(event), now); }
+    std::vector<Action> deliver(LeaderEvent event) { return leader->handle(std::move(event), now); }
     std::vector<Action> tick(Clock::duration step = 200ms) {
         now += step;
-        return tell(Tick{});
+        return deliver(Tick{});
     }
-    protocol::Heartbeat message(const std::string& id, std::vector<TaskStatus> tasks,
-                                std::uint64_t fencingToken) {
+    protocol::Heartbeat makeHeartbeat(const std::string& id, std::vector<TaskStatus> tasks,
+                                      std::uint64_t fencingToken) {
         const auto& machine = replica.registeredMachines.at(id).record;
         return {id,           id, machine.type,    machine.zone, false, 1, ++sequences[id],
                 fencingToken, {}, std::move(tasks)};
     }
-    /// The starts in the response to a heartbeat, as "job/task".
+    /// Advances the clock by 200 ms and sends a heartbeat of the machine. Returns the tasks started by the
+    /// response, as "job/task".
     std::vector<std::string> heartbeat(const std::string& id, std::vector<TaskStatus> tasks = {},
                                        std::uint64_t fencingToken = 5) {
         now += 200ms;
         std::vector<std::string> starts;
-        for (const auto& action : tell(HeartbeatReceived{1, message(id, std::move(tasks), fencingToken)}))
+        for (const auto& action :
+             deliver(HeartbeatReceived{1, makeHeartbeat(id, std::move(tasks), fencingToken)}))
             if (const auto* answer = std::get_if<AnswerHeartbeat>(&action))
                 for (const auto& command : answer->commands)
                     if (command.kind == CommandKind::start) {
                         starts.push_back(command.attempt.job + "/" + std::to_string(command.attempt.task));
-                        last[starts.back()] = command.attempt;
+                        lastAttempts[starts.back()] = command.attempt;
                     }
         return starts;
     }
-    TaskStatus task(const std::string& name, TaskState state) const {
-        return {last.at(name), state, protocol::ExitReason::none, false};
+    TaskStatus taskStatus(const std::string& name, TaskState state) const {
+        return {lastAttempts.at(name), state, protocol::ExitReason::none, false};
     }
-    std::map<std::string, protocol::Attempt> last;
+    std::map<std::string, protocol::Attempt> lastAttempts;
 };
 
-inline protocol::JobSpec make(const std::string& id, std::uint32_t tasks, double cpus,
-                              JobKind kind = JobKind::array) {
+inline protocol::JobSpec makeJob(const std::string& id, std::uint32_t tasks, double cpus,
+                                 JobKind kind = JobKind::array) {
     protocol::JobSpec s;
     s.id = id;
     s.jobClass = s.image = "c";
