--- a/src/coordination/state/machine_registry.cpp
+++ b/src/coordination/state/machine_registry.cpp
@@ -24,22 +24,22 @@
     if (machine.registry.state == RegistrationState::writing) return;
     removals_.erase(machine.id);
     if (removalsSent_.contains(machine.id)) {
-        // The machine had left and is back, and the deletion of its entry may still be executed. The entry
-        // counts only once it is written anew: it then has another version, with which the deletion fails.
+        // The machine had left and has returned, and the deletion of its entry may still be executed. The
+        // entry counts as stored only after it is rewritten: the new version makes the deletion fail.
         fleet_.setRegistration(machine, RegistrationState::absent);
         additions_.insert(machine.id);
-    } else if (isStoredAsIs(machine)) {
+    } else if (isUpToDate(machine)) {
         fleet_.setRegistration(machine, RegistrationState::stored);
         additions_.erase(machine.id);
     } else {
-        // An outdated entry counts as well if it has an address.
+        // An outdated entry with an address is sufficient for starting tasks.
         fleet_.setRegistration(
             machine, mayHoldTasks(machine.id) ? RegistrationState::stored : RegistrationState::absent);
         additions_.insert(machine.id);
     }
 }
 
-bool MachineRegistry::isStoredAsIs(const Machine& machine) const {
+bool MachineRegistry::isUpToDate(const Machine& machine) const {
     const auto stored = replica_.registeredMachines.find(machine.id);
     return stored != replica_.registeredMachines.end() && stored->second.record == recordOf(machine);
 }
@@ -60,7 +60,7 @@
         if (!fleet_.find(id)) removals_.insert(id);
 }
 
-void MachineRegistry::forgetCompletedRemovals() {
+void MachineRegistry::dropCompletedRemovals() {
     std::erase_if(removals_, [this](const auto& id) { return !replica_.registeredMachines.contains(id); });
 }
 
@@ -84,7 +84,7 @@
         removals_.insert(id);
         return;
     }
-    // An entry without an address is for a machine without a heartbeat and doesn't allow tasks.
+    // An entry without an address belongs to a machine without a heartbeat and does not allow tasks.
     if (!record.address.empty())
         fleet_.setRegistration(*machine, RegistrationState::stored);
     else if (machine->registry.state == RegistrationState::writing)
--- a/src/coordination/state/machine_registry.h
+++ b/src/coordination/state/machine_registry.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The machine registry: the stored list of machines, from which the next leader knows where tasks of this
-// leader may run. Decides which entries must be written or deleted and when an entry counts as stored. Owns
-// what is still to be written and deleted. The entries as stored are in the replica, and what counts for
-// starting tasks is each machine's `registration` in the fleet. It sends nothing itself: StateWriter does.
+// The machine registry: the stored list of machines, which tells the next leader where tasks of this leader
+// may run. Decides which entries must be written or deleted and when an entry counts as stored. Owns the
+// pending additions and removals. The replica holds the entries as stored, and a machine's `registry.state`
+// in the fleet decides whether tasks may be started on it. StateWriter sends the writes.
 
 #include <cstdint>
 #include <set>
@@ -17,59 +17,63 @@
 
 class MachineRegistry {
   public:
-    /// Both must outlive the machine registry. Nothing is due to be written or deleted at first.
+    /// Both references must outlive the machine registry, which starts without pending writes.
     MachineRegistry(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet);
 
-    /// The entry that the machine should have. That of a machine without a heartbeat so far has no address.
-    /// It only tells the next leader that the machine exists, and no task may be started under it: otherwise
-    /// each new leader would have to wait for all machines that are booting.
+    /// Returns the entry that the machine should have. The entry has no address until the machine has sent a
+    /// heartbeat. An entry without an address only tells the next leader that the machine exists; no task may
+    /// be started on its basis, since each new leader would otherwise have to wait for all booting machines.
     static storage::MachineRecord recordOf(const bookkeeping::Machine& machine);
-    /// May an earlier leader have started a task on the machine? True if its stored entry has an address.
+    /// True if an earlier leader may have started a task on the machine, that is, if its stored entry has an
+    /// address.
     bool mayHoldTasks(const std::string& id) const;
 
-    /// The machine was requested from the cloud and is in the fleet. Without an entry, the next leader would
-    /// not know of it and request another one.
+    /// Schedules an entry for a machine that was requested from the cloud and added to the fleet. Without an
+    /// entry, the next leader would not know of the machine and would request another one.
     void noteRequested(const std::string& id);
-    /// Has the machine's entry written unless it is stored as it should be, and sets the machine's
-    /// `registration`. Changes nothing while the entry is being written.
+    /// Schedules a write of the machine's entry unless the stored entry is up to date, and updates the
+    /// machine's `registry.state`. Does nothing while the entry is being written.
     void ensureEntry(bookkeeping::Machine& machine);
-    /// After the replica was read anew: the same for all machines that send heartbeats and whose entry is not
-    /// known to be stored.
+    /// Calls ensureEntry() for all machines with an active lease whose entry is not known to be stored. To be
+    /// called after the replica was refreshed.
     void ensureEntriesOfMachinesWithHeartbeat();
-    /// The machine is about to leave the fleet. Its entry is to be deleted if it may have one.
+    /// Schedules the deletion of the entry, if there may be one, of a machine that is about to leave the
+    /// fleet.
     void forget(const bookkeeping::Machine& machine);
-    /// Has entries deleted whose machines are not in the fleet, such as one that was written late.
+    /// Schedules the deletion of all stored entries whose machines are not in the fleet, for example an entry
+    /// that was written after its machine had left.
     void removeEntriesWithoutMachine();
 
-    /// Machines, all in the fleet, whose entries are to be written.
+    /// Ids of machines, all in the fleet, whose entries must be written.
     const std::set<std::string>& additions() const { return additions_; }
-    /// Machines whose entries are to be deleted if they are stored.
+    /// Ids of machines whose entries must be deleted if they are stored.
     const std::set<std::string>& removals() const { return removals_; }
-    /// Drops the removals whose entries are not stored any more.
-    void forgetCompletedRemovals();
-    /// Version of the stored entry; 0 if there is none.
+    /// Drops pending removals whose entries are no longer stored.
+    void dropCompletedRemovals();
+    /// Returns the version of the stored entry, or 0 if there is none.
     std::uint64_t versionOf(const std::string& id) const;
 
-    /// The entry of a machine in the fleet is part of a transaction that is being sent.
+    /// Records that a transaction with the entry of this machine, which is in the fleet, is being sent.
     void additionSent(const std::string& id);
-    /// The transaction with this entry was applied at `revision`. The machine may have left by now.
+    /// Records that the transaction with this entry was applied at `revision`. The machine may have left the
+    /// fleet in the meantime.
     void additionStored(const std::string& id, const storage::MachineRecord& record, std::uint64_t revision);
-    /// The transaction was not applied as far as is known. The entry remains to be written.
+    /// Records that the transaction is not known to have been applied. The addition stays pending.
     void additionNotStored(const std::string& id);
-    /// The deletion of the entry is part of a transaction that is being sent.
+    /// Records that a transaction with the deletion of the entry is being sent.
     void removalSent(const std::string& id);
-    /// The transaction with the deletion was applied.
+    /// Records that the transaction with the deletion was applied.
     void removalStored(const std::string& id);
 
   private:
-    /// Is the entry stored just as it should be?
-    bool isStoredAsIs(const bookkeeping::Machine& machine) const;
+    /// True if the stored entry equals the one that the machine should have.
+    bool isUpToDate(const bookkeeping::Machine& machine) const;
 
     bookkeeping::StateReplica& replica_;
     bookkeeping::Fleet& fleet_;
     std::set<std::string> additions_;
     std::set<std::string> removals_;
-    std::set<std::string> removalsSent_;  // entries whose deletion was sent and that were not written since
+    std::set<std::string> removalsSent_;  // deletions sent, without a later write of the entry
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/pending_writes.cpp
+++ b/src/coordination/state/pending_writes.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr auto kBitmapInterval = 1s;  // a job's finished tasks gather for this long
+constexpr auto kBitmapInterval = 1s;  // minimum time between bitmap writes of a job, to batch tasks
 
-/// Is the terminal record all that is left to write? It stands for the missing bits too, unless these are in
-/// several bitmaps.
+/// True if the terminal record is the only write that the job still needs. The record also stands for the
+/// unwritten bits, unless the job's bitmap has several chunks.
 bool terminalRecordSuffices(const Job& job) {
     if (job.doneCount + job.run->unpersistedTasks.size() < job.spec.tasks) return false;
     return job.run->unpersistedTasks.empty() || job.chunks() == 1;
@@ -43,14 +43,14 @@
                              const WallClock& wallClock)
     : replica_(replica), fleet_(fleet), registry_(registry), types_(types), wallClock_(wallClock) {}
 
-// --- what is due ------------------------------------------------------------------------------------------
+// --- due writes --------------------------------------------------------------------------------------------
 
 void PendingWrites::fill(TransactionDraft& draft, Time now) {
     putRegistryAdditions(draft, Machines::withHeartbeat);
     putTerminalRecords(draft, now);
     putTypes(draft);
     putBitmaps(draft, now);
-    // Workers and users wait for all of the above, and nobody for these.
+    // Workers and users wait for the writes above. Nothing waits for the writes below.
     putRegistryAdditions(draft, Machines::withoutHeartbeat);
     putRegistryRemovals(draft);
 }
@@ -69,7 +69,7 @@
 }
 
 void PendingWrites::putRegistryRemovals(TransactionDraft& draft) {
-    registry_.forgetCompletedRemovals();
+    registry_.dropCompletedRemovals();
     for (const auto& id : registry_.removals()) {
         if (!draft.hasRoom()) return;
         if (!draft.put(keys::machine(id), std::nullopt, registry_.versionOf(id))) continue;
@@ -130,9 +130,9 @@
     for (const auto& write : transaction.registryAdditions)
         registry_.additionStored(write.machine, write.record, revision);
     for (const auto& id : transaction.registryRemovals) registry_.removalStored(id);
-    for (const auto& write : transaction.bitmaps) takeBitmap(write, revision);
-    for (const auto& write : transaction.terminalRecords) takeTerminalRecord(write, revision, effects);
-    if (!transaction.types.empty()) takeTypes(transaction.types, revision);
+    for (const auto& write : transaction.bitmaps) applyBitmap(write, revision);
+    for (const auto& write : transaction.terminalRecords) applyTerminalRecord(write, revision, effects);
+    if (!transaction.types.empty()) applyTypes(transaction.types, revision);
     return effects;
 }
 
@@ -144,23 +144,23 @@
     for (const auto& write : transaction.bitmaps) write.job->run->nextBitmapWrite = now;
 }
 
-void PendingWrites::takeBitmap(const TransactionContents::Bitmap& write, std::uint64_t revision) {
+void PendingWrites::applyBitmap(const TransactionContents::Bitmap& write, std::uint64_t revision) {
     auto& job = *write.job;
-    if (job.terminalState != TerminalState::none) return;  // it ended in the meantime
+    if (job.terminalState != TerminalState::none) return;  // the job ended in the meantime
     for (const auto task : write.tasks) job.setDone(task);
     job.bitmapVersions.raise(write.range, revision);
     if (job.run->unpersistedTasks.empty() && job.doneCount < job.spec.tasks) unstoredJobs_.erase(&job);
 }
 
-void PendingWrites::takeTerminalRecord(const TransactionContents::TerminalRecord& write,
-                                       std::uint64_t revision, Effects& effects) {
-    if (write.job->terminalState != TerminalState::none) return;  // it ended in the meantime
+void PendingWrites::applyTerminalRecord(const TransactionContents::TerminalRecord& write,
+                                        std::uint64_t revision, Effects& effects) {
+    if (write.job->terminalState != TerminalState::none) return;  // the job ended in the meantime
     replica_.noteDone(*write.job, revision, write.endedMs, effects.changes);
     unstoredJobs_.erase(write.job);
     effects.ended.push_back(write.job);
 }
 
-void PendingWrites::takeTypes(const std::vector<protocol::MachineType>& types, std::uint64_t revision) {
+void PendingWrites::applyTypes(const std::vector<protocol::MachineType>& types, std::uint64_t revision) {
     replica_.types = types;
     replica_.typesVersion = revision;
     typesUnstored_ = false;
--- a/src/coordination/state/pending_writes.h
+++ b/src/coordination/state/pending_writes.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// What a leader knows and the key-value store doesn't have yet: finished tasks, the ends of jobs, machine
-// types, and entries of the machine registry. Owns which jobs and types are to be written; what is due of the
-// registry is in MachineRegistry. Puts due writes into a transaction, and takes those that were applied into
-// the replica.
+// The leader's changes that are not in the key-value store yet: finished tasks, terminal records of jobs,
+// machine types, and entries of the machine registry. Owns the sets of jobs and types to be written; pending
+// registry entries are in MachineRegistry. Adds due writes to a transaction, and applies writes that
+// succeeded to the replica.
 
 #include <cstddef>
 #include <map>
@@ -22,37 +22,37 @@
 
 class PendingWrites {
   public:
-    /// What followed from writes that were applied.
+    /// The consequences of writes that were applied.
     struct Effects {
-        std::vector<bookkeeping::Job*> ended;      // jobs whose end is now stored as done
-        std::vector<bookkeeping::Change> changes;  // what follows for other jobs
+        std::vector<bookkeeping::Job*> ended;      // jobs now stored as done
+        std::vector<bookkeeping::Change> changes;  // resulting changes of other jobs
     };
 
-    /// All references must outlive this. `types` are the machine types known so far, by name; they are read
-    /// whenever they are written. `wallClock` gives the times at which jobs ended.
+    /// All references must outlive this object. `types` holds the known machine types by name and is read
+    /// each time they are written. `wallClock` provides the end times of jobs.
     PendingWrites(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet, MachineRegistry& registry,
                   const std::map<std::string, protocol::MachineType>& types, const WallClock& wallClock);
 
-    /// The job, which is open and has a run, has finished tasks whose bits or end are to be stored.
+    /// Records that finished tasks or the end of the job must be stored. The job must be open and have a run.
     void noteUnstored(bookkeeping::Job& job) { unstoredJobs_.insert(&job); }
-    /// Nothing of the job is to be stored any more.
+    /// Discards pending writes of the job.
     void forget(bookkeeping::Job& job) { unstoredJobs_.erase(&job); }
-    /// The machine types have changed and are to be stored.
+    /// Records that the machine types have changed and must be stored.
     void noteTypesChanged() { typesUnstored_ = true; }
     std::size_t unstoredJobs() const { return unstoredJobs_.size(); }
 
-    /// Puts what is due into the draft, most urgent first, as far as there is room.
+    /// Adds due writes to the draft, most urgent first, until it is full.
     void fill(TransactionDraft& draft, Time now);
 
-    /// The transaction was applied at `revision`.
+    /// Records that the transaction was applied at `revision`.
     Effects noteApplied(const TransactionContents& transaction, std::uint64_t revision);
-    /// The transaction was not applied as far as is known. All that it holds stays due.
+    /// Records that the transaction is not known to have been applied. All its writes stay due.
     void noteNotApplied(const TransactionContents& transaction);
-    /// The bitmaps of the transaction are due again at once.
+    /// Makes the bitmaps of the transaction due again immediately.
     static void retryBitmaps(const TransactionContents& transaction, Time now);
 
   private:
-    /// Whose entries are put into a transaction.
+    /// Selects the machines whose entries are added to a transaction.
     enum class Machines { withHeartbeat, withoutHeartbeat };
 
     void putRegistryAdditions(TransactionDraft& draft, Machines which);
@@ -62,10 +62,10 @@
     void putBitmaps(TransactionDraft& draft, Time now) const;
     static void putBitmapsOf(TransactionDraft& draft, bookkeeping::Job& job);
 
-    void takeBitmap(const TransactionContents::Bitmap& write, std::uint64_t revision);
-    void takeTerminalRecord(const TransactionContents::TerminalRecord& write, std::uint64_t revision,
-                            Effects& effects);
-    void takeTypes(const std::vector<protocol::MachineType>& types, std::uint64_t revision);
+    void applyBitmap(const TransactionContents::Bitmap& write, std::uint64_t revision);
+    void applyTerminalRecord(const TransactionContents::TerminalRecord& write, std::uint64_t revision,
+                             Effects& effects);
+    void applyTypes(const std::vector<protocol::MachineType>& types, std::uint64_t revision);
 
     bookkeeping::StateReplica& replica_;
     bookkeeping::Fleet& fleet_;
--- a/src/coordination/state/state_watcher.h
+++ b/src/coordination/state/state_watcher.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// Keeps this controller's copy of what is stored, the replica, up to date. Owns the three kinds of reads: the
-// load of all keys at the start and after a gap, the long watch for changes, and the fresh reads on demand
-// with their waiting callers. The replica itself belongs to the controller. Used on the event loop's thread.
+// Keeps the replica, this controller's copy of the stored state, up to date. Owns three kinds of reads: the
+// full load of all keys at the start and after a gap in the watch, the long-polling watch for changes, and
+// fresh reads on demand with their callbacks. The controller owns the replica. Used on the event loop's
+// thread.
 
 #include <functional>
 #include <set>
@@ -16,84 +17,85 @@
 
 namespace burlpoint::coordination {
 
-/// What a caller that waited for a fresh read learns.
+/// The result of a fresh read.
 enum class FreshRead {
-    upToDate,  // the replica holds all that was stored when the read was asked for
-    failed     // the key-value store did not answer, so nothing is known
+    upToDate,  // the replica holds everything that was stored when the read was requested
+    failed     // the read failed, so the replica may be stale
 };
 
-/// Keeps the replica up to date by a long watch, and on demand proves that it is.
+/// Keeps the replica up to date by a long-polling watch, and verifies by fresh reads on demand that it is.
 class StateWatcher {
   public:
-    /// What has just changed in the replica; never empty.
-    using Changed = std::function<void(const std::vector<bookkeeping::Change>&)>;
+    /// Called with the changes that were just made to the replica; never with an empty list.
+    using ChangeCallback = std::function<void(const std::vector<bookkeeping::Change>&)>;
     using ReadCallback = std::function<void(FreshRead)>;
 
-    /// `spacing`: the least time between two reads, so that the reads of all controllers fit the request rate
-    /// of the key-value store. All references must outlive this.
-    StateWatcher(asio::io_context& io, storage::KeyValueClient& state, bookkeeping::StateReplica& replica,
-                 Changed changed, Duration spacing = Duration(25));
+    /// `minReadInterval`: minimum pause between two reads, so that the reads of all controllers stay within
+    /// the request rate of the key-value store. All references must outlive this object.
+    StateWatcher(asio::io_context& io, storage::KeyValueClient& store, bookkeeping::StateReplica& replica,
+                 ChangeCallback onChange, Duration minReadInterval = Duration(25));
 
-    /// Starts reading; to be called once.
+    /// Starts the initial load. To be called once.
     void start() { load(); }
-    /// Has everything stored been read at least once?
+    /// True once everything stored has been read at least once.
     bool synced() const { return synced_; }
-    /// Reads what was stored since the last read. Calls `done` exactly once, later. All callers that wait
-    /// share one read.
+    /// Reads the changes since the last read. Calls `done` exactly once, asynchronously. Callers that wait
+    /// for the next read share it.
     void readLatest(ReadCallback done);
-    /// The replica holds all that was stored up to this time, which is when the newest read that was answered
-    /// was sent.
+    /// Returns the time up to which the replica holds everything that was stored: the latest time at which an
+    /// answered read was sent.
     Time asOf() const { return asOf_; }
-    /// Takes in a cancellation that this controller or a peer has confirmed, before any read shows it.
+    /// Applies a cancellation that this controller or a peer has confirmed and that no read has returned yet.
     void noteCancelled(const std::string& id, std::uint64_t version);
 
   private:
-    /// The load of all keys, page by page.
+    /// Progress of a load of all keys, page by page.
     struct Load {
-        bool underWay = false;
-        std::set<std::string> keys;  // read so far
-        std::uint64_t revision = 0;  // of the first page; 0 before that
+        bool inProgress = false;
+        std::set<std::string> keys;  // keys read so far
+        std::uint64_t revision = 0;  // revision of the first page; 0 until it was read
     };
 
-    /// Reads all keys anew unless that is under way.
+    /// Starts a load of all keys unless one is in progress.
     void load();
     void loadPage(const std::string& after);
-    void takePage(const protocol::KeyPage& page);
+    void applyPage(const protocol::KeyPage& page);
     void finishLoad();
 
-    /// Opens the long watch unless it is open. It waits for changes, takes them in and opens the next one.
+    /// Opens the watch unless one is open or a load is in progress. The answer is applied, and the next watch
+    /// is scheduled.
     void watch();
-    void watchAgainAfter(Duration pause);
+    void scheduleWatch(Duration pause);
 
-    /// Sends the read that the callers in `nextCallers_` wait for.
+    /// Sends the read for the callbacks in `nextReadCallbacks_`.
     void sendFreshRead();
-    /// Tells the callers of the read under way, then pauses before the next one is sent.
+    /// Calls the callbacks of the read in flight, then pauses before the next read is sent.
     void finishFreshRead(FreshRead result);
 
-    /// Takes in the changes that the replica doesn't have yet. `sent`: when the read was sent.
-    void takeChanges(const protocol::KeyPage& page, Time sent);
-    /// Takes in one key. A malformed value is logged and skipped.
+    /// Applies the changes that are newer than the replica. `sent`: when the read was sent.
+    void applyChanges(const protocol::KeyPage& page, Time sent);
+    /// Applies one key. A malformed value is logged and skipped.
     void apply(const protocol::KeyChange& entry, std::vector<bookkeeping::Change>& changes);
-    void tell(const std::vector<bookkeeping::Change>& changes) const;
+    void notifyChanges(const std::vector<bookkeeping::Change>& changes) const;
     void runAfter(transport::Timer& timer, Duration pause, void (StateWatcher::*next)());
 
-    const Duration spacing_;
-    storage::KeyValueClient& state_;
+    const Duration minReadInterval_;
+    storage::KeyValueClient& store_;
     bookkeeping::StateReplica& replica_;
-    Changed changed_;
+    ChangeCallback onChange_;
     bool synced_ = false;
     Time asOf_{};
 
     Load load_;
 
-    transport::Timer watchTimer_;  // also of a load after one that failed
+    transport::Timer watchTimer_;  // also delays the retry of a failed load
     bool watchOpen_ = false;
 
     transport::Timer freshReadTimer_;
-    bool freshReadUnderWay_ = false;  // for `callers_`
-    bool freshReadPause_ = false;     // a read was answered, and the next one must wait for the timer
-    std::vector<ReadCallback> callers_;
-    std::vector<ReadCallback> nextCallers_;  // whose read must be sent after the one under way
+    bool freshReadInFlight_ = false;  // its callbacks are in `readCallbacks_`
+    bool freshReadPaused_ = false;    // the next read waits for the timer
+    std::vector<ReadCallback> readCallbacks_;
+    std::vector<ReadCallback> nextReadCallbacks_;  // callbacks of the read after the one in flight
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -20,7 +20,7 @@
       pacing_(settings, now) {}
 
 std::string StateWriter::summary() const {
-    return "write_under_way=" + std::to_string(underWay_.has_value()) +
+    return "write_under_way=" + std::to_string(inFlight_.has_value()) +
            " refreshing_replica=" + std::to_string(refreshing_) +
            " unstored_jobs=" + std::to_string(pending_.unstoredJobs()) +
            " registry_additions=" + std::to_string(registry_.additions().size()) +
@@ -28,34 +28,34 @@
 }
 
 std::optional<WriteState> StateWriter::nextWrite(Time now) {
-    if (underWay_ || refreshing_ || !pacing_.ready(now)) return std::nullopt;
+    if (inFlight_ || refreshing_ || !pacing_.ready(now)) return std::nullopt;
     limits_.dropExpiredDeferrals(now);
     const auto maxWrites = std::min(limits_.maxWrites(), pacing_.allowedWrites(now));
     TransactionDraft draft(limits_, maxWrites, replica_.tokenVersion);
     pending_.fill(draft, now);
     if (draft.empty()) return std::nullopt;
     pacing_.noteSent(draft.contents.keys.size(), now);
-    underWay_ = std::move(draft.contents);
-    return draft.takeState();
+    inFlight_ = std::move(draft.contents);
+    return draft.takeRequest();
 }
 
 StateWriter::WriteOutcome StateWriter::handle(const StateWritten& written, Time now) {
-    const auto transaction = std::exchange(underWay_, std::nullopt).value_or(TransactionContents{});
+    const auto transaction = std::exchange(inFlight_, std::nullopt).value_or(TransactionContents{});
     const auto& result = written.result;
     pacing_.noteAnswered(now);
     if (result.status != TransactionStatus::applied) pending_.noteNotApplied(transaction);
     switch (result.status) {
         case TransactionStatus::applied:
-            return applied(transaction, result.revision, now);
+            return handleApplied(transaction, result.revision, now);
         case TransactionStatus::tooLarge:
             limits_.shrink(transaction, now);
             PendingWrites::retryBitmaps(transaction, now);
             return {};
         case TransactionStatus::tooMany:
-            pacing_.noteTooMany(now);
+            pacing_.noteRateLimited(now);
             return {};
         case TransactionStatus::refused:
-            pacing_.noteRefused(now);
+            pacing_.noteRejected(now);
             return {};
         case TransactionStatus::conflict:
             if (tokenRaised(result)) return {FollowUp::resign, {}, {}};
@@ -64,14 +64,14 @@
         case TransactionStatus::unknown:
             break;
     }
-    // Another controller has stored a cancellation, or the outcome is unknown. Only a read tells what is
-    // stored now.
+    // Another controller has stored a cancellation, or the outcome is unknown. Only a read can determine the
+    // stored state.
     refreshing_ = true;
     return {FollowUp::refreshReplica, {}, {}};
 }
 
-StateWriter::WriteOutcome StateWriter::applied(const TransactionContents& transaction, std::uint64_t revision,
-                                               Time now) {
+StateWriter::WriteOutcome StateWriter::handleApplied(const TransactionContents& transaction,
+                                                     std::uint64_t revision, Time now) {
     limits_.grow(now);
     auto effects = pending_.noteApplied(transaction, revision);
     return {FollowUp::none, std::move(effects.ended), std::move(effects.changes)};
--- a/src/coordination/state/state_writer.h
+++ b/src/coordination/state/state_writer.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Stores what a leader decides and learns in the key-value store: machine registry entries, the ends of jobs,
-// machine types and the bits of finished tasks. Owns the transaction under way and ties together what is due
-// (PendingWrites), the sizes that the store takes (TransactionLimits) and the pace (WritePacing). One
-// transaction is under way at a time, and each is conditional on the leader's fencing token and on the
-// version of every key that it writes. It sends nothing itself: the leader's actions do.
+// Writes the leader's state to the key-value store: machine registry entries, terminal records of jobs,
+// machine types and the bitmaps of finished tasks. Owns the transaction in flight and combines the due writes
+// (PendingWrites), the accepted sizes (TransactionLimits) and the write rate (WritePacing). At most one
+// transaction is in flight, and each is conditional on the leader's fencing token and on the version of every
+// key that it writes. Transactions are sent by the leader's actions, not by this class.
 
 #include <map>
 #include <optional>
@@ -25,53 +25,53 @@
 
 namespace burlpoint::coordination {
 
-/// What came of a WriteState.
+/// The outcome of a WriteState action.
 struct StateWritten {
     storage::TransactionResult result;
 };
 
 class StateWriter {
   public:
-    /// What the leader has to do after a transaction.
+    /// What the leader must do after a transaction.
     enum class FollowUp {
         none,
         resign,         // another controller has raised the fencing token
-        refreshReplica  // stored values differ from the replica, or may: read them, then replicaRefreshed()
+        refreshReplica  // the replica may be stale: refresh it, then call replicaRefreshed()
     };
     struct WriteOutcome {
         FollowUp followUp = FollowUp::none;
-        std::vector<bookkeeping::Job*> ended;      // jobs whose end is now stored as done
-        std::vector<bookkeeping::Change> changes;  // what follows for other jobs
+        std::vector<bookkeeping::Job*> ended;      // jobs now stored as done
+        std::vector<bookkeeping::Change> changes;  // resulting changes of other jobs
     };
 
-    /// All references must outlive the writer. `types` are the machine types known so far, by name; they are
-    /// read whenever they are written. `wallClock` gives the times at which jobs ended.
+    /// All references must outlive this object. `types` holds the known machine types by name and is read
+    /// each time they are written. `wallClock` provides the end times of jobs.
     StateWriter(const protocol::Settings& settings, bookkeeping::StateReplica& replica,
                 bookkeeping::Fleet& fleet, MachineRegistry& registry,
                 const std::map<std::string, protocol::MachineType>& types, const WallClock& wallClock,
                 Time now);
 
-    /// The job, which is open and has a run, has finished tasks whose bits or end are to be stored.
+    /// Records that finished tasks or the end of the job must be stored. The job must be open and have a run.
     void noteUnstored(bookkeeping::Job& job) { pending_.noteUnstored(job); }
-    /// The job has ended in the key-value store, so nothing of it is to be stored any more.
+    /// Discards pending writes of a job whose end is already in the key-value store.
     void forget(bookkeeping::Job& job) { pending_.forget(job); }
-    /// The machine types have changed and are to be stored.
+    /// Records that the machine types have changed and must be stored.
     void noteTypesChanged() { pending_.noteTypesChanged(); }
 
-    /// The next transaction; none if nothing is due, one is under way, the replica must be read first, or the
-    /// rate does not allow any now. What is returned counts as sent.
+    /// Returns the next transaction, which then counts as sent. Returns none if nothing is due, a transaction
+    /// is in flight, the replica must be refreshed first, or the write rate allows no write now.
     std::optional<WriteState> nextWrite(Time now);
-    /// Takes in the outcome of the transaction under way. What was not stored stays due.
+    /// Handles the outcome of the transaction in flight. Writes that were not applied stay due.
     WriteOutcome handle(const StateWritten& written, Time now);
-    /// The replica was read anew after FollowUp::refreshReplica, so writing may go on.
+    /// Resumes writing after the replica was refreshed as requested by FollowUp::refreshReplica.
     void replicaRefreshed() { refreshing_ = false; }
 
-    /// What is due and under way, as key=value pairs for logs.
+    /// Returns the pending and in-flight writes as key=value pairs for logs.
     std::string summary() const;
 
   private:
-    WriteOutcome applied(const TransactionContents& transaction, std::uint64_t revision, Time now);
-    /// Was the transaction not executed because the fencing token has another version?
+    WriteOutcome handleApplied(const TransactionContents& transaction, std::uint64_t revision, Time now);
+    /// True if the transaction was not applied because the stored fencing token has another version.
     static bool tokenRaised(const storage::TransactionResult& result);
 
     const bookkeeping::StateReplica& replica_;
@@ -79,8 +79,8 @@
     PendingWrites pending_;
     TransactionLimits limits_;
     WritePacing pacing_;
-    std::optional<TransactionContents> underWay_;
-    bool refreshing_ = false;  // the replica must be read before the next write
+    std::optional<TransactionContents> inFlight_;
+    bool refreshing_ = false;  // the replica must be refreshed before the next write
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/transaction_draft.h
+++ b/src/coordination/state/transaction_draft.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A transaction that a leader's state writer puts together, and the record of what it holds, from which its
-// outcome is taken in. Owns nothing beyond that one transaction.
+// Builds one transaction of a leader's state writer, and records what it writes so that its outcome can be
+// applied to jobs and machines. Owns only that transaction.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 class TransactionLimits;
 
-/// A transaction to be sent to the key-value store; `StateWritten` answers it, once.
+/// A transaction to be sent to the key-value store. It is answered by exactly one `StateWritten`.
 struct WriteState {
     std::vector<protocol::KeyCondition> conditions;
     std::vector<protocol::KeyWrite> writes;
@@ -33,50 +33,51 @@
     };
     struct TerminalRecord {
         bookkeeping::Job* job;
-        std::uint64_t endedMs;  // time of day
+        std::uint64_t endedMs;  // time of day, in milliseconds since 1970
     };
     struct Bitmap {
         bookkeeping::Job* job;
         bookkeeping::BitRange range;
-        std::vector<std::uint32_t> tasks;  // whose bits are new
+        std::vector<std::uint32_t> tasks;  // tasks whose bits are new
     };
 
-    std::vector<std::string> keys;  // of all writes
-    std::size_t bytes = 0;          // of the whole transaction, estimated
+    std::vector<std::string> keys;  // keys of all writes
+    std::size_t bytes = 0;          // estimated size of the whole transaction
     std::vector<RegistryAddition> registryAdditions;
-    std::vector<std::string> registryRemovals;  // machines
+    std::vector<std::string> registryRemovals;  // ids of machines
     std::vector<TerminalRecord> terminalRecords;
-    std::vector<protocol::MachineType> types;  // empty: not written
+    std::vector<protocol::MachineType> types;  // empty: types are not written
     std::vector<Bitmap> bitmaps;
 };
 
-/// A transaction in the making. Every write is conditional on the version of its key, and the whole on the
-/// leader's fencing token.
+/// A transaction under construction. Every write is conditional on the version of its key, and the whole
+/// transaction on the leader's fencing token.
 class TransactionDraft {
   public:
-    /// For at most `maxWrites` writes and within `limits`, which must outlive this. `tokenVersion`: of the
-    /// stored fencing token.
+    /// Holds at most `maxWrites` writes and stays within `limits`, which must outlive this object.
+    /// `tokenVersion`: version of the stored fencing token.
     TransactionDraft(const TransactionLimits& limits, std::size_t maxWrites, std::uint64_t tokenVersion);
 
-    /// Adds a write of `key`, whose stored version is `version`; no value deletes the key. False: not added,
-    /// as the key is deferred or there is no room, which `hasRoom` tells apart. The caller records an added
-    /// write in `contents`.
+    /// Adds a write of `key`, whose stored version is `version`; without a value, the key is deleted. Returns
+    /// false if the write was not added, because the key is deferred (hasRoom() is still true) or the draft
+    /// is full. The caller records an added write in `contents`.
     bool put(const std::string& key, std::optional<std::string> value, std::uint64_t version);
-    /// May there be another write? False once a write did not fit.
-    bool hasRoom() const { return state_.writes.size() < maxWrites_ && !full_; }
-    bool empty() const { return state_.writes.empty(); }
+    /// True if another write may be added. False at the maximum number of writes, and after a write that did
+    /// not fit.
+    bool hasRoom() const { return request_.writes.size() < maxWrites_ && !full_; }
+    bool empty() const { return request_.writes.empty(); }
 
     const TransactionLimits& limits() const { return limits_; }
-    /// Ends the draft: moves out what is to be sent.
-    WriteState takeState() { return std::move(state_); }
+    /// Moves out the transaction to be sent, which ends the draft.
+    WriteState takeRequest() { return std::move(request_); }
 
     TransactionContents contents;
 
   private:
     const TransactionLimits& limits_;
     const std::size_t maxWrites_;
-    bool full_ = false;  // a write would have been too many bytes
-    WriteState state_;
+    bool full_ = false;  // a write did not fit into the maximum size
+    WriteState request_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/transaction_limits.cpp
+++ b/src/coordination/state/transaction_limits.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxBytes = std::size_t{48} * 1024;  // of the 64 KiB that a transaction may have
-// Below these the service would refuse nearly everything, whatever its limits.
+constexpr std::size_t kMaxBytes =
+    std::size_t{48} * 1024;  // margin below the 64 KiB that a transaction may have
+// Lower bounds: below these sizes nearly every write would be too large.
 constexpr std::size_t kMinBytes = 512;
 constexpr std::size_t kMinBitmapBytes = 16;
 constexpr std::size_t kMinTerminalRecordBytes = 128;
-constexpr auto kFirstGrowthPause = 10s;  // after a refusal, before the limits are raised
+constexpr auto kFirstGrowthPause = 10s;  // after the first rejection, before limits are raised
 constexpr auto kLongestGrowthPause = 320s;
-constexpr auto kDeferral = 30s;  // of a key whose value is too large alone
+constexpr auto kDeferral = 30s;  // for a key whose value alone is too large
 
 }  // namespace
 
@@ -30,28 +31,29 @@
     std::erase_if(deferredUntil_, [now](const auto& entry) { return entry.second <= now; });
 }
 
-// A transaction of several writes is halved. A single bitmap can be cut into smaller ranges, and a single
-// terminal record can do with less. Any other single write is deferred while the rest goes on.
-void TransactionLimits::shrink(const TransactionContents& refused, Time now) {
+// Halves the limits after a transaction of several writes. A single bitmap can be split into smaller ranges,
+// and a single terminal record can omit fields. Any other single write is deferred, so that it does not block
+// the other writes.
+void TransactionLimits::shrink(const TransactionContents& rejected, Time now) {
     growthPause_ = std::clamp<Clock::duration>(growthPause_ * 2, kFirstGrowthPause, kLongestGrowthPause);
     nextGrowth_ = now + growthPause_;
-    if (refused.keys.size() > 1) {
-        maxWrites_ = refused.keys.size() / 2;
-        maxBytes_ = std::max(kMinBytes, refused.bytes / 2);
-    } else if (!refused.bitmaps.empty() && maxBitmapBytes_ > kMinBitmapBytes) {
-        shrinkBitmaps(refused.bitmaps.front());
-    } else if (!refused.terminalRecords.empty() && maxTerminalRecordBytes_ > kMinTerminalRecordBytes) {
-        maxTerminalRecordBytes_ = std::min(maxTerminalRecordBytes_, refused.bytes) / 2;
-    } else if (!refused.keys.empty()) {
-        deferredUntil_[refused.keys.front()] = now + kDeferral;
+    if (rejected.keys.size() > 1) {
+        maxWrites_ = rejected.keys.size() / 2;
+        maxBytes_ = std::max(kMinBytes, rejected.bytes / 2);
+    } else if (!rejected.bitmaps.empty() && maxBitmapBytes_ > kMinBitmapBytes) {
+        shrinkBitmaps(rejected.bitmaps.front());
+    } else if (!rejected.terminalRecords.empty() && maxTerminalRecordBytes_ > kMinTerminalRecordBytes) {
+        maxTerminalRecordBytes_ = std::min(maxTerminalRecordBytes_, rejected.bytes) / 2;
+    } else if (!rejected.keys.empty()) {
+        deferredUntil_[rejected.keys.front()] = now + kDeferral;
     }
 }
 
-void TransactionLimits::shrinkBitmaps(const TransactionContents::Bitmap& refused) {
-    // The refused value may have been well below the limit so far, as that of a small job is.
-    const auto refusedBytes =
-        (refused.range.end - refused.range.first + 3) / 4 + 2;  // 4 tasks a digit, quotes
-    maxBitmapBytes_ = std::max(kMinBitmapBytes, std::min(maxBitmapBytes_, refusedBytes) / 2);
+void TransactionLimits::shrinkBitmaps(const TransactionContents::Bitmap& rejected) {
+    // The rejected value may be much smaller than the current limit, for example if the job has few tasks.
+    const auto rejectedBytes =
+        (rejected.range.end - rejected.range.first + 3) / 4 + 2;  // 4 tasks per digit, 2 quotes
+    maxBitmapBytes_ = std::max(kMinBitmapBytes, std::min(maxBitmapBytes_, rejectedBytes) / 2);
 }
 
 void TransactionLimits::grow(Time now) {
--- a/src/coordination/state/transaction_limits.h
+++ b/src/coordination/state/transaction_limits.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// How large the transactions of a leader's state writer may be. The key-value store's limits may be lower
-// than the settings say, so these are lowered when it refuses a transaction as too large, and slowly raised
-// again. Owns the sizes found to be accepted and the keys whose value is too large even alone.
+// Size limits for the transactions of a leader's state writer. The key-value store's limits may be lower than
+// those in the settings, so the limits are lowered when the store rejects a transaction as too large, and
+// slowly raised again. Owns the current limits and the keys whose value alone is too large.
 
 #include <cstddef>
 #include <map>
@@ -16,40 +16,41 @@
 
 class TransactionLimits {
   public:
-    /// Starts with the limits of the settings, which must outlive this.
+    /// Starts with the limits in the settings, which must outlive this object.
     explicit TransactionLimits(const protocol::Settings& settings);
 
-    /// Writes in a transaction.
+    /// Maximum number of writes in a transaction.
     std::size_t maxWrites() const { return maxWrites_; }
-    /// Bytes of a transaction, estimated as in `TransactionContents::bytes`.
+    /// Maximum size of a transaction, estimated as in `TransactionContents::bytes`.
     std::size_t maxBytes() const { return maxBytes_; }
-    /// Bytes of a bitmap's value.
+    /// Maximum size of a bitmap's value.
     std::size_t maxBitmapBytes() const { return maxBitmapBytes_; }
-    /// Bytes of the record of a job that ended.
+    /// Maximum size of the record of a job that has ended.
     std::size_t maxTerminalRecordBytes() const { return maxTerminalRecordBytes_; }
 
-    /// Is the key left out for now, as its value alone was too large?
+    /// True if the key must not be written for now because its value alone was too large.
     bool isDeferred(const std::string& key) const { return deferredUntil_.contains(key); }
-    /// Keys that were left out for long enough may be tried again.
+    /// Allows keys to be written again whose deferral has expired.
     void dropExpiredDeferrals(Time now);
 
-    /// The transaction was refused as too large. What it holds must be written in smaller pieces.
-    void shrink(const TransactionContents& refused, Time now);
-    /// A transaction was applied. The limits are raised if the last refusal is long enough ago.
+    /// Lowers the limits after the store rejected this transaction as too large.
+    void shrink(const TransactionContents& rejected, Time now);
+    /// Raises the limits on the number of writes and the total size after a transaction was applied, if the
+    /// growth pause since the last rejection or increase is over.
     void grow(Time now);
 
   private:
-    /// A single bitmap was refused: cuts bitmaps to less than its value.
-    void shrinkBitmaps(const TransactionContents::Bitmap& refused);
+    /// Lowers the bitmap limit below the size of a bitmap that was rejected alone.
+    void shrinkBitmaps(const TransactionContents::Bitmap& rejected);
 
     const protocol::Settings& settings_;
     std::size_t maxWrites_;
     std::size_t maxBytes_;
     std::size_t maxBitmapBytes_;
     std::size_t maxTerminalRecordBytes_;
-    Clock::duration growthPause_{};  // doubles with each refusal
+    Clock::duration growthPause_{};  // doubles with each rejection
     Time nextGrowth_{};
-    std::map<std::string, Time> deferredUntil_;  // by key
+    std::map<std::string, Time> deferredUntil_;  // end of the deferral, by key
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -7,31 +7,32 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr double kRateShare =
-    0.6;  // of the store's writes; the rest is for submissions and other controllers
-// Other users of the store need their turn, and a short wait lets writes gather.
-constexpr auto kPause = 150ms;
-constexpr auto kPauseAfterRefusal = 500ms;
+// Share of the store's write rate; the rest is left for submissions and other controllers.
+constexpr double kRateShare = 0.6;
+// Leaves the store time for its other clients, and batches writes.
+constexpr auto kPauseBetweenTransactions = 150ms;
+constexpr auto kPauseAfterRejection = 500ms;
 }  // namespace
 
 WritePacing::WritePacing(const protocol::Settings& settings, Time now)
-    : budget_(settings.storeWritesPerSecond * kRateShare, now, settings.minWritesPerSecond() * kRateShare) {}
+    : writeBudget_(settings.storeWritesPerSecond * kRateShare, now,
+                   settings.minWritesPerSecond() * kRateShare) {}
 
 std::size_t WritePacing::allowedWrites(Time now) {
-    return static_cast<std::size_t>(std::max(0.0, budget_.available(now)));
+    return static_cast<std::size_t>(std::max(0.0, writeBudget_.available(now)));
 }
 
 void WritePacing::noteSent(std::size_t writes, Time now) {
-    budget_.takeUnconditionally(static_cast<double>(writes), now);
+    writeBudget_.takeUnconditionally(static_cast<double>(writes), now);
 }
 
-void WritePacing::noteAnswered(Time now) { nextWrite_ = now + kPause; }
+void WritePacing::noteAnswered(Time now) { nextWrite_ = now + kPauseBetweenTransactions; }
 
-void WritePacing::noteRefused(Time now) { nextWrite_ = now + kPauseAfterRefusal; }
+void WritePacing::noteRejected(Time now) { nextWrite_ = now + kPauseAfterRejection; }
 
-void WritePacing::noteTooMany(Time now) {
-    budget_.recordRefusal(now);
-    noteRefused(now);
+void WritePacing::noteRateLimited(Time now) {
+    writeBudget_.recordRefusal(now);
+    noteRejected(now);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/write_pacing.h
+++ b/src/coordination/state/write_pacing.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// When a leader's state writer may send its next transaction, and with how many writes. Owns the pauses
-// between transactions and the leader's share of the writes that the key-value store takes.
+// Paces the transactions of a leader's state writer: when the next one may be sent, and with how many writes.
+// Owns the pauses between transactions and the leader's share of the key-value store's write rate.
 
 #include <cstddef>
 
@@ -15,22 +15,23 @@
   public:
     WritePacing(const protocol::Settings& settings, Time now);
 
-    /// Is the pause after the last transaction over?
+    /// True if the pause after the last transaction is over.
     bool ready(Time now) const { return now >= nextWrite_; }
-    /// How many writes the rate allows now.
+    /// Returns how many writes the rate allows now.
     std::size_t allowedWrites(Time now);
 
-    /// A transaction with so many writes is being sent.
+    /// Records that a transaction with this number of writes is being sent.
     void noteSent(std::size_t writes, Time now);
-    /// A transaction was answered, in whatever way.
+    /// Records that a transaction has ended with any outcome. Starts the pause before the next one.
     void noteAnswered(Time now);
-    /// The store refused a transaction for now.
-    void noteRefused(Time now);
-    /// The store refused a transaction as more writes than it takes at present.
-    void noteTooMany(Time now);
+    /// Records that the store rejected a transaction temporarily. Starts a longer pause.
+    void noteRejected(Time now);
+    /// Records that the store rejected a transaction because of its rate limit. Lowers the rate and starts a
+    /// longer pause.
+    void noteRateLimited(Time now);
 
   private:
-    storage::TokenBucket budget_;
+    storage::TokenBucket writeBudget_;
     Time nextWrite_{};
 };
 
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -21,13 +21,13 @@
 
 namespace {
 
-/// Short, so that an unanswered extension leaves time for another one before the lease expires.
+/// Short enough that an extension without an answer can be retried before the lease expires.
 constexpr Duration kLeaseTimeout{1500};
 constexpr Duration kPageTimeout{4000};
-/// With values of 8 KiB, a page takes half of what the HTTP client accepts as a response.
+/// With values of 8 KiB, a page has half of the size that the HTTP client accepts for a response.
 constexpr unsigned kPageEntries = 500;
 
-/// Whether the store was serving when it gave this response; any other status may come from an outage.
+/// True if the response proves that the store was available; any other status may be due to an outage.
 bool isServed(const HttpResult& response) {
     return response.status == http_status::kOk || response.status == http_status::kNotFound ||
            response.status == http_status::kConflict;
@@ -39,12 +39,12 @@
                                double shareOfLimit, Time now)
     : http_(http),
       address_(std::move(address)),
-      requests_(requestsPerSecond * shareOfLimit, now),
+      requestBudget_(requestsPerSecond * shareOfLimit, now),
       lastAnswer_(now) {}
 
 void KeyValueClient::send(const char* method, const std::string& target, const std::string& body,
                           Duration timeout, transport::ResultCallback done) {
-    requests_.takeUnconditionally(1, Clock::now());
+    requestBudget_.takeUnconditionally(1, Clock::now());
     http_.request(address_, method, target, body, timeout,
                   [this, done = std::move(done)](HttpResult response) {
                       if (isServed(response)) lastAnswer_ = Clock::now();
@@ -66,7 +66,7 @@
     TransactionResult result;
     if (!response.answered()) return result;
     if (response.status != http_status::kOk && response.status != http_status::kConflict) {
-        result.status = statusOfRefusal(response, writes, bytes);
+        result.status = statusOfRejection(response, writes, bytes);
         return result;
     }
     try {
@@ -75,40 +75,42 @@
         result.failed = std::move(reply.failed);
         result.status = response.ok() ? TransactionStatus::applied : TransactionStatus::conflict;
     } catch (const MalformedMessage&) {
-        // Without its revision, a success is of no use. The result stays unknown.
+        // A success can't be used without its revision. The status stays unknown.
     }
     return result;
 }
 
-/// Logs the first refusal of each kind; later ones have the same cause.
-TransactionStatus KeyValueClient::statusOfRefusal(const HttpResult& response, std::size_t writes,
-                                                  std::size_t bytes) {
+/// Logs only the first rejection for the rate limit and for the size, as later ones have the same cause.
+TransactionStatus KeyValueClient::statusOfRejection(const HttpResult& response, std::size_t writes,
+                                                    std::size_t bytes) {
     if (response.status == http_status::kTooManyRequests) {
-        if (!std::exchange(loggedTooMany_, true))
-            spdlog::info("key-value store refuses writes over its rate limit, writing slows down writes={}",
-                         writes);
+        if (!std::exchange(loggedRateLimit_, true))
+            spdlog::info(
+                "key-value store rejected writes over its rate limit, reducing the write rate writes={}",
+                writes);
         return TransactionStatus::tooMany;
     }
     if (response.status != http_status::kBadRequest) return TransactionStatus::refused;
-    // An expired lease is always named as the reason, so any other 400, also one without a reason, is about
-    // the size.
+    // The store always reports an expired lease as the reason, so any other 400, also one without a reason,
+    // means that the transaction is too large.
     const auto reason = protocol::decodeErrorReply(response.body);
     if (protocol::isNoSuchLease(reason)) return TransactionStatus::noLease;
-    if (!std::exchange(loggedTooLarge_, true))
-        spdlog::error("key-value store refuses a transaction for its size writes={} bytes={} reason={}",
-                      writes, bytes, reason);
+    if (!std::exchange(loggedSizeLimit_, true))
+        spdlog::error(
+            "key-value store rejected a transaction over its size limit writes={} bytes={} reason={}", writes,
+            bytes, reason);
     return TransactionStatus::tooLarge;
 }
 
 void KeyValueClient::read(ReadKind kind, const std::string& target, Duration timeout, PageCallback done) {
     const bool isWatch = kind == ReadKind::watch;
     send("GET", target, "", timeout, [isWatch, done = std::move(done)](const HttpResult& response) {
-        // The changes since the same revision would only get more, so a watch whose response was too large
-        // fails again for ever. All keys are read anew instead, a page at a time.
+        // A retry of a watch whose response was too large would always fail again, since the changes after
+        // the same revision only grow in number. All keys are read page by page instead.
         if (response.status == http_status::kGone || (isWatch && response.tooLarge))
             return done(ReadStatus::tooOld, {});
         if (!response.ok()) return done(ReadStatus::failed, {});
-        msgpack::object_handle handle;  // the page's values point into it
+        msgpack::object_handle handle;  // owns the page's values
         KeyPage page;
         auto status = ReadStatus::ok;
         try {
@@ -138,7 +140,7 @@
              try {
                  if (response.ok()) lease = protocol::decodeLease(response.body);
              } catch (const MalformedMessage&) {
-                 // A lease whose id can't be read expires unused.
+                 // A lease whose id could not be decoded expires unused.
              }
              lease ? done(LeaseStatus::active, *lease) : done(LeaseStatus::unknown, 0);
          });
@@ -154,7 +156,7 @@
 }
 
 void KeyValueClient::endLease(std::uint64_t lease) {
-    requests_.takeUnconditionally(1, Clock::now());
+    requestBudget_.takeUnconditionally(1, Clock::now());
     http_.request(address_, "DELETE", paths::lease(lease), "", kLeaseTimeout, [](const HttpResult&) {});
 }
 
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -64,14 +64,14 @@
     record.spec.dependencies.clear();
     value = encodeJob(record);
     if (protocol::jsonBytes(value) <= maxBytes) return value;
-    // The decoder needs these texts, but nobody reads them any more.
+    // The decoder requires these fields, but their values are not used after the job has ended.
     record.spec.zone.reset();
     for (auto* text : {&record.spec.jobClass, &record.spec.team, &record.spec.image}) text->assign(1, '-');
     return encodeJob(record);
 }
 
 bool jobFits(const protocol::JobSpec& spec, std::size_t maxBytes) {
-    constexpr std::uint64_t kLongestTimeMs = 99'999'999'999'999;  // a digit more than times of today have
+    constexpr std::uint64_t kLongestTimeMs = 99'999'999'999'999;  // one digit more than present times have
     const JobRecord longest{spec,       TerminalState::cancelled, kLongestTimeMs,
                             spec.tasks, kMaxChunkTasks,           kLongestTimeMs};
     return protocol::jsonBytes(encodeJob(longest)) <= maxBytes;
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -14,23 +14,23 @@
 
 namespace burlpoint::storage {
 
-/// The state in which a job has ended; `none`: it has not. The values are stored.
+/// The state in which a job has ended, or `none` for an open job. The numeric values are stored.
 enum class TerminalState { none, done, cancelled };
 
-/// An accepted job. The bitmap of its finished tasks is stored under keys of its own until the job has ended.
+/// An accepted job. Until the job ends, the bitmap of its finished tasks is stored under separate keys.
 struct JobRecord {
     protocol::JobSpec spec;
     TerminalState terminalState = TerminalState::none;
     std::uint64_t acceptedMs = 0;  ///< time of day, in milliseconds since 1970
-    std::uint32_t done = 0;        ///< tasks done; meaningful once the job has ended
+    std::uint32_t done = 0;        ///< number of tasks done; meaningful once the job has ended
     std::uint32_t chunkTasks = 1;  ///< tasks per bitmap chunk; never changes after the job was accepted
     std::uint64_t endedMs = 0;     ///< time of day at which the job was done; 0: written by an older version
     bool operator==(const JobRecord&) const = default;
 };
 
-/// The controller that leads.
+/// The current leader.
 struct LeaderRecord {
-    std::string node;  ///< the controller's name
+    std::string node;  ///< name of the leading controller
     std::uint64_t fencingToken = 0;
 };
 
@@ -43,14 +43,16 @@
     bool operator==(const MachineRecord&) const = default;
 };
 
-// Each encode function returns a packed value. Each decode function throws `protocol::MalformedMessage`.
+// Each encode function returns a value in MessagePack. Each decode function throws
+// `protocol::MalformedMessage` if the value is malformed.
 
 std::string encodeJob(const JobRecord& record);
 JobRecord decodeJob(const msgpack::object& value);
-/// The record of a job that has ended. If it takes more than `maxBytes` as JSON, fields that an ended job
-/// does not need are left out: a job accepted under a higher limit must be able to end under a lower one.
+/// Encodes the record of a job that has ended. If it exceeds `maxBytes` as JSON, fields that an ended job
+/// does not need are omitted or shortened: a job accepted under a higher limit must be able to end under a
+/// lower one.
 std::string encodeTerminatedJob(JobRecord record, std::size_t maxBytes);
-/// Whether the record of a job with this spec, at its longest, takes at most `maxBytes` as JSON.
+/// True if the longest possible record of a job with this spec has at most `maxBytes` as JSON.
 bool jobFits(const protocol::JobSpec& spec, std::size_t maxBytes);
 
 std::string encodeLeader(const LeaderRecord& record);
--- a/src/storage/task_bitmap.h
+++ b/src/storage/task_bitmap.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The stored form of the bitmap that says which tasks of a job are done. The bitmap is cut into chunks that
-// fit into one value of the key-value store each (see storage/keys.h). Holds no state.
+// The stored format of the bitmap of a job's finished tasks. The bitmap is split into chunks, each of which
+// fits into one value of the key-value store (see storage/keys.h). Holds no state.
 
 #include <cstddef>
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 namespace burlpoint::storage {
 
-/// How many tasks of a bitmap fit into one value of at most `maxValueKb` KiB; a multiple of four.
+/// Returns the number of tasks per chunk for values of at most `maxValueKb` KiB; a multiple of four.
 std::uint32_t chunkTasks(double maxValueKb);
-/// The value for the bits [first, first + count): text with a hexadecimal digit for every four tasks, the
-/// first of them in the digit's lowest bit.
+/// Encodes the bits [first, first + count) as a string with one hexadecimal digit per four tasks; the first
+/// of the four is in the digit's lowest bit.
 std::string encodeBits(const std::vector<bool>& bits, std::size_t first, std::size_t count);
-/// Sets those of the bits [first, first + count) that are set in `value`, and leaves all others as they are.
-/// Throws `protocol::MalformedMessage`; bits may have been set by then.
+/// Sets the bits of [first, first + count) that are set in `value`, and leaves all others unchanged. Throws
+/// `protocol::MalformedMessage` if the value is malformed; some bits may have been set by then.
 void decodeBits(const msgpack::object& value, std::vector<bool>& bits, std::size_t first, std::size_t count);
 
 }  // namespace burlpoint::storage
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// A rate limit that a controller imposes on its own requests to a service, or on its own writes to the
-// key-value store. It keeps to the service's limit where that is known and adapts to refusals where it is
-// not. Owns the current rate and the tokens saved up; does no I/O and reads no clock.
+// Client-side rate limit for a controller's requests to a service, or for its writes to the key-value store.
+// It stays within the service's limit if that is known, and otherwise adapts to rejections. Owns the current
+// rate and the accumulated tokens; does no I/O and reads no clock.
 
 #include <optional>
 
@@ -10,40 +10,40 @@
 
 namespace burlpoint::storage {
 
-/// A token bucket with an adaptive rate. It holds at most one second's worth of tokens. A refusal multiplies
-/// the rate by a constant below one; afterwards the rate grows back linearly (additive increase,
-/// multiplicative decrease), so that several controllers that share one limit converge to it without knowing
-/// of each other.
+/// A token bucket with an adaptive rate. It holds at most the tokens of one second, but always up to one. A
+/// rejection multiplies the rate by a constant below one; afterwards the rate grows back linearly (additive
+/// increase, multiplicative decrease), so that controllers that share one limit converge to it without
+/// coordination.
 class TokenBucket {
   public:
-    /// `ratePerSecond`: the highest rate, and the one to begin with.
-    /// `announcedRatePerSecond`: a limit that the service has announced to come into force at some later
-    /// time. From the first refusal on it caps the rate: either the lower limit is in force by then, or too
-    /// many share the higher one.
+    /// `ratePerSecond`: the maximum and initial rate.
+    /// `announcedRatePerSecond`: a limit that the service has announced for an unspecified later time. It
+    /// caps the rate from the first rejection on: either the lower limit is in force by then, or too many
+    /// clients share the higher one.
     TokenBucket(double ratePerSecond, Time now, double announcedRatePerSecond = kNoAnnouncedRate)
         : maxRatePerSecond_(ratePerSecond),
           announcedRatePerSecond_(announcedRatePerSecond),
-          minRatePerSecond_(ratePerSecond * kLowestShareOfRate),
+          minRatePerSecond_(ratePerSecond * kMinRateShare),
           ratePerSecond_(ratePerSecond),
           tokens_(ratePerSecond),
           refilledAt_(now) {}
 
-    /// Takes `tokens` if at least `reserve` tokens are left afterwards for more important requests. Returns
-    /// whether they were taken.
+    /// Takes `tokens` if at least `reserve` tokens remain for more important requests. Returns whether they
+    /// were taken.
     bool tryTake(double tokens, double reserve, Time now);
-    /// Takes `tokens` in any case, for a request that must not wait. The bucket may go below zero, so that
+    /// Takes `tokens` for a request that must not wait. The number of tokens may become negative, so that
     /// later requests wait longer.
     void takeUnconditionally(double tokens, Time now) { refill(now), tokens_ -= tokens; }
-    /// The service has refused a request because of its rate limit: lowers the rate and empties the bucket.
+    /// Lowers the rate and empties the bucket after the service rejected a request because of its rate limit.
     void recordRefusal(Time now);
 
-    /// Tokens saved up; below zero after `takeUnconditionally`.
+    /// Returns the available tokens, which may be negative after takeUnconditionally().
     double available(Time now) { return refill(now), tokens_; }
     double ratePerSecond(Time now) { return refill(now), ratePerSecond_; }
 
   private:
-    static constexpr double kNoAnnouncedRate = 1e9;  // a second; above every limit in use
-    static constexpr double kLowestShareOfRate = 1.0 / 8;
+    static constexpr double kNoAnnouncedRate = 1e9;  // per second; above every limit in use
+    static constexpr double kMinRateShare = 1.0 / 8;
 
     void refill(Time now);
 
@@ -53,7 +53,7 @@
     double ratePerSecond_;
     double tokens_;
     Time refilledAt_;
-    std::optional<Time> loweredAt_;  // when a refusal lowered the rate last
+    std::optional<Time> loweredAt_;  // when a rejection last lowered the rate
 };
 
 }  // namespace burlpoint::storage
--- a/tests/state/lowered_limits_fixture.h
+++ b/tests/state/lowered_limits_fixture.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// A leader over the stand-in of the key-value store (`Cluster`), and the jobs and bitmaps that the tests of
-// storage under lowered limits use. No network: the store's answers come at once, and the test sets the time.
+// Harness for tests of storage under lowered limits: a leader with an in-memory key-value store
+// (`LoweredLimitsHarness`), and helpers for jobs and bitmaps. There is no network: the store answers
+// synchronously, and the test controls the time.
 
 #include <gtest/gtest.h>
 
@@ -22,9 +23,9 @@
 
 using namespace std::chrono_literals;
 
-inline constexpr std::uint32_t kOldChunk = 16'384;  // tasks, as chosen for values of 8 KiB
+inline constexpr std::uint32_t kChunkTasksFor8KiB = 16'384;  // tasks per chunk for a value limit of 8 KiB
 
-inline protocol::JobSpec arrayOf(const std::string& id, std::uint32_t tasks) {
+inline protocol::JobSpec arrayJob(const std::string& id, std::uint32_t tasks) {
     protocol::JobSpec s;
     s.id = id;
     s.jobClass = s.image = std::string("c");
@@ -34,28 +35,28 @@
     return s;
 }
 
-/// A record of 3 KiB, which one limit allows and the next does not.
-inline protocol::JobSpec withLongTexts(const std::string& id) {
-    auto s = arrayOf(id, 2);
+/// A job with a record of 3 KiB, which is within the initial value limit but not within the lowered ones.
+inline protocol::JobSpec jobWithLongRecord(const std::string& id) {
+    auto s = arrayJob(id, 2);
     s.types.emplace();
     for (int i = 0; i < 16; ++i) s.types->push_back(std::string(180, static_cast<char>('a' + i)));
     return s;
 }
 
-/// A leader over the stand-in of the key-value store, whose answers come at once. One machine, m1, is there.
-struct Cluster {
+/// A leader with an in-memory key-value store that answers synchronously. There is one machine, m1.
+struct LoweredLimitsHarness {
     protocol::Settings settings;
     protocol::Policy policy;
     Store store;
     bookkeeping::StateReplica replica;
     std::unique_ptr<coordination::Leader> leader;
-    std::size_t read = 0;
+    std::size_t eventsRead = 0;
     std::uint64_t sequence = 0, fencingToken = 5;
     Time now{1000s};
-    double changes = 1e9;  // that the store takes each second
+    double writesPerSecond = 1e9;  // the store's rate limit
     bool resigned = false;
 
-    Cluster() {
+    LoweredLimitsHarness() {
         settings.name = "one";
         settings.zones = {"z"};
         settings.teams = {{"t", 0, 0, 0, 0}};
@@ -76,12 +77,12 @@
     void accept(const protocol::JobSpec& spec, std::uint32_t chunkTasks) {
         put(storage::keys::job(spec.id),
             storage::encodeJob({spec, storage::TerminalState::none, 1, 0, chunkTasks}));
-        readLog();
+        syncReplica();
     }
-    /// From now on the store takes no more than this.
-    void lower(std::size_t ops, std::size_t maxValueBytes, double perSecond) {
+    /// Changes the store's limits: writes per transaction, bytes per value, and writes per second.
+    void lowerLimits(std::size_t ops, std::size_t maxValueBytes, double perSecond) {
         store.limits = {ops, maxValueBytes, perSecond};
-        changes = perSecond;
+        writesPerSecond = perSecond;
     }
     static void apply(const Store& store, std::size_t& from, bookkeeping::StateReplica& replica,
                       std::vector<bookkeeping::Change>& changed) {
@@ -93,21 +94,21 @@
                 replica.apply({event.key, event.data ? &handle.get() : nullptr, event.version}, changed));
         }
     }
-    /// Brings the replica up to the store, and tells the leader of jobs that have changed.
-    void readLog() {
+    /// Brings the replica up to date with the store, and notifies the leader of changed jobs.
+    void syncReplica() {
         std::vector<bookkeeping::Change> changed;
-        apply(store, read, replica, changed);
+        apply(store, eventsRead, replica, changed);
         coordination::JobsChanged jobs;
         for (const auto& change : changed)
             if (change.kind == bookkeeping::ChangeKind::job) jobs.ids.push_back(change.id);
-        if (leader && !jobs.ids.empty()) tell(jobs);
+        if (leader && !jobs.ids.empty()) deliver(jobs);
     }
-    void lead() {
-        readLog();
+    void startLeader() {
+        syncReplica();
         leader = std::make_unique<coordination::Leader>(settings, policy, replica, fencingToken, now, 0);
     }
-    /// Gives the leader an event, and carries out the actions that it decides.
-    void tell(coordination::LeaderEvent event) {
+    /// Passes an event to the leader, and executes the resulting actions.
+    void deliver(coordination::LeaderEvent event) {
         for (auto& action : leader->handle(std::move(event), now)) {
             if (const auto* write = std::get_if<coordination::WriteState>(&action)) {
                 storage::TransactionResult result;
@@ -118,32 +119,32 @@
                     result.status = result.revision ? storage::TransactionStatus::applied
                                                     : storage::TransactionStatus::conflict;
                 }
-                tell(coordination::StateWritten{result});
+                deliver(coordination::StateWritten{result});
             } else if (std::holds_alternative<coordination::RefreshReplica>(action)) {
-                readLog();
-                tell(coordination::ReplicaRefreshed{coordination::RefreshOutcome::refreshed});
+                syncReplica();
+                deliver(coordination::ReplicaRefreshed{coordination::RefreshOutcome::refreshed});
             } else if (std::holds_alternative<coordination::Resign>(action)) {
                 resigned = true;
             }
         }
     }
-    /// A heartbeat of m1 that tells of these tasks as done.
+    /// Sends a heartbeat of m1 that reports these tasks as done.
     void heartbeat(const std::string& id, const std::vector<std::uint32_t>& tasks) {
         protocol::Heartbeat r{"m1", "m1", "plain", "z", false, 1, ++sequence, fencingToken, {}, {}};
         for (const auto t : tasks)
             r.tasks.push_back({{id, t, 1}, protocol::TaskState::exited, protocol::ExitReason::done, false});
-        tell(coordination::HeartbeatReceived{sequence, std::move(r)});
+        deliver(coordination::HeartbeatReceived{sequence, std::move(r)});
     }
     void run(int seconds) {
         for (int step = 0; step < seconds * 10; ++step) {
-            if (step % 10 == 0) store.limits.changes = changes;
+            if (step % 10 == 0) store.limits.changes = writesPerSecond;
             now += 100ms;
-            if (step % 2 == 0) readLog();
-            tell(coordination::Tick{});
+            if (step % 2 == 0) syncReplica();
+            deliver(coordination::Tick{});
         }
     }
-    /// The bitmap of the job as a controller that starts now reads it.
-    std::vector<bool> stored(const std::string& id) const {
+    /// The job's bitmap as a newly started controller reads it.
+    std::vector<bool> storedBitmap(const std::string& id) const {
         bookkeeping::StateReplica fresh;
         std::vector<bookkeeping::Change> changed;
         for (const auto& [key, value] : store.values) {
@@ -161,28 +162,28 @@
     }
 };
 
-/// The tasks from `from` on, each `nth` of them.
-inline std::vector<std::uint32_t> every(std::uint32_t nth, std::uint32_t from, std::uint32_t tasks) {
+/// Every `nth` task, from `from` up to `tasks`.
+inline std::vector<std::uint32_t> everyNth(std::uint32_t nth, std::uint32_t from, std::uint32_t tasks) {
     std::vector<std::uint32_t> out;
     for (auto t = from; t < tasks; t += nth) out.push_back(t);
     return out;
 }
 
-/// A bitmap of `all` tasks in which these are done.
-inline std::vector<bool> bitsOf(const std::vector<std::uint32_t>& tasks, std::uint32_t all) {
+/// A bitmap for `all` tasks in which these tasks are done.
+inline std::vector<bool> bitmapOf(const std::vector<std::uint32_t>& tasks, std::uint32_t all) {
     std::vector<bool> bits(all);
     for (const auto t : tasks) bits[t] = true;
     return bits;
 }
 
-/// Whether `large` has all the bits of `small`.
+/// True if all bits of `small` are set in `large`.
 inline bool contains(const std::vector<bool>& large, const std::vector<bool>& small) {
     for (std::size_t i = 0; i < small.size(); ++i)
         if (small[i] && !large[i]) return false;
     return true;
 }
 
-/// The limits that the settings announce, where a test lets them.
-inline const protocol::StoreLimits kNext{28, 2, 10};
+/// The lower limits that the settings announce in some of the tests.
+inline const protocol::StoreLimits kAnnouncedLimits{28, 2, 10};
 
 }  // namespace burlpoint::tests
--- a/tests/state/machine_registry_test.cpp
+++ b/tests/state/machine_registry_test.cpp
@@ -15,7 +15,7 @@
     bookkeeping::Fleet fleet;
     MachineRegistry registry{replica, fleet};
 
-    /// A machine that was requested and has not sent a heartbeat.
+    /// Adds a machine that was requested from the cloud and has not sent a heartbeat.
     bookkeeping::Machine& withoutHeartbeat(const std::string& id) {
         auto& machine = fleet.add(id, Time{});
         machine.type = std::string("cpu");
@@ -79,7 +79,8 @@
     EXPECT_TRUE(registry.additions().contains("m1"));
 }
 
-// A deletion that was sent may be executed after the machine is back.
+// A deletion in flight may be executed after the machine has returned, so the stored entry can't be relied
+// on.
 TEST_F(RegistryTest, MachineReturnsAfterRemovalWasSentThenItNeedsANewEntry) {
     registry.ensureEntry(withHeartbeat("m1"));
     store(*fleet.find("m1"), 7);
@@ -116,6 +117,6 @@
     registry.removeEntriesWithoutMachine();
     EXPECT_TRUE(registry.removals().contains("gone"));
     replica.registeredMachines.clear();
-    registry.forgetCompletedRemovals();
+    registry.dropCompletedRemovals();
     EXPECT_TRUE(registry.removals().empty());
 }
--- a/tests/state/state_writer_test.cpp
+++ b/tests/state/state_writer_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr std::uint64_t kTokenVersion = 5;
-constexpr std::uint64_t kStartMs = 1'000'000;  // time of day when the writer is made
+constexpr std::uint64_t kStartMs = 1'000'000;  // time of day at the start of a test
 
 struct StateWriterTest : testing::Test {
     StateWriterTest() {
@@ -37,15 +37,15 @@
     std::map<std::string, protocol::MachineType> types;
     Time now{1000s};
     WallClock wallClock{now, kStartMs};
-    std::optional<StateWriter> made;
+    std::optional<StateWriter> lazyWriter;
     std::uint64_t revision = 100;
 
-    /// Made on first use, so that a test can change the settings before.
+    /// Creates the writer on first use, so that a test can change the settings before.
     StateWriter& writer() {
-        if (!made) made.emplace(settings, replica, fleet, registry, types, wallClock, now);
-        return *made;
+        if (!lazyWriter) lazyWriter.emplace(settings, replica, fleet, registry, types, wallClock, now);
+        return *lazyWriter;
     }
-    /// An open job with a run, whose chunks have `chunkTasks` tasks.
+    /// Adds an open job with a run and with `chunkTasks` tasks per chunk.
     Job& accept(const std::string& id, std::uint32_t tasks, std::uint32_t chunkTasks = 1000) {
         storage::JobRecord record;
         record.spec.id = id;
@@ -67,21 +67,22 @@
         ASSERT_TRUE(job.finish(task));
         writer().noteUnstored(job);
     }
-    /// `incarnation`: 0 for a machine without a heartbeat so far.
+    /// `incarnation`: 0 for a machine that has not sent a heartbeat.
     void addMachine(const std::string& id, std::uint64_t incarnation) {
         auto& machine = fleet.add(id, now);
         machine.address = id;
         machine.agent.incarnation = incarnation;
         registry.noteRequested(id);
     }
-    StateWriter::WriteOutcome answer(TransactionStatus status, std::vector<std::string> failed = {}) {
+    StateWriter::WriteOutcome handleResult(TransactionStatus status, std::vector<std::string> failed = {}) {
         StateWritten written;
         written.result.status = status;
         written.result.failed = std::move(failed);
         if (status == TransactionStatus::applied) written.result.revision = ++revision;
         return writer().handle(written, now);
     }
-    /// The keys of the next transaction once the pause after the last one is over; empty if there is none.
+    /// Advances the time past the pause between transactions, and returns the keys of the next transaction;
+    /// empty if there is none.
     std::vector<std::string> nextKeys() {
         now += 200ms;
         std::vector<std::string> keys;
@@ -116,8 +117,8 @@
     now += 5s;
     ASSERT_TRUE(writer().nextWrite(now));
     EXPECT_EQ(job.terminalState, TerminalState::none);
-    EXPECT_FALSE(writer().nextWrite(now + 10s)) << "one transaction is under way at a time";
-    const auto outcome = answer(TransactionStatus::applied);
+    EXPECT_FALSE(writer().nextWrite(now + 10s)) << "only one transaction may be in flight";
+    const auto outcome = handleResult(TransactionStatus::applied);
     EXPECT_EQ(outcome.followUp, FollowUp::none);
     EXPECT_EQ(outcome.ended, std::vector<Job*>{&job});
     EXPECT_EQ(job.terminalState, TerminalState::done);
@@ -130,7 +131,7 @@
     finish(job, 3);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
     EXPECT_FALSE(job.isDone(3));
-    EXPECT_TRUE(answer(TransactionStatus::applied).ended.empty());
+    EXPECT_TRUE(handleResult(TransactionStatus::applied).ended.empty());
     EXPECT_TRUE(job.isDone(3));
     finish(job, 4);
     EXPECT_EQ(nextKeys(), Keys{});
@@ -141,17 +142,17 @@
 TEST_F(StateWriterTest, FencingTokenRaisedThenResign) {
     finish(accept("wk-1", 1), 0);
     ASSERT_TRUE(writer().nextWrite(now));
-    EXPECT_EQ(answer(TransactionStatus::conflict, {storage::keys::kToken}).followUp, FollowUp::resign);
+    EXPECT_EQ(handleResult(TransactionStatus::conflict, {storage::keys::kToken}).followUp, FollowUp::resign);
 }
 
-// After a conflict or an unknown outcome only a read tells what is stored.
+// After a conflict or an unknown outcome, only a read can determine the stored state.
 TEST_F(StateWriterTest, ConflictOrUnknownOutcomeThenNoWriteBeforeTheReplicaIsRead) {
     finish(accept("wk-1", 1), 0);
     const auto key = storage::keys::job("wk-1");
     for (const auto status :
          {TransactionStatus::conflict, TransactionStatus::unknown, TransactionStatus::noLease}) {
         ASSERT_EQ(nextKeys(), Keys{key});
-        EXPECT_EQ(answer(status, {key}).followUp, FollowUp::refreshReplica);
+        EXPECT_EQ(handleResult(status, {key}).followUp, FollowUp::refreshReplica);
         now += 10s;
         EXPECT_EQ(nextKeys(), Keys{});
         writer().replicaRefreshed();
@@ -163,7 +164,7 @@
     finish(accept("wk-1", 1), 0);
     for (const auto status : {TransactionStatus::refused, TransactionStatus::tooMany}) {
         ASSERT_EQ(nextKeys().size(), 1u);
-        EXPECT_EQ(answer(status).followUp, FollowUp::none);
+        EXPECT_EQ(handleResult(status).followUp, FollowUp::none);
         EXPECT_EQ(nextKeys(), Keys{});  // 200 ms later
         now += 300ms;
     }
@@ -173,24 +174,24 @@
 TEST_F(StateWriterTest, TransactionTooLargeThenSmallerOnesThatGrowAgain) {
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) addMachine(id, 1);
     ASSERT_EQ(nextKeys().size(), 4u);
-    answer(TransactionStatus::tooLarge);
+    handleResult(TransactionStatus::tooLarge);
     EXPECT_EQ(nextKeys().size(), 2u);
-    answer(TransactionStatus::tooLarge);
+    handleResult(TransactionStatus::tooLarge);
     EXPECT_EQ(nextKeys().size(), 1u);
-    answer(TransactionStatus::applied);
-    EXPECT_EQ(nextKeys().size(), 1u) << "limits must not be raised at once";
+    handleResult(TransactionStatus::applied);
+    EXPECT_EQ(nextKeys().size(), 1u) << "limits must not be raised immediately";
     now += 30s;
-    answer(TransactionStatus::applied);
+    handleResult(TransactionStatus::applied);
     EXPECT_EQ(nextKeys().size(), 2u);
 }
 
 TEST_F(StateWriterTest, SingleWriteTooLargeThenDeferredWhileOthersAreWritten) {
     addMachine("m1", 1);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
-    answer(TransactionStatus::tooLarge);
+    handleResult(TransactionStatus::tooLarge);
     addMachine("m2", 1);
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m2")});
-    answer(TransactionStatus::applied);
+    handleResult(TransactionStatus::applied);
     EXPECT_EQ(nextKeys(), Keys{});
     now += 30s;
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m1")});
@@ -200,11 +201,11 @@
     auto& job = accept("wk-1", 2000, 2000);
     finish(job, 0);
     ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
-    answer(TransactionStatus::tooLarge);
+    handleResult(TransactionStatus::tooLarge);
     const auto keys = nextKeys();
     ASSERT_EQ(keys.size(), 1u);
     EXPECT_NE(keys.front(), storage::keys::doneChunk("wk-1", 0));
-    answer(TransactionStatus::applied);
+    handleResult(TransactionStatus::applied);
     EXPECT_TRUE(job.isDone(0));
 }
 
@@ -217,16 +218,16 @@
     writer().noteTypesChanged();
     EXPECT_EQ(nextKeys(), (Keys{storage::keys::machine("m1"), storage::keys::job("wk-1"),
                                 storage::keys::kTypes, storage::keys::doneChunk("wk-2", 0)}));
-    answer(TransactionStatus::applied);
+    handleResult(TransactionStatus::applied);
     EXPECT_EQ(replica.types.size(), 1u);
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m0")});
 }
 
 TEST_F(StateWriterTest, WriteRateUsedUpThenFewerWrites) {
-    settings.storeWritesPerSecond = 5;  // of which the state writer may use three a second
+    settings.storeWritesPerSecond = 5;  // the state writer may use 60 %, three per second
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) addMachine(id, 1);
     ASSERT_EQ(nextKeys().size(), 3u);
-    answer(TransactionStatus::applied);
+    handleResult(TransactionStatus::applied);
     EXPECT_EQ(nextKeys(), Keys{});
     now += 800ms;
     EXPECT_EQ(nextKeys().size(), 2u);
--- a/tests/storage/key_value_client_test.cpp
+++ b/tests/storage/key_value_client_test.cpp
@@ -1,4 +1,4 @@
-// The client of the key-value store where a response is larger than a controller takes.
+// The key-value store's client when responses exceed the HTTP client's maximum size.
 #include "storage/key_value_client.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// A key-value store whose every response is larger than a client takes.
+/// A key-value store whose responses are all larger than the HTTP client accepts.
 struct OversizedResponses {
     asio::io_context io{1};
     transport::HttpServer server{io,
@@ -31,12 +31,12 @@
                                      reply(response);
                                  }};
     HttpClient http{io, 4};
-    storage::KeyValueClient state{http, "127.0.0.1:" + std::to_string(server.localEndpoint().port()), 100, 1,
-                                  Clock::now()};
+    storage::KeyValueClient client{http, "127.0.0.1:" + std::to_string(server.localEndpoint().port()), 100, 1,
+                                   Clock::now()};
 
     ReadStatus awaitRead(const std::function<void(storage::KeyValueClient::PageCallback)>& read) {
         std::optional<ReadStatus> status;
-        read([&](ReadStatus came, const protocol::KeyPage&) { status = came; });
+        read([&](ReadStatus readStatus, const protocol::KeyPage&) { status = readStatus; });
         while (!status) io.run_one();
         return *status;
     }
@@ -44,16 +44,16 @@
 
 }  // namespace
 
-// A controller that was away while many large bitmaps were stored would otherwise ask for the same changes
-// for ever.
+// A controller that was disconnected while many large bitmaps were stored must read all keys by pages instead
+// of retrying the same watch for ever.
 TEST(KeyValueClient, OversizedWatchResponseMeansReadingAllKeysAnew) {
     OversizedResponses store;
-    EXPECT_EQ(store.awaitRead([&](auto done) { store.state.watch("bp/", 7, 0ms, 5000ms, std::move(done)); }),
+    EXPECT_EQ(store.awaitRead([&](auto done) { store.client.watch("bp/", 7, 0ms, 5000ms, std::move(done)); }),
               ReadStatus::tooOld);
 }
 
 TEST(KeyValueClient, OversizedPageResponseIsAFailedRead) {
     OversizedResponses store;
-    EXPECT_EQ(store.awaitRead([&](auto done) { store.state.page("bp/", "", std::move(done)); }),
+    EXPECT_EQ(store.awaitRead([&](auto done) { store.client.page("bp/", "", std::move(done)); }),
               ReadStatus::failed);
 }
--- a/tests/storage/store_limits_test.cpp
+++ b/tests/storage/store_limits_test.cpp
@@ -1,5 +1,5 @@
-// Submissions where the key-value store takes less than the settings say, or less from some moment on, and
-// how the client tells its refusals apart.
+// Submissions when the key-value store's limits are lower than in the settings or are announced to become
+// lower, and how the client distinguishes the store's rejections.
 #include <gtest/gtest.h>
 #include <spdlog/sinks/ostream_sink.h>
 #include <spdlog/spdlog.h>
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// A job whose record is beyond the lower of the present and the next limit is refused before anything is
-// stored, unless it was accepted under the higher one. Bitmap chunks are chosen for the lower limit.
+// A job whose record exceeds the lower of the current and the next limit must be rejected before anything is
+// stored, unless it was already accepted under the higher limit. Bitmap chunks must fit the lower limit.
 TEST_F(StoreLimits, SubmissionBeyondTheNextLimitsIsRefused) {
     ServiceController node(io, stub);
     node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
@@ -52,14 +52,14 @@
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-3")).status, 201);
     const auto handle = protocol::unpackBody(stub.store.values.at(storage::keys::job("wk-3")).data);
     EXPECT_EQ(storage::decodeJob(handle.get()).chunkTasks, storage::chunkTasks(2));
-    // Accepted under the higher limit, it is cancelled under the lower one.
+    // A job accepted under the higher limit can be cancelled under the lower one.
     stub.store.limits.maxValueBytes = 2048;
     EXPECT_EQ(node.ask("POST", "/submissions/wk-2/cancel").status, 200);
     EXPECT_EQ(node.bearing("wk-2"), "cancelled");
 }
 
-// The store takes less than the settings say: no accepted job is lost, and none is accepted that was not
-// stored.
+// When the store's value limit is lower than in the settings, no accepted job may be lost, and no job may be
+// accepted without being stored.
 TEST_F(StoreLimits, UnannouncedLowerLimitLosesNoAcceptedJob) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
@@ -72,44 +72,45 @@
     protocol::packSpec(p, spec);
     EXPECT_EQ(node.ask("POST", "/submissions", p.take()).status, 201);
     stub.store.limits.maxValueBytes = 500;
-    const auto again = [&](const std::string& id) {
+    const auto submitWithId = [&](const std::string& id) {
         auto other = spec;
         other.id = id;
         MessagePacker q;
         protocol::packSpec(q, other);
         return node.ask("POST", "/submissions", q.take()).status;
     };
-    EXPECT_EQ(again("wk-2"), 422);
-    EXPECT_EQ(again("wk-1"), 200);
+    EXPECT_EQ(submitWithId("wk-2"), 422);
+    EXPECT_EQ(submitWithId("wk-1"), 200);
     EXPECT_EQ(node.bearing("wk-2"), "404");
     EXPECT_EQ(node.ask("POST", "/submissions/wk-1/cancel").status, 200);
     EXPECT_EQ(node.bearing("wk-1"), "cancelled");
 }
 
-// A write refused for the rate limit is tried again a few times, then the user is asked to come back later.
-// Then it is stored.
+// A submission whose write exceeds the store's rate limit is retried a few times and then answered with 503
+// and Retry-After. A later submission of the job must succeed.
 TEST_F(StoreLimits, RateLimitedSubmissionIsRetriedBeforeItIsRefused) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
-    const auto refused = node.ask("POST", "/submissions", submission("wk-1"));
-    EXPECT_EQ(refused.status, 503);
-    EXPECT_GE(refused.retryAfter, 1s);
+    const auto rejected = node.ask("POST", "/submissions", submission("wk-1"));
+    EXPECT_EQ(rejected.status, 503);
+    EXPECT_GE(rejected.retryAfter, 1s);
     EXPECT_GT(stub.store.tooMany, 1u);
-    EXPECT_LT(stub.store.tooMany, 5u);  // it slows down
+    EXPECT_LT(stub.store.tooMany, 5u);  // retries slow down
     EXPECT_EQ(node.bearing("wk-1"), "404");
     stub.store.limits.changes = 5;
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
 }
 
-// Each reason for which the store refuses a transaction has a status of its own, and two are logged once.
+// Each reason for which the store rejects a transaction has its own status. The first rejection for the size
+// and for the rate limit is logged, later ones are not.
 TEST_F(StoreLimits, EachRefusalOfATransactionHasItsOwnStatus) {
     ServiceController node(io, stub);
     std::ostringstream log;
-    const auto before = spdlog::default_logger();
-    const auto listening =
+    const auto previousLogger = spdlog::default_logger();
+    const auto capturingLogger =
         std::make_shared<spdlog::logger>("", std::make_shared<spdlog::sinks::ostream_sink_mt>(log));
-    spdlog::set_default_logger(listening);
+    spdlog::set_default_logger(capturingLogger);
     const auto count = [&](const std::string& text) {
         std::size_t found = 0;
         for (auto at = log.str().find(text); at != std::string::npos; at = log.str().find(text, at + 1))
@@ -135,9 +136,10 @@
               storage::TransactionStatus::tooLarge);
     stub.outage = true;
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::refused);
-    // The first of each is logged, once.
-    EXPECT_EQ(count("[error] key-value store refuses a transaction for its size writes=1 bytes="), 1u);
+    // Each kind of rejection is logged once.
+    EXPECT_EQ(count("[error] key-value store rejected a transaction over its size limit writes=1 bytes="),
+              1u);
     EXPECT_EQ(count("too large"), 1u);
-    EXPECT_EQ(count("[info] key-value store refuses writes over its rate limit"), 1u);
-    spdlog::set_default_logger(before);
+    EXPECT_EQ(count("[info] key-value store rejected writes over its rate limit"), 1u);
+    spdlog::set_default_logger(previousLogger);
 }
--- a/tests/storage/store_stub.h
+++ b/tests/storage/store_stub.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// A stand-in for the key-value store, written from the protocol's description: `Store` holds keys, versions
-// and leases, `StoreStub` serves one by HTTP and fails in the ways that tests ask for. It spells out the
-// wire's words rather than using the protocol layer's names, so that an error in the client's encoding shows.
+// A fake of the key-value store, written from the protocol's description: `Store` holds keys, versions and
+// leases, and `StoreStub` serves a `Store` by HTTP with optional fault injection. It spells out the names on
+// the wire instead of using the protocol layer's constants, so that errors in the client's encoding are
+// detected.
 
 #include <algorithm>
 #include <charconv>
@@ -27,28 +28,28 @@
 
 namespace burlpoint::tests {
 
-/// What the store accepts, until a test lowers it.
+/// The store's limits. The defaults are high; tests lower them.
 struct StubLimits {
     std::size_t ops = 1'000'000;                         // writes in one transaction
     std::size_t maxValueBytes = std::size_t{64} * 1024;  // of a value as JSON
-    double changes = 1e9;  // writes until the test sets this again; the store has no clock of its own
+    double changes = 1e9;  // remaining writes; the test refills this, as the store has no clock
 };
 
-/// Keys with versions, conditional transactions and a log of changes. Leases are ended by the test.
+/// Keys with versions, conditional transactions and a log of changes. Leases don't expire by themselves.
 class Store {
   public:
     struct Value {
         std::string data;  // packed
         std::uint64_t version = 0, lease = 0;
     };
-    /// A key written or, without data, deleted.
+    /// A write of a key, or its deletion if there is no data.
     struct Event {
         std::string key;
         std::optional<std::string> data;
         std::uint64_t version = 0;
     };
 
-    /// The new revision; 0 if a condition does not hold, with the keys in `failed`.
+    /// Returns the new revision, or 0 if a condition does not hold; `failed` then has the keys concerned.
     std::uint64_t transact(const std::vector<protocol::KeyCondition>& conditions,
                            const std::vector<protocol::KeyWrite>& writes, std::vector<std::string>& failed) {
         for (const auto& c : conditions) {
@@ -61,8 +62,8 @@
         for (const auto& w : writes) change(w.key, w.value, w.lease);
         return revision;
     }
-    /// Why a transaction is refused before its conditions are looked at, if it is: for its size, or for the
-    /// rate.
+    /// Returns why a transaction is rejected before its conditions are checked (size or rate limit), or none
+    /// if it is not.
     std::optional<storage::TransactionStatus> refusal(const std::vector<protocol::KeyCondition>& conditions,
                                                       const std::vector<protocol::KeyWrite>& writes) {
         bool large =
@@ -75,7 +76,7 @@
         limits.changes -= count;
         return std::nullopt;
     }
-    /// Deletes the keys attached to the lease.
+    /// Ends the lease and deletes the keys attached to it.
     void endLease(std::uint64_t lease) {
         leases.erase(lease);
         std::vector<std::string> keys;
@@ -91,7 +92,7 @@
     std::map<std::uint64_t, bool> leases;
     std::uint64_t revision = 0, nextLease = 0;
     StubLimits limits;
-    std::size_t tooLarge = 0, tooMany = 0;  // refusals so far
+    std::size_t tooLarge = 0, tooMany = 0;  // number of rejections so far
 
   private:
     void change(const std::string& key, const std::optional<std::string>& data, std::uint64_t lease) {
@@ -106,58 +107,59 @@
 /// Serves a `Store` by HTTP on loopback.
 class StoreStub {
   public:
-    /// With `first`, a second endpoint for the same store, which may fail independently of the first.
+    /// With `first`, this is another endpoint of the store of `first`, with independent faults.
     explicit StoreStub(asio::io_context& io, StoreStub* first = nullptr)
-        : store(first ? first->store : own_),
+        : store(first ? first->store : ownStore_),
           server_(io, transport::parseEndpoint("127.0.0.1:0"), {},
                   [this](transport::Request&& r, const transport::Reply& reply) { serve(r, reply); }),
-          first_(first ? *first : *this) {
-        first_.endpoints_.push_back(this);
+          primary_(first ? *first : *this) {
+        primary_.endpoints_.push_back(this);
     }
-    ~StoreStub() { std::erase(first_.endpoints_, this); }
+    ~StoreStub() { std::erase(primary_.endpoints_, this); }
     StoreStub(const StoreStub&) = delete;
     StoreStub& operator=(const StoreStub&) = delete;
 
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.localEndpoint().port()); }
 
   private:
-    Store own_;
+    Store ownStore_;
 
   public:
     Store& store;
     bool outage = false;         // answers all requests with 503
     bool readsFail = false;      // answers reads with 503
-    bool holdWatches = false;    // open watches are not told of changes
-    bool swallowWrites = false;  // carries transactions out without an answer
-    bool holdLeases = false;     // makes leases, and answers at release()
+    bool holdWatches = false;    // does not answer open watches when keys change
+    bool swallowWrites = false;  // applies transactions without answering them
+    bool holdLeases = false;     // creates leases, but answers only at release()
     unsigned pageEntries = 1000;
 
     void release() {
         holdLeases = false;
-        for (auto& made : std::exchange(held_, {})) made();
+        for (auto& sendResponse : std::exchange(heldLeaseResponses_, {})) sendResponse();
     }
 
-    /// Answers the open watches of all endpoints that have changes to tell; during an outage they stay open.
+    /// Answers the open watches of all endpoints for which there are changes. Endpoints in an outage keep
+    /// their watches open.
     void wake() {
-        for (auto* endpoint : first_.endpoints_) endpoint->wakeOwn();
+        for (auto* endpoint : primary_.endpoints_) endpoint->answerOwnWatches();
     }
-    /// For tests with a clock: ends the leases and, at all endpoints, the watches whose time is over. Without
-    /// a call, the test ends leases, and watches wait for a change.
+    /// Ends expired leases and, at all endpoints, answers the watches whose wait is over. Only for tests with
+    /// a clock; without calls, leases last until the test ends them, and watches until there is a change.
     void passTime(Time now) {
-        auto& deadlines = first_.leaseDeadlines_;
-        std::vector<std::uint64_t> over;
+        auto& deadlines = primary_.leaseDeadlines_;
+        std::vector<std::uint64_t> expired;
         for (const auto& [lease, deadline] : deadlines)
-            if (now > deadline.at) over.push_back(lease);
-        for (const auto lease : over) {
+            if (now > deadline.at) expired.push_back(lease);
+        for (const auto lease : expired) {
             deadlines.erase(lease);
             store.endLease(lease);
         }
-        if (!over.empty()) wake();
-        for (auto* endpoint : first_.endpoints_) endpoint->endWatches(now);
+        if (!expired.empty()) wake();
+        for (auto* endpoint : primary_.endpoints_) endpoint->endWatches(now);
     }
-    /// At the end of an outage, all leases have their full time again.
+    /// Extends all leases to their full duration, as the store does at the end of an outage.
     void restartLeases(Time now) {
-        for (auto& [lease, deadline] : first_.leaseDeadlines_) deadline.at = now + deadline.life;
+        for (auto& [lease, deadline] : primary_.leaseDeadlines_) deadline.at = now + deadline.life;
     }
 
   private:
@@ -175,7 +177,7 @@
         Duration life;
     };
 
-    void wakeOwn() {
+    void answerOwnWatches() {
         if (outage || holdWatches) return;
         for (auto& open : std::exchange(watches_, {})) watch(open);
     }
@@ -222,20 +224,20 @@
     void makeLease(const transport::Request& r, const Answer& answer) {
         store.leases[++store.nextLease] = true;
         const Duration life(protocol::MapReader(protocol::unpackBody(r.body).get()).integer("lifeMs"));
-        first_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
-        const auto made = [answer, lease = store.nextLease] {
+        primary_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
+        const auto sendResponse = [answer, lease = store.nextLease] {
             answer(200, MessagePacker().map(1).field("mooring", lease).take());
         };
-        if (!holdLeases) return made();
-        held_.push_back(made);
+        if (!holdLeases) return sendResponse();
+        heldLeaseResponses_.push_back(sendResponse);
     }
 
-    /// Ends or extends a lease.
+    /// Revokes or extends a lease.
     void changeLease(const transport::Request& r, const Answer& answer) {
         const auto idAt = kLeasePrefix.size();
         const auto lease = number(r.path.substr(idAt, r.path.find('/', idAt) - idAt));
         if (!store.leases.contains(lease)) return answer(404, MessagePacker().map(0).take());
-        auto& deadlines = first_.leaseDeadlines_;
+        auto& deadlines = primary_.leaseDeadlines_;
         if (r.method == "DELETE") {
             deadlines.erase(lease);
             store.endLease(lease);
@@ -308,16 +310,16 @@
                                  [&](const Store::Event& event) { return event.version <= revision; });
         return {first, store.log.end()};
     }
-    void watch(const Watch& asked) {
-        const auto since = number(parameter(asked.query, "since"));
-        const bool waits = number(parameter(asked.query, "blockMs")) > 0;
+    void watch(const Watch& pendingWatch) {
+        const auto since = number(parameter(pendingWatch.query, "since"));
+        const bool waits = number(parameter(pendingWatch.query, "blockMs")) > 0;
         if (waits && eventsAfter(since).empty())
-            watches_.push_back(asked);
+            watches_.push_back(pendingWatch);
         else
-            answerWatch(asked);
+            answerWatch(pendingWatch);
     }
-    void answerWatch(const Watch& asked) {
-        const auto events = eventsAfter(number(parameter(asked.query, "since")));
+    void answerWatch(const Watch& pendingWatch) {
+        const auto events = eventsAfter(number(parameter(pendingWatch.query, "since")));
         MessagePacker p;
         p.map(2).field("chart", store.revision).key("log").list(events.size());
         for (const auto& e : events) {
@@ -325,14 +327,14 @@
             if (e.data) p.key("data").raw(*e.data);
             p.field("mark", e.version);
         }
-        asked.answer(200, p.take());
+        pendingWatch.answer(200, p.take());
     }
 
     transport::HttpServer server_;
     std::vector<Watch> watches_;
-    std::vector<std::function<void()>> held_;
-    StoreStub& first_;                   // the endpoint made first; only its lists below are in use
-    std::vector<StoreStub*> endpoints_;  // all endpoints of the store, this one included
+    std::vector<std::function<void()>> heldLeaseResponses_;
+    StoreStub& primary_;                 // the store's first endpoint; only its members below are used
+    std::vector<StoreStub*> endpoints_;  // all endpoints of the store, including this one
     std::map<std::uint64_t, Deadline> leaseDeadlines_;
 };
 
--- a/tests/storage/task_bitmap_test.cpp
+++ b/tests/storage/task_bitmap_test.cpp
@@ -1,5 +1,5 @@
-// The bitmap of a job's finished tasks, stored in chunks and parts, as this version and the one before read
-// it.
+// The bitmap of a job's finished tasks, stored in chunks and parts, as read by this version and by the
+// previous one.
 #include "storage/task_bitmap.h"
 
 #include <gtest/gtest.h>
@@ -20,9 +20,9 @@
 
 namespace {
 
-/// The bitmap as the version before this one reads it, by that version's rules: a key whose rest is a number
-/// is a chunk, whose text begins at the chunk's first task. Any other key is skipped.
-std::vector<bool> readByTheEarlierVersion(const Store& store, const JobSpec& spec, std::uint32_t chunkTasks) {
+/// Reads the bitmap by the rules of the previous version: if the part of a key after the job's prefix is a
+/// number, the key is a chunk, and its text starts at the chunk's first task. Other keys are skipped.
+std::vector<bool> readByPreviousVersion(const Store& store, const JobSpec& spec, std::uint32_t chunkTasks) {
     std::vector<bool> bits(spec.tasks);
     const auto prefix = storage::keys::job(spec.id) + "/";
     for (const auto& [key, value] : store.values) {
@@ -33,15 +33,16 @@
         if (error != std::errc() || stop != rest.data() + rest.size()) continue;
         if (chunk >= (spec.tasks + chunkTasks - 1) / chunkTasks) continue;
         const auto handle = protocol::unpackBody(value.data);
-        if (handle.get().type != msgpack::type::STR) throw protocol::MalformedMessage("a bitmap is not text");
+        if (handle.get().type != msgpack::type::STR)
+            throw protocol::MalformedMessage("a bitmap is not a string");
         auto at = chunk * chunkTasks;
         for (const char c : handle.get().as<std::string>()) {
             const bool digit = c >= '0' && c <= '9';
             if (!digit && !(c >= 'a' && c <= 'f'))
-                throw protocol::MalformedMessage("a bitmap has a wrong digit");
-            const auto four = static_cast<unsigned>(digit ? c - '0' : c - 'a' + 10);
+                throw protocol::MalformedMessage("a bitmap has a character that is not a hexadecimal digit");
+            const auto nibble = static_cast<unsigned>(digit ? c - '0' : c - 'a' + 10);
             for (unsigned bit = 0; bit < 4; ++bit, ++at)
-                if (at < std::min<std::size_t>((chunk + 1) * chunkTasks, spec.tasks) && (four >> bit & 1u))
+                if (at < std::min<std::size_t>((chunk + 1) * chunkTasks, spec.tasks) && (nibble >> bit & 1u))
                     bits[at] = true;
         }
     }
@@ -50,8 +51,8 @@
 
 }  // namespace
 
-// A chunk takes half of a value's bytes, with a digit for four tasks and two quotes. A chunk chosen for a
-// higher limit may not fit, and is written in parts.
+// A chunk has half of the maximum value size: one digit per four tasks, and two quotes. A chunk size chosen
+// under a higher limit may not fit a lower one; the bits are then written in parts.
 TEST(Limits, ChunksFitTheLimitForWhichTheyWereChosen) {
     std::vector<bool> bits(protocol::kMaxTasks, true);
     for (const double kb : {1.0, 2.0, 8.0, 32.0}) {
@@ -59,11 +60,11 @@
         for (std::size_t first = 0; first < bits.size(); first += tasks)
             EXPECT_LE(protocol::jsonBytes(storage::encodeBits(bits, first, tasks)), kb * 1024);
     }
-    EXPECT_EQ(storage::chunkTasks(8), kOldChunk);
-    EXPECT_EQ(protocol::jsonBytes(storage::encodeBits(bits, 0, kOldChunk)), 4098u);  // beyond 2 KiB
+    EXPECT_EQ(storage::chunkTasks(8), kChunkTasksFor8KiB);
+    EXPECT_EQ(protocol::jsonBytes(storage::encodeBits(bits, 0, kChunkTasksFor8KiB)), 4098u);  // beyond 2 KiB
     bookkeeping::Job job;
-    job.chunkTasks = kOldChunk;
-    job.spec.tasks = 8184;  // the most of an old chunk within 2 KiB
+    job.chunkTasks = kChunkTasksFor8KiB;
+    job.spec.tasks = 8184;  // the largest chunk that fits 2 KiB
     EXPECT_TRUE(job.rangeOf(0, 2048).chunk);
     job.spec.tasks = 8185;
     EXPECT_FALSE(job.rangeOf(0, 2048).chunk);
@@ -81,59 +82,59 @@
     }
 }
 
-// Whichever tasks are done and however the bitmap is cut, this version reads every bit. The earlier version
-// reads the bits of chunks, and none that was not set.
+// For any set of finished tasks and any split of the bitmap, this version must read every bit. The previous
+// version must read exactly the bits in chunks.
 RC_GTEST_PROP(Limits, PartsAndChunksAreReadAsTheirUnion, ()) {
-    Cluster c;
-    const auto spec = arrayOf("wk-1", *rc::gen::inRange<std::uint32_t>(20, 3000));
+    LoweredLimitsHarness harness;
+    const auto spec = arrayJob("wk-1", *rc::gen::inRange<std::uint32_t>(20, 3000));
     const auto chunkTasks = *rc::gen::inRange<std::uint32_t>(1, 300) * 4;
-    c.accept(spec, chunkTasks);
-    const auto* job = c.replica.find("wk-1");
-    std::vector<bool> set(spec.tasks), inChunks(spec.tasks);
+    harness.accept(spec, chunkTasks);
+    const auto* job = harness.replica.find("wk-1");
+    std::vector<bool> allBits(spec.tasks), chunkBits(spec.tasks);
     for (int i = 0; i < 12; ++i) {
         const auto task = *rc::gen::inRange<std::uint32_t>(0, spec.tasks);
-        // 3000 is the earlier version's way: the whole chunk, of what it knows.
+        // With 3000 bytes, whole chunks are written, as by the previous version, which knows only their bits.
         const auto bytes = *rc::gen::element<std::size_t>(16, 30, 100, 3000);
         const auto range = job->rangeOf(task, bytes);
-        auto bits = range.chunk ? inChunks : set;
-        bits[task] = set[task] = true;
-        if (range.chunk) inChunks[task] = true;
-        c.put(job->keyOf(range), storage::encodeBits(bits, range.first, range.end - range.first));
-        c.readLog();
-        RC_ASSERT(job->bitmapVersions.of(range) == c.store.revision);
+        auto bits = range.chunk ? chunkBits : allBits;
+        bits[task] = allBits[task] = true;
+        if (range.chunk) chunkBits[task] = true;
+        harness.put(job->keyOf(range), storage::encodeBits(bits, range.first, range.end - range.first));
+        harness.syncReplica();
+        RC_ASSERT(job->bitmapVersions.of(range) == harness.store.revision);
         RC_ASSERT(job->isDone(task));
-        RC_ASSERT(c.stored("wk-1") == set);
-        RC_ASSERT(readByTheEarlierVersion(c.store, spec, chunkTasks) == inChunks);
+        RC_ASSERT(harness.storedBitmap("wk-1") == allBits);
+        RC_ASSERT(readByPreviousVersion(harness.store, spec, chunkTasks) == chunkBits);
     }
-    RC_ASSERT(job->doneCount == static_cast<std::uint32_t>(std::count(set.begin(), set.end(), true)));
+    RC_ASSERT(job->doneCount == static_cast<std::uint32_t>(std::count(allBits.begin(), allBits.end(), true)));
 }
 
-// A chunk that the earlier version wrote is read and not written again; later bits go into parts. When that
-// version leads once more, no bit is lost.
+// A chunk that the previous version wrote must be read and not rewritten; later bits are written in parts. No
+// bit may be lost when a controller of the previous version becomes leader again.
 TEST(Limits, EarlierAndPresentVersionReadTheSameBitmap) {
-    Cluster c;
-    c.settings.nextStoreLimits = kNext;
-    const auto spec = arrayOf("wk-1", 40'000);
-    c.accept(spec, kOldChunk);
-    const auto early = bitsOf(every(7, 0, 40'000), 40'000);
+    LoweredLimitsHarness harness;
+    harness.settings.nextStoreLimits = kAnnouncedLimits;
+    const auto spec = arrayJob("wk-1", 40'000);
+    harness.accept(spec, kChunkTasksFor8KiB);
+    const auto earlierBits = bitmapOf(everyNth(7, 0, 40'000), 40'000);
     for (std::size_t chunk = 0; chunk < 3; ++chunk)
-        c.put(storage::keys::doneChunk("wk-1", chunk),
-              storage::encodeBits(early, chunk * kOldChunk, kOldChunk));
-    const auto before = c.store.values.at(storage::keys::doneChunk("wk-1", 0)).data;
-    c.lead();
-    c.heartbeat("wk-1", every(7, 1, 40'000));
-    c.run(5);
-    auto both = bitsOf(every(7, 1, 40'000), 40'000);
-    for (std::size_t t = 0; t < both.size(); t += 7) both[t] = true;
-    EXPECT_EQ(c.stored("wk-1"), both);
-    EXPECT_EQ(c.store.values.at(storage::keys::doneChunk("wk-1", 0)).data, before);
-    const auto seen = readByTheEarlierVersion(c.store, spec, kOldChunk);
-    EXPECT_TRUE(contains(seen, early));
-    EXPECT_TRUE(contains(both, seen));
-    // The earlier version leads and stores what it knows and one task more.
-    auto more = seen;
+        harness.put(storage::keys::doneChunk("wk-1", chunk),
+                    storage::encodeBits(earlierBits, chunk * kChunkTasksFor8KiB, kChunkTasksFor8KiB));
+    const auto chunkBefore = harness.store.values.at(storage::keys::doneChunk("wk-1", 0)).data;
+    harness.startLeader();
+    harness.heartbeat("wk-1", everyNth(7, 1, 40'000));
+    harness.run(5);
+    auto expectedBits = bitmapOf(everyNth(7, 1, 40'000), 40'000);
+    for (std::size_t t = 0; t < expectedBits.size(); t += 7) expectedBits[t] = true;
+    EXPECT_EQ(harness.storedBitmap("wk-1"), expectedBits);
+    EXPECT_EQ(harness.store.values.at(storage::keys::doneChunk("wk-1", 0)).data, chunkBefore);
+    const auto readByPrevious = readByPreviousVersion(harness.store, spec, kChunkTasksFor8KiB);
+    EXPECT_TRUE(contains(readByPrevious, earlierBits));
+    EXPECT_TRUE(contains(expectedBits, readByPrevious));
+    // A leader of the previous version stores the bits that it knows and one more.
+    auto more = readByPrevious;
     more[5] = true;
-    c.put(storage::keys::doneChunk("wk-1", 0), storage::encodeBits(more, 0, kOldChunk));
-    both[5] = true;
-    EXPECT_EQ(c.stored("wk-1"), both);
+    harness.put(storage::keys::doneChunk("wk-1", 0), storage::encodeBits(more, 0, kChunkTasksFor8KiB));
+    expectedBits[5] = true;
+    EXPECT_EQ(harness.storedBitmap("wk-1"), expectedBits);
 }
--- a/tests/storage/token_bucket_test.cpp
+++ b/tests/storage/token_bucket_test.cpp
@@ -1,4 +1,4 @@
-// How a controller paces its requests where the service's limit is not known for sure.
+// How a controller limits its request rate when the service's limit is unknown or may change.
 #include "storage/token_bucket.h"
 
 #include <gtest/gtest.h>
@@ -11,34 +11,34 @@
 using namespace burlpoint;
 using namespace std::chrono_literals;
 
-// The rate converges to what the service takes without knowing it, and grows again when the service takes
-// more.
+// The rate must converge to an unknown lower limit of the service, and must recover once the service's limit
+// is raised.
 TEST(TokenBucket, RateFollowsTheServicesLimitDownAndUp) {
     Time now{1000s};
     storage::TokenBucket bucket(24, now);
-    double saved = 25;  // by the service: a second's worth at most
-    const auto minute = [&](double limit) {
-        std::pair<int, int> taken{0, 0};  // changes carried out, refusals
+    double serviceTokens = 25;  // tokens of the service's own bucket, at most those of one second
+    const auto runOneMinute = [&](double limit) {
+        std::pair<int, int> counts{0, 0};  // accepted requests, rejections
         for (int step = 0; step < 3000; ++step) {
             now += 20ms;
-            saved = std::min(limit, saved + limit * 0.02);
+            serviceTokens = std::min(limit, serviceTokens + limit * 0.02);
             if (!bucket.tryTake(1, 0, now)) continue;
-            if (saved >= 1)
-                ++taken.first, --saved;
+            if (serviceTokens >= 1)
+                ++counts.first, --serviceTokens;
             else
-                ++taken.second, bucket.recordRefusal(now);
+                ++counts.second, bucket.recordRefusal(now);
         }
-        return taken;
+        return counts;
     };
-    EXPECT_EQ(minute(25).second, 0);
-    minute(12);
-    const auto [carried, refusals] = minute(12);
-    EXPECT_GT(carried, 60 * 12 * 0.75);
-    EXPECT_LT(refusals, 20);
-    minute(25);
+    EXPECT_EQ(runOneMinute(25).second, 0);
+    runOneMinute(12);
+    const auto [accepted, rejections] = runOneMinute(12);
+    EXPECT_GT(accepted, 60 * 12 * 0.75);
+    EXPECT_LT(rejections, 20);
+    runOneMinute(25);
     EXPECT_NEAR(bucket.ratePerSecond(now), 24, 0.01);
     for (int i = 0; i < 100; ++i) bucket.recordRefusal(now += 2s);
-    EXPECT_GE(bucket.ratePerSecond(now), 3);  // never below an eighth
+    EXPECT_GE(bucket.ratePerSecond(now), 3);  // never below an eighth of the maximum
     now += 1s;
     EXPECT_TRUE(bucket.tryTake(1, 0, now));
 }
@@ -46,14 +46,14 @@
 TEST(TokenBucket, RateStaysBelowTheAnnouncedLimitAfterARefusal) {
     Time now{1000s};
     storage::TokenBucket bucket(24, now, 16);
-    EXPECT_EQ(bucket.ratePerSecond(now += 10s), 24);  // it may still be had
+    EXPECT_EQ(bucket.ratePerSecond(now += 10s), 24);  // the higher limit may still be in force
     bucket.recordRefusal(now);
     EXPECT_LT(bucket.ratePerSecond(now), 16);
     EXPECT_NEAR(bucket.ratePerSecond(now += 100s), 16, 0.01);
 }
 
-// Refusals at the same time lower the rate once. A rate below one a second still lets single requests
-// through.
+// Simultaneous rejections must lower the rate only once. A rate below one per second must still allow single
+// requests.
 TEST(TokenBucket, SimultaneousRefusalsLowerTheRateOnce) {
     Time now{1000s};
     storage::TokenBucket bucket(24, now);
