--- a/src/coordination/state/transaction_limits.cpp
+++ b/src/coordination/state/transaction_limits.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxBytes =
-    std::size_t{48} * 1024;  // margin below the 64 KiB that a transaction may have
+// Leaves a margin below the 64 KiB that a transaction may have, as sizes are estimated.
+constexpr std::size_t kMaxBytes = std::size_t{48} * 1024;
 // Lower bounds: below these sizes nearly every write would be too large.
 constexpr std::size_t kMinBytes = 512;
 constexpr std::size_t kMinBitmapBytes = 16;
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -34,7 +34,7 @@
     std::uint64_t fencingToken = 0;
 };
 
-/// A worker machine that has registered.
+/// A machine in the machine registry. The address is empty until the machine has sent a heartbeat.
 struct MachineRecord {
     std::string address;
     std::string type;
--- a/tests/state/lowered_limits_fixture.h
+++ b/tests/state/lowered_limits_fixture.h
@@ -35,7 +35,8 @@
     return s;
 }
 
-/// A job with a record of 3 KiB, which is within the initial value limit but not within the lowered ones.
+/// A job with a record of 3 KiB, which is within the initial value limit of 8 KiB but exceeds the
+/// announced one of 2 KiB.
 inline protocol::JobSpec jobWithLongRecord(const std::string& id) {
     auto s = arrayJob(id, 2);
     s.types.emplace();
