--- a/src/coordination/scheduling/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -18,18 +18,21 @@
 
 namespace {
 
-// How long a service replica waits for a plain machine before it may use one with accelerators.
-constexpr auto kPlainMachinesOnly = 12s;
-// Plain machines count as full for replicas once they have capacity for no more than this many of them.
+// How long a service replica waits for a plain machine before it may use a machine with accelerators.
+constexpr auto kMaxWaitForPlainMachine = 12s;
+// The plain machines of a zone and purchase option count as full once their capacity suffices for no more
+// than this many replicas of the job.
 constexpr double kMinPlainReplicas = 4;
-// Where the cloud has no more machines, replicas may take up one of so many machines with accelerators.
-constexpr std::uint32_t kTakenUpOneOf = 8;
+// If the cloud has no more machines of a type with accelerators, replicas may occupy one in this many of the
+// machines that are up.
+constexpr std::uint32_t kOccupiedShareDivisor = 8;
 
 bool isReplica(const Job& job) { return job.spec.kind == JobKind::service; }
 
-/// What would be left of the machine for the demand, beside one more task of the job: replicas and tasks of
-/// `lowestPriority` and above stay; the others could be preempted.
-Resources leftBeside(const Job& job, const Machine& machine, Priority lowestPriority) {
+/// The machine's capacity that the demand could still use after one more task of the job. Replicas and tasks
+/// of `lowestPriority` and above are subtracted; tasks of lower priorities are not, since they could be
+/// preempted.
+Resources remainingForDemand(const Job& job, const Machine& machine, Priority lowestPriority) {
     auto left = bookkeeping::sizeOf(*machine.typeInfo) - bookkeeping::needOf(job.spec) -
                 machine.use.plain[bookkeeping::kReplicaUse];
     const auto lowest = static_cast<std::size_t>(lowestPriority);
@@ -52,10 +55,10 @@
         if (!bookkeeping::sizeOf(type).covers(need)) continue;
         if (allowed && std::find(allowed->begin(), allowed->end(), name) == allowed->end()) continue;
         auto& demand = demands_.try_emplace(name, Demand{need, job.priority()}).first->second;
-        auto& most = demand.perTask;
-        most.cpus = std::max(most.cpus, need.cpus);
-        most.gpus = std::max(most.gpus, need.gpus);
-        most.memoryGb = std::max(most.memoryGb, need.memoryGb);
+        auto& maxPerTask = demand.perTask;
+        maxPerTask.cpus = std::max(maxPerTask.cpus, need.cpus);
+        maxPerTask.gpus = std::max(maxPerTask.gpus, need.gpus);
+        maxPerTask.memoryGb = std::max(maxPerTask.memoryGb, need.memoryGb);
         demand.lowestPriority = std::min(demand.lowestPriority, job.priority());
     }
 }
@@ -66,7 +69,7 @@
     for (const auto* machine : up) {
         if (!machine->typeInfo) continue;
         if (machine->typeInfo->gpus <= 0 && usable(*machine, now)) countPlainCapacity(*machine);
-        countTakenUp(*machine);
+        countOccupied(*machine);
     }
 }
 
@@ -77,13 +80,13 @@
     cpus -= machine.use.preemptible.back().cpus;  // production tasks are not preempted
 }
 
-void AcceleratorPolicy::countTakenUp(const Machine& machine) {
+void AcceleratorPolicy::countOccupied(const Machine& machine) {
     const auto demand = demands_.find(machine.type);
     if (demand == demands_.end()) return;
     auto& count = machineCounts_[machine.type];
     ++count.all;
     const auto left = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.plain[bookkeeping::kReplicaUse];
-    if (!left.covers(demand->second.perTask)) ++count.takenUp;
+    if (!left.covers(demand->second.perTask)) ++count.occupied;
 }
 
 bool AcceleratorPolicy::allows(const Job& job, const Machine& machine, Time now) const {
@@ -94,46 +97,48 @@
     const auto found = demands_.find(machine.type);
     if (found == demands_.end()) return mayUseWithoutDemand(job);
     const auto& demand = found->second;
-    // Tasks of a lower priority can be preempted by the jobs that need the machine; replicas can't.
+    // Jobs that need the machine can preempt tasks of a lower priority, but no replicas.
     if (job.priority() < demand.lowestPriority && !isReplica(job)) return true;
-    const auto left = leftBeside(job, machine, demand.lowestPriority);
+    const auto left = remainingForDemand(job, machine, demand.lowestPriority);
     if (left.covers(demand.perTask)) return true;
     return isReplica(job) && replicaMayUse(job, machine, demand, left, now);
 }
 
-/// A replica stays for as long as its service does and would occupy the expensive machine for all that time.
+/// True if the job is a service that should wait for a plain machine first: a replica runs as long as its
+/// service and would occupy the expensive machine for all that time.
 bool AcceleratorPolicy::waitsForPlainMachine(const Job& job, Time now) const {
-    if (!isReplica(job) || now - job.run->waitingSince >= kPlainMachinesOnly) return false;
+    if (!isReplica(job) || now - job.run->waitingSince >= kMaxWaitForPlainMachine) return false;
     return plainMachineObtainable(job.spec, types_, capacityErrors_, now);
 }
 
-/// May the job use a machine with accelerators of a type that no job has demanded so far? Jobs of higher
-/// priorities may not, unless they depend on it, since the first that demands the type could hardly preempt
-/// them.
+/// True if the job may use a machine with accelerators of a type that no job has demanded so far. Tasks of
+/// high and production priority may not, since the first job that demands the type could hardly preempt them.
+/// Services and jobs that can run only on machines with accelerators are exempt.
 bool AcceleratorPolicy::mayUseWithoutDemand(const Job& job) const {
     return job.priority() < Priority::high || isReplica(job) || needsAcceleratorMachine(job.spec, types_);
 }
 
-/// May a replica use the machine though that leaves (`left`) too little for the demand? Only where it can't
-/// go to a plain machine, neither a new one nor one that is up.
+/// True if a replica may use the machine although the capacity that remains (`left`) is too small for the
+/// demand. Requires that no plain machine is available to it, neither a new one nor one that is up.
 bool AcceleratorPolicy::replicaMayUse(const Job& job, const Machine& machine, const Demand& demand,
                                       const Resources& left, Time now) const {
     if (plainMachineObtainable(job.spec, types_, capacityErrors_, now)) return false;
     const auto plain = plainCpus_.find({machine.zone, machine.spot});
     if (plain != plainCpus_.end() && plain->second > kMinPlainReplicas * job.spec.cpus) return false;
-    // One more replica takes nothing from the demand where others leave too little already.
-    const bool takenUp = !(left + bookkeeping::needOf(job.spec)).covers(demand.perTask);
-    return takenUp || replicaMayTakeUp(machine, now);
+    // If the machine is already too full for the demand, one more replica takes nothing from it.
+    const bool occupied = !(left + bookkeeping::needOf(job.spec)).covers(demand.perTask);
+    return occupied || replicaMayOccupy(machine, now);
 }
 
-/// May a replica take up a machine that has had capacity for the demand so far? Only as long as the cloud has
-/// more of them, or replicas have taken up no more than their share.
-bool AcceleratorPolicy::replicaMayTakeUp(const Machine& machine, Time now) const {
+/// True if a replica may occupy a machine that still has capacity for the demand: none of its accelerators
+/// may be in use, and either the cloud has more such machines or replicas occupy less than their share of
+/// them.
+bool AcceleratorPolicy::replicaMayOccupy(const Machine& machine, Time now) const {
     if (machine.use.total.gpus > 0) return false;
     const auto found = machineCounts_.find(machine.type);
-    const bool fewTakenUp =
-        found == machineCounts_.end() || found->second.takenUp * kTakenUpOneOf < found->second.all;
-    return fewTakenUp || moreObtainable(machine.type, now);
+    const bool fewOccupied =
+        found == machineCounts_.end() || found->second.occupied * kOccupiedShareDivisor < found->second.all;
+    return fewOccupied || moreObtainable(machine.type, now);
 }
 
 bool AcceleratorPolicy::moreObtainable(const std::string& type, Time now) const {
--- a/src/coordination/scheduling/attempt_id_generator.h
+++ b/src/coordination/scheduling/attempt_id_generator.h
@@ -1,13 +1,14 @@
 #pragma once
 
-// Generates attempt numbers. Owns the counter of one leader. Used on the leader's thread.
+// Generates attempt numbers that are unique across leaders. Owns the counter of one leader. Used on the
+// leader's thread.
 
 #include <cstdint>
 
 namespace burlpoint::coordination {
 
-/// Generates numbers that no attempt had before: the leader's fencing token, which no other leader has, in
-/// the upper 32 bits and a counter in the lower 32.
+/// Generates numbers that no earlier attempt had. The upper 32 bits hold the leader's fencing token, which no
+/// other leader has, and the lower 32 bits a counter.
 class AttemptIdGenerator {
   public:
     explicit AttemptIdGenerator(std::uint64_t fencingToken) : last_(fencingToken << kCounterBits) {}
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -17,23 +17,24 @@
 
 namespace {
 
-// Starts are added to a response until it has so many commands, the stops before them included. That keeps
-// the response well below 64 KiB.
+// No start is added to a response that has this many commands, stops included. This keeps the response well
+// below 64 KiB.
 constexpr std::size_t kMaxCommandsForStart = 250;
-// Freed capacity is reserved for so many heartbeat intervals.
+// Heartbeat intervals for which capacity is reserved for a waiting job.
 constexpr int kReservedIntervals = 3;
 
 WorkerCommand startCommand(const Job& job, std::uint32_t task, std::uint64_t attempt) {
     return {CommandKind::start, {job.spec.id, task, attempt}, Seconds(0)};
 }
 
-/// The first of the waiting jobs from `first` on that has another rank than it.
+/// The first job after `first` whose rank differs from that of `first`, or `end`.
 auto endOfRank(std::vector<Job*>::const_iterator first, std::vector<Job*>::const_iterator end) {
     const auto rank = rankOf(**first);
     return std::find_if(first, end, [&](const Job* job) { return rankOf(*job) != rank; });
 }
 
-/// Could a waiting task of the job fit on the machine? The cheapest check, so it is made first.
+/// True if the job has a waiting task that fits into the machine's unused capacity, reservations ignored.
+/// This is the cheapest check, so it is made first.
 bool mightFit(const Job& job, const Machine& machine) {
     return job.run->waiting > 0 && hasFreeCapacity(machine, job);
 }
@@ -52,13 +53,13 @@
         const JobSpan ofRank(first, last);
         if (hasCapacity) startCachedAndPaced(heartbeat, ofRank);
         if (rankOf(**first) >= Rank::high)
-            for (const auto* job : ofRank) reserveForLater(machine, *job, now);
+            for (const auto* job : ofRank) reserveForWaitingJob(machine, *job, now);
         if (hasCapacity) fillLeftoverCapacity(heartbeat, ofRank);
         first = last;
     }
 }
 
-/// Starts the gang tasks that are planned on the machine. Their capacity is accounted for already.
+/// Starts the gang tasks that are planned on the machine. The fleet already counts their capacity as used.
 void DegradedFirstScheduler::startPlannedTasks(HeartbeatHandling& heartbeat, Fleet& fleet) {
     for (auto& [key, placement] : heartbeat.machine.placements) {
         if (placement.state != PlacementState::planned) continue;
@@ -70,7 +71,8 @@
     }
 }
 
-/// For the jobs of one rank: all cached tasks that fit, and a paced fetch unless the heartbeat has one.
+/// For the jobs of one rank, starts all cached tasks that fit, and one paced fetch unless one has been
+/// started for this heartbeat.
 void DegradedFirstScheduler::startCachedAndPaced(HeartbeatHandling& heartbeat, JobSpan jobs) {
     auto& machine = heartbeat.machine;
     for (auto* job : jobs) {
@@ -95,7 +97,8 @@
     return context_.images.capacityWithImage(job, now) < job.run->waiting;
 }
 
-/// For the jobs of one rank: the capacity left over takes any waiting tasks, also such that fetch.
+/// For the jobs of one rank, fills the remaining capacity with waiting tasks that need a fetch, without
+/// pacing.
 void DegradedFirstScheduler::fillLeftoverCapacity(HeartbeatHandling& heartbeat, JobSpan jobs) {
     auto& machine = heartbeat.machine;
     for (auto* job : jobs) {
@@ -106,7 +109,7 @@
     }
 }
 
-/// Starts the waiting tasks that do not fit on machines with the image. They share one fetch.
+/// Starts the waiting tasks that do not fit on machines with the image. All of them share one fetch.
 void DegradedFirstScheduler::startFetchingTasks(HeartbeatHandling& heartbeat, Job& job) {
     auto& machine = heartbeat.machine;
     const auto waiting = job.run->waiting;
@@ -118,8 +121,8 @@
     }
 }
 
-/// Starts a waiting task of the job on the machine, whether or not that has the image. False if none may
-/// start there.
+/// Starts a waiting task of the job on the machine, whether or not the machine has the image. Returns false
+/// if no task may start there.
 bool DegradedFirstScheduler::startOneTask(HeartbeatHandling& heartbeat, Job& job) {
     if (!mayStartOneTask(heartbeat, job)) return false;
     const auto task = job.firstWaiting();
@@ -143,7 +146,7 @@
 
 bool DegradedFirstScheduler::mayStartOneTask(const HeartbeatHandling& heartbeat, const Job& job) const {
     if (heartbeat.commands.size() >= kMaxCommandsForStart) return false;
-    // Larger gangs are GangPlanner's. A gang of one task, too, has only one attempt at a time.
+    // GangPlanner places gangs of several tasks. A gang of one task may have only one attempt at a time.
     const bool gang = job.spec.kind == JobKind::gang;
     if (gang && (job.spec.tasks > 1 || job.run->placedTotal > 0)) return false;
     if (!mayUse(heartbeat.machine, job, heartbeat.now)) return false;
@@ -151,17 +154,18 @@
     return available.covers(bookkeeping::needOf(job.spec));
 }
 
-/// Do all constraints but capacity allow one more task of the job on the machine?
+/// True if all constraints except capacity allow one more task of the job on the machine.
 bool DegradedFirstScheduler::mayUse(const Machine& machine, const Job& job, Time now) const {
     if (!context_.constraints.mayStart(job, machine, now)) return false;
     if (blockedByUnreconciled(job, context_.fleet)) return false;
     return withinTeamQuota(job, 1, context_.fleet, context_.types);
 }
 
-/// Reserves the machine for the job if a task of it does not fit yet, but could in time. Otherwise capacity
-/// that is freed bit by bit would always go to small tasks of low priority. Mostly this spares a preemption.
-/// No more machines are reserved than the job has waiting tasks.
-void DegradedFirstScheduler::reserveForLater(Machine& machine, const Job& job, Time now) {
+/// Reserves the machine for the job if a task of the job does not fit yet but would fit once tasks that the
+/// job may preempt have ended. Without the reservation, capacity that is freed in small amounts would always
+/// go to small tasks of low priority. In most cases this avoids a preemption. The number of machines reserved
+/// is at most the number of the job's waiting tasks.
+void DegradedFirstScheduler::reserveForWaitingJob(Machine& machine, const Job& job, Time now) {
     const auto& run = *job.run;
     if (run.waiting == 0 || machine.reservation.isActive(now) || bookkeeping::isLargeGang(job.spec)) return;
     const auto need = bookkeeping::needOf(job.spec);
--- a/src/coordination/scheduling/degraded_first_scheduler.h
+++ b/src/coordination/scheduling/degraded_first_scheduler.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Degraded-first scheduling (the paper is cited in fetch_pacing.h): decides which tasks a machine starts with
-// the response to its heartbeat. Owns no state: placements and reservations are in the fleet, counts in the
-// jobs' runs and the state of the pacing in FetchPacing. Used on the leader's thread.
+// Degraded-first scheduling (the paper is cited in fetch_pacing.h): decides which tasks the response to a
+// machine's heartbeat starts. Owns no state: placements and reservations are in the fleet, counters in the
+// jobs' runs and the pacing state in FetchPacing. Used on the leader's thread.
 
 #include <span>
 #include <vector>
@@ -20,7 +20,7 @@
 
 namespace burlpoint::coordination {
 
-/// What the scheduler decides by and acts on.
+/// The settings, state and components that the scheduler uses.
 struct SchedulerContext {
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
@@ -32,27 +32,27 @@
     AttemptIdGenerator& attempts;
 };
 
-/// For each heartbeat, goes through the ranks of the job queue. For each rank it starts, in the queue's
-/// order: first the cached tasks that fit (those whose image the machine has) and at most one paced fetch for
-/// the whole heartbeat, then any waiting task that fits into the capacity left over. It finishes one rank
-/// before the next, so that cached tasks of a lower rank do not take the capacity for a higher one's fetch.
-/// Tasks of larger gangs start where GangPlanner planned them.
+/// For each heartbeat, iterates over the ranks of the job queue. In each rank it starts, in the queue's
+/// order, first the cached tasks that fit (tasks whose image the machine has) and at most one paced fetch for
+/// the whole heartbeat, then any waiting task that fits into the remaining capacity. It completes one rank
+/// before the next, so that cached tasks of a lower rank do not take capacity that a higher rank's fetch
+/// could use. Tasks of gangs with several tasks start where GangPlanner has planned them.
 class DegradedFirstScheduler {
   public:
-    /// All that the context refers to has to outlive this.
+    /// Everything that the context refers to must outlive this object.
     explicit DegradedFirstScheduler(const SchedulerContext& context);
 
-    /// Adds the start commands that go with the response to the machine's heartbeat. The job queue and the
-    /// pacing must be up to date, and the machine usable.
+    /// Appends the start commands for the response to the machine's heartbeat. The job queue and the pacing
+    /// must be up to date, and the machine must be usable.
     void schedule(bookkeeping::Machine& machine, std::vector<protocol::WorkerCommand>& commands, Time now);
 
   private:
     using JobSpan = std::span<bookkeeping::Job* const>;  // consecutive waiting jobs, in the queue's order
 
-    /// The handling of one heartbeat.
+    /// The state of handling one heartbeat.
     struct HeartbeatHandling {
         bookkeeping::Machine& machine;
-        std::vector<protocol::WorkerCommand>& commands;  // of the response
+        std::vector<protocol::WorkerCommand>& commands;  // in the response
         Time now;
         bool pacedFetchStarted = false;  // the paper's isDegradedTaskAssigned
     };
@@ -65,7 +65,7 @@
     bool startOneTask(HeartbeatHandling& heartbeat, bookkeeping::Job& job);
     bool mayStartOneTask(const HeartbeatHandling& heartbeat, const bookkeeping::Job& job) const;
     bool mayUse(const bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now) const;
-    void reserveForLater(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
+    void reserveForWaitingJob(bookkeeping::Machine& machine, const bookkeeping::Job& job, Time now);
 
     const SchedulerContext context_;
 };
--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-// How far one fetch moves the mean fetch time towards its own. So the mean follows a change of the images
-// within some tens of fetches, and no single one moves it far.
+// Weight of the newest fetch in the exponential moving average of the fetch time. With 0.1 the average
+// follows a change of the images within some tens of fetches, and no single fetch moves it far.
 constexpr double kFetchTimeWeight = 0.1;
-// A zone counts for E[tr] while one of its machines sent a heartbeat within so many heartbeat intervals.
+// A zone counts for E[tr] if one of its machines has sent a heartbeat within this many heartbeat intervals.
 constexpr double kZoneHeartbeatIntervals = 3;
-// Seconds by which rounding of the sums may let ts exceed E[ts].
+// Tolerance in seconds when ts is compared with E[ts], for rounding of the sums.
 constexpr double kTimeTolerance = 1e-9;
 
 }  // namespace
@@ -30,7 +30,8 @@
     const auto upWithImage = std::count_if(withImage.begin(), withImage.end(), [](const auto* machine) {
         return machine->lease.active && machine->agent.acknowledged;
     });
-    // At most 1: machines that came up since the last refresh are in the first count only.
+    // The ratio is limited to 1, because machines that came up since the last refresh are in the first count
+    // only.
     const double share = std::min(1.0, static_cast<double>(upWithImage) / static_cast<double>(machinesUp_));
     job.run->admitted = true;
     job.run->expectedPacedFetches = job.spec.tasks * (1 - share);  // Md
@@ -45,13 +46,13 @@
     double sum = 0;
     for (const auto* machine : up) {
         sum += cachedTaskTime(*machine);
-        // A zone that is cut off would raise E[tr] for all others.
+        // A partitioned zone would raise E[tr] and so delay fetches in all others.
         if (now - machine->lease.lastHeartbeat < recent) zonesWithHeartbeats_.insert(machine->zone);
     }
     meanCachedTaskTime_ = up.empty() ? 0 : sum / static_cast<double>(up.size());
 }
 
-/// The waiting tasks of an image are taken to be shared by the processors of all machines that have it.
+/// Assumes that the waiting tasks of an image are shared by the processors of all machines that have it.
 void FetchPacing::refreshImageWork(const std::vector<Job*>& waiting, const Fleet& fleet) {
     imageWork_.clear();
     for (const auto* job : waiting) {
@@ -67,11 +68,11 @@
 }
 
 bool FetchPacing::allows(const Job& job, const Machine& machine, Time now) const {
-    return withinFetchShare(job) && hasSpareTime(machine) && zoneMayFetch(machine.zone, now);
+    return withinFetchShare(job) && cachedWorkWithinMean(machine) && zoneMayFetch(machine.zone, now);
 }
 
-/// m/M >= md/Md, without the divisions: the degraded tasks are spread evenly over the job's launches. A job
-/// without expected ones (Md = 0) has nothing to spread.
+/// True if m/M >= md/Md, computed without divisions. This spreads the degraded tasks evenly over the job's
+/// launches. Always true for a job without expected degraded tasks (Md = 0).
 bool FetchPacing::withinFetchShare(const Job& job) const {
     const auto& run = *job.run;
     const double tasks = job.spec.tasks;                      // M
@@ -80,12 +81,13 @@
     return run.launchedTasks * expectedFetches >= run.pacedFetches * tasks;  // m * Md >= md * M
 }
 
-/// ts <= E[ts] (the paper's ASSIGNTOSLAVE): a machine with more cached tasks than the mean is left to these.
-bool FetchPacing::hasSpareTime(const Machine& machine) const {
+/// True if ts <= E[ts] (the paper's ASSIGNTOSLAVE). A machine with more cached work than the mean is kept for
+/// that work.
+bool FetchPacing::cachedWorkWithinMean(const Machine& machine) const {
     return cachedTaskTime(machine) <= meanCachedTaskTime_ + kTimeTolerance;
 }
 
-/// ts, in seconds.
+/// The machine's ts, in seconds.
 double FetchPacing::cachedTaskTime(const Machine& machine) const {
     double seconds = 0;
     for (const auto& [image, gb] : machine.images) {
@@ -95,7 +97,7 @@
     return seconds;
 }
 
-/// tr >= min(E[tr], threshold) (the paper's ASSIGNTORACK). A zone that never fetched may do so at once.
+/// True if tr >= min(E[tr], threshold) (the paper's ASSIGNTORACK), or if the zone has never fetched.
 bool FetchPacing::zoneMayFetch(const std::string& zone, Time now) const {
     const auto last = lastFetch_.find(zone);
     if (last == lastFetch_.end()) return true;
@@ -103,7 +105,7 @@
     return sinceFetch >= std::min(meanTimeSinceFetch(now), expectedFetchTime());
 }
 
-/// E[tr] over the zones that have fetched and send heartbeats; 0 without any.
+/// E[tr] over the zones that have fetched and that send heartbeats; 0 if there are none.
 Seconds FetchPacing::meanTimeSinceFetch(Time now) const {
     Seconds sum{0};
     std::size_t count = 0;
--- a/src/coordination/scheduling/gang_capacity.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::uint32_t tasksBesideReplicas(const Machine& machine, const Resources& need) {
+std::uint32_t tasksWithReplicasOnly(const Machine& machine, const Resources& need) {
     const auto replicas = machine.use.plain[bookkeeping::kReplicaUse];
     return (bookkeeping::sizeOf(*machine.typeInfo) - replicas).times(need);
 }
@@ -23,7 +23,7 @@
                 GangCapacity& capacity) {
     const auto need = bookkeeping::needOf(job.spec);
     if (bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot))
-        capacity.besideReplicas += tasksBesideReplicas(machine, need);
+        capacity.withReplicasOnly += tasksWithReplicasOnly(machine, need);
     if (!bookkeeping::sizeOf(*machine.typeInfo).covers(need)) return;
     if (!constraints.mayStart(job, machine, now)) return;
     if (isReservedByPreemption(machine, now) && machine.reservation.job != &job) return;
@@ -45,7 +45,7 @@
         if (usable(*machine, now)) addMachine(*machine, job, constraints, now, capacity);
     }
     capacity.withPreemption = std::min(capacity.withPreemption, job.spec.tasks);
-    capacity.besideReplicas = std::min(capacity.besideReplicas, job.spec.tasks);
+    capacity.withReplicasOnly = std::min(capacity.withReplicasOnly, job.spec.tasks);
     return capacity;
 }
 
--- a/src/coordination/scheduling/gang_capacity.h
+++ b/src/coordination/scheduling/gang_capacity.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How much capacity the zones have for a gang of several tasks, counting tasks that it could preempt. Pure
-// functions apart from the scan counter; owns nothing. Used on the leader's thread.
+// Computes how much capacity the zones have for a gang of several tasks, counting tasks that it could
+// preempt. Pure functions apart from the scan counter; owns no state. Used on the leader's thread.
 
 #include <cstdint>
 #include <string>
@@ -19,21 +19,21 @@
 struct GangCapacity {
     struct OnMachine {
         bookkeeping::Machine* machine = nullptr;
-        std::uint32_t tasks = 0;  // that fit if all that may be preempted were
+        std::uint32_t tasks = 0;  // that fit if all tasks that the gang may preempt were stopped
     };
 
-    std::string zone;                  // or kAllZones
-    std::uint32_t withPreemption = 0;  // if all that may be preempted were; at most the gang's size
-    std::uint32_t besideReplicas = 0;  // if all but service replicas left; at most the gang's size
-    std::uint32_t free = 0;            // at once
-    std::vector<OnMachine> machines;   // those with capacity for at least one task
+    std::string zone;                    // a zone, or kAllZones
+    std::uint32_t withPreemption = 0;    // if all preemptible tasks were stopped; at most the gang's size
+    std::uint32_t withReplicasOnly = 0;  // if only service replicas ran; at most the gang's size
+    std::uint32_t free = 0;              // without preemption
+    std::vector<OnMachine> machines;     // machines with capacity for at least one task
 
-    /// The greater capacity is the better one for the gang.
-    auto comparisonKey() const { return std::tuple(withPreemption, besideReplicas, free); }
+    /// A greater key means a zone that suits the gang better.
+    auto comparisonKey() const { return std::tuple(withPreemption, withReplicasOnly, free); }
 };
 
-/// The capacity of the best zone for the gang, or of all zones together if it need not be in one. Walks over
-/// all machines for each zone.
+/// The capacity of the best zone for the gang, or of all zones together if the gang is not restricted to one
+/// zone. Iterates over all machines once for each zone.
 GangCapacity bestGangCapacity(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet,
                               const std::vector<std::string>& zones, const PlacementConstraints& constraints,
                               ScanCounter& scans, Time now);
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -16,16 +16,17 @@
 
 namespace {
 
-// Bounds the cost of planning, which walks over the fleet.
+// Bounds the cost of planning, which iterates over the whole fleet.
 constexpr std::chrono::milliseconds kPlanInterval{200};
-// The gang's other tasks wait for a lost one's replacement until `gangWaitTimeout`. A replacement is started
-// only within this share of that time, so that it can be fetched and ready before they time out.
+// When a task of a gang is lost, the others wait up to `gangWaitTimeout` for its replacement. A replacement
+// is started only within this share of that time, so that its image can be fetched and it is ready before
+// they time out.
 constexpr double kMaxShareOfGangWait = 0.3;
 
-// Scores of a machine; their sum decides. Each one outweighs all smaller ones together.
-constexpr int kAllHaveImageScore = 8;  // no task of the gang has to fetch, and a gang waits for its slowest
+// Terms of a machine's score. Each one outweighs the sum of all smaller ones.
+constexpr int kAllHaveImageScore = 8;  // no task has to fetch; a gang waits for its slowest task
 constexpr int kReservedScore = 4;      // reserved for the gang
-constexpr int kOnDemandScore = 2;      // the interruption of a spot machine stops the whole gang
+constexpr int kOnDemandScore = 2;      // not spot, whose interruption would stop the whole gang
 constexpr int kHasImageScore = 1;
 
 int scoreOf(const Machine& machine, const Job& job) {
@@ -100,7 +101,8 @@
         if (zoneAllows(job, zone) && planIn(zone, machines, job, now)) return;
 }
 
-/// Plans the whole gang on machines in the zone. False, with nothing planned, if it does not fit there.
+/// Plans the whole gang on machines in the zone. Returns false, with nothing planned, if it does not fit
+/// there.
 bool GangPlanner::planIn(const std::string& zone, const Machines& machines, Job& job, Time now) {
     auto candidates = candidatesIn(zone, machines, job, now);
     const auto waiting = job.run->waiting;
@@ -139,11 +141,13 @@
 bool GangPlanner::isCandidate(const Machine& machine, const Job& job, Time now) const {
     if (!hasFreeGpus(machine, job.spec.gpus) || !hasFreeCpus(machine, job.spec.cpus)) return false;
     if (!constraints_.mayStart(job, machine, now)) return false;
-    // A machine that lost a task of this attempt must not get a replacement under the same attempt number.
+    // A machine where a task of this attempt has ended must not get a replacement under the same attempt
+    // number.
     return job.run->placedTotal == 0 || !job.run->machinesLeft.contains(machine.id);
 }
 
-/// A machine for each waiting task, the first candidates first; fewer if the zones allow no more.
+/// Chooses a machine for each waiting task, in the order of the candidates. Returns fewer if the limit of
+/// tasks per zone or the candidates' capacity allows no more.
 GangPlanner::Machines GangPlanner::choose(const std::vector<Candidate>& candidates, const Job& job) {
     Machines chosen;
     std::map<std::string, std::uint32_t> tasksInZone = job.run->zones;
--- a/src/coordination/scheduling/gang_planner.h
+++ b/src/coordination/scheduling/gang_planner.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // Gang scheduling: finds capacity for all tasks of a gang at once and reserves it, so that each task can
-// start with its machine's next heartbeat. Owns when it last planned; what it plans is in the fleet as
-// planned placements. Used on the leader's thread.
+// start with the response to its machine's next heartbeat. Owns the time of the next planning run; the plans
+// are kept in the fleet as planned placements. Used on the leader's thread.
 
 #include <cstdint>
 #include <string>
@@ -19,30 +19,30 @@
 
 namespace burlpoint::coordination {
 
-/// Plans gangs of several tasks, whole or not at all. Gangs of one task are scheduled like other jobs.
+/// Plans gangs of several tasks, all tasks or none. Gangs of one task are scheduled like other jobs.
 class GangPlanner {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// Keeps references to all arguments, which must outlive this object.
     GangPlanner(const protocol::Settings& settings, bookkeeping::Fleet& fleet,
                 const bookkeeping::MachineTypes& types, const PlacementConstraints& constraints,
                 JobQueue& jobQueue, ZoneReservations& zoneReservations, AttemptIdGenerator& attempts);
 
-    /// Plans the waiting gangs that there is capacity for now, in the job queue's order. Walks over all
-    /// machines, so it does so five times a second at most.
+    /// Plans the waiting gangs for which there is capacity now, in the job queue's order. Iterates over all
+    /// machines, so it does nothing if called within 200 ms of the last run.
     void plan(Time now);
 
-    /// May the gang have its waiting tasks placed? True for a gang without any placement, which begins as a
-    /// whole. True also for a gang that lost a task before it began: it takes a replacement under the same
-    /// attempt number, as the other tasks go on waiting for it. So a new leader completes a gang of which the
-    /// earlier leader had started only a part.
+    /// True if the gang's waiting tasks may be placed. This holds for a gang without any placement, which
+    /// starts as a whole. It also holds for a gang that lost a task before it began to run and whose other
+    /// tasks still wait: the lost task is replaced under the same attempt number. This lets a new leader
+    /// complete a gang that the earlier leader started only in part.
     bool mayComplete(const bookkeeping::Job& job, Time now) const;
 
   private:
     /// A machine with capacity for some of a gang's tasks.
     struct Candidate {
         bookkeeping::Machine* machine = nullptr;
-        std::uint32_t tasks = 0;  // that fit
-        int score = 0;            // the higher the better
+        std::uint32_t tasks = 0;  // that fit on the machine
+        int score = 0;            // higher is better
         bool hasImage = false;
     };
     using Machines = std::vector<bookkeeping::Machine*>;
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -13,10 +13,11 @@
 
 namespace {
 
-// How long an answer is kept for a job. Much shorter than the usual heartbeat interval, so that it is little
-// out of date, and long enough for many machines' heartbeats to share it.
+// How long a result is cached for a job. This is much shorter than the usual heartbeat interval, so that the
+// result is not very stale, and long enough that the heartbeats of many machines share it.
 constexpr std::chrono::milliseconds kCacheTime{250};
-// A machine is due to send a heartbeat soon unless the last one is older than so many heartbeat intervals.
+// A machine is expected to send a heartbeat soon unless its last one is older than this many heartbeat
+// intervals.
 constexpr double kMaxHeartbeatIntervals = 1.5;
 
 }  // namespace
@@ -49,7 +50,8 @@
     return run.roomWithImage;
 }
 
-/// Would the job miss the wait objective of its class by a fetch, but not without one?
+/// True if a fetch would make the job miss the wait objective of its class, and the objective is not missed
+/// yet.
 bool ImageLocality::fetchWouldMissObjective(const Job& job, Time now) const {
     const auto& objective = job.run->shortestWaitObjective;
     if (!objective || !policy_.preempt) return false;
--- a/src/coordination/scheduling/image_locality.h
+++ b/src/coordination/scheduling/image_locality.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Looks up what machines that already have a job's image can offer it, so that its tasks need no fetch. Owns
-// no state of its own: answers are cached in the job's run for a moment, so that handling a heartbeat does
-// not search the fleet each time. Used on the leader's thread.
+// Looks up the capacity of machines that already have a job's image, where its tasks need no fetch. Owns no
+// state: results are cached in the job's run for 250 ms, so that not every heartbeat leads to a search of the
+// fleet. Used on the leader's thread.
 
 #include <cstdint>
 
@@ -18,18 +18,18 @@
 
 class ImageLocality {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// Keeps references to all arguments, which must outlive this object.
     ImageLocality(const protocol::Settings& settings, const protocol::Policy& policy,
                   const bookkeeping::Fleet& fleet, const FetchPacing& pacing,
                   const PlacementConstraints& constraints, ScanCounter& scans);
 
-    /// How many of the job's waiting tasks fit on machines that have its image and are due to send a
-    /// heartbeat soon.
+    /// The number of the job's tasks that fit on machines that have its image and are expected to send a
+    /// heartbeat soon. The count stops once it covers all waiting tasks.
     std::uint32_t capacityWithImage(bookkeeping::Job& job, Time now);
 
-    /// Should the job wait for a machine that has its image? True if a fetch would make it miss the wait
-    /// objective of its class, while such a machine could take it, by preemption if need be. Never true where
-    /// the policy switches preemption off.
+    /// True if the job should wait for a machine that has its image: a fetch would make it miss the wait
+    /// objective of its class, and such a machine could run a task of it, with preemption if necessary. Never
+    /// true if the policy disables preemption.
     bool waitsForImage(bookkeeping::Job& job, Time now);
 
   private:
--- a/src/coordination/scheduling/job_activator.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-// The kind of objective that bounds the time until a task starts, as the settings write it.
+// The kind of objective that bounds the time until a task starts, as written in the settings.
 constexpr std::string_view kWaitObjective = "wait";
 
-/// The shortest time within which tasks of the class should start, by the service-level objectives; none if
-/// no objective says so.
+/// The shortest time within which tasks of the class should start by the service-level objectives, or nullopt
+/// if no wait objective applies to the class.
 std::optional<Seconds> shortestWaitObjective(const Settings& settings, const std::string& jobClass) {
     std::optional<Seconds> shortest;
     for (const auto& objective : settings.objectives) {
@@ -41,7 +41,7 @@
     run.readyAt = std::min(now, wallClock_.steadyAt(job.readyMs));
     spdlog::debug("job run began job={} class={} tasks={} ready_for_s={:.3f}", job.spec.id, job.spec.jobClass,
                   job.spec.tasks, Seconds(now - run.readyAt).count());
-    // An earlier leader may have stored the last finished tasks, but not yet the end of the job.
+    // An earlier leader may have stored the last finished tasks but not the job's terminal state.
     if (job.doneCount == job.spec.tasks) writer_.noteUnstored(job);
     jobQueue_.add(job);
 }
--- a/src/coordination/scheduling/job_activator.h
+++ b/src/coordination/scheduling/job_activator.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Begins the run of a job: from then on this leader places its tasks. Owns no state; the runs belong to the
-// jobs. Used on the leader's thread.
+// Begins the run of a job, after which this leader places the job's tasks. Owns no state; each job owns its
+// run. Used on the leader's thread.
 
 #include "base/clock.h"
 #include "base/wall_clock.h"
@@ -14,11 +14,11 @@
 
 class JobActivator {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// Keeps references to all arguments, which must outlive this object.
     JobActivator(const protocol::Settings& settings, const WallClock& wallClock, JobQueue& jobQueue,
                  StateWriter& writer);
 
-    /// Begins the run of a job that has none and adds it to the job queue.
+    /// Begins the run of a job that has none and adds the job to the queue.
     void begin(bookkeeping::Job& job, bookkeeping::JobOrigin origin, Time now);
 
   private:
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -15,17 +15,18 @@
 
 namespace {
 
-// The order that a heartbeat meets may be out of date by this.
+// Minimum time between two sorts, and so the maximum staleness of the order that a heartbeat is served by.
 constexpr auto kRefreshInterval = 100ms;
 
-// Positions within a rank, the lower the sooner. A job with a deadline that can still be met has the
-// processor seconds that it still needs, which lie between the first two.
+// Positions within a rank; lower positions are served first. The position of a job whose deadline can still
+// be met is the processor seconds that its waiting tasks need, which lie between kOverduePosition and
+// kArrivalPosition.
 constexpr double kOverduePosition = -1;
 constexpr double kMissedDeadlinePosition = 1e18;
 constexpr double kArrivalPosition = kMissedDeadlinePosition / 2;
 
-// A deadline can't be met once less than this share of one task's estimated run time is left. Below 1, since
-// estimates are rough.
+// A deadline counts as missed once less than this share of one task's estimated run time is left. The share
+// is below 1, since estimates are rough.
 constexpr double kMinShareOfEstimate = 0.8;
 
 void setRank(Job& job, Rank rank) { job.run->rank = static_cast<int>(rank); }
@@ -81,7 +82,8 @@
     return true;
 }
 
-/// Brings the open jobs' priorities and ranks up to date and collects those with waiting tasks, by arrival.
+/// Updates the priorities and ranks of the open jobs and collects the jobs with waiting tasks in order of
+/// arrival.
 void JobQueue::collectWaiting(Fleet& fleet, const WallClock& clock, Time now) {
     waiting_.clear();
     minCpus_ = std::numeric_limits<double>::max();
@@ -97,8 +99,8 @@
     }
 }
 
-/// Does the demand of the team's jobs up to and including this one stay within its guaranteed quota? Must be
-/// called once for each open job, in order of arrival.
+/// True if the demand of the team's jobs up to and including this one is within the team's guaranteed quota.
+/// Must be called once for each open job, in order of arrival.
 bool JobQueue::withinGuaranteedQuota(const Job& job, TeamDemand& demand) {
     const auto& spec = job.spec;
     const auto unfinished = spec.tasks - job.doneCount;
@@ -106,18 +108,18 @@
     teamDemand += {spec.cpus * unfinished, spec.gpus * unfinished, 0};
     const auto* team = job.run->team;
     if (!team) return false;
-    // The protocol's "a value of 0 means none": without guaranteed accelerators, jobs that need some are not
-    // within the quota.
+    // In the settings 0 means none: without guaranteed accelerators, no job that needs accelerators is within
+    // the quota.
     const bool hasQuota = team->guaranteedCpus > 0 || team->guaranteedGpus > 0;
     const Resources quota{team->guaranteedCpus, team->guaranteedGpus, 0};
     return hasQuota && quota.covers(teamDemand);
 }
 
-/// Sets the job's position within its rank, and the rank of one that is overdue and has not begun.
+/// Sets the job's position within its rank. Also raises the rank of an overdue job that has not begun.
 void JobQueue::setPosition(Job& job, const WallClock& clock, Time now) const {
     auto& run = *job.run;
     run.positionInRank = job.dueAtMs ? positionByDeadline(job, clock, now) : kArrivalPosition;
-    // Overdue jobs go first, by arrival, so that none starves.
+    // Overdue jobs are served first, in order of arrival, so that none starves.
     const Seconds age = now - run.readyAt;
     run.overdue = age > policy_.longestPassedOver;
     if (!run.overdue) return;
@@ -125,12 +127,13 @@
     if (!run.began() && job.doneCount == 0) setRank(job, std::max(rankOf(job), Rank::overdue));
 }
 
-/// Shortest remaining work first, so that as many jobs as possible meet their deadlines. Jobs that can no
-/// longer meet theirs go last.
+/// The position of a job with a deadline. The least remaining work comes first, so that as many jobs as
+/// possible meet their deadlines; jobs that can no longer meet theirs come last.
 double JobQueue::positionByDeadline(const Job& job, const WallClock& clock, Time now) {
     const auto& spec = job.spec;
     const Seconds left = clock.steadyAt(*job.dueAtMs) - now;
-    // A deadline inherited from a dependent job never counts as missed, since the dependent still has to run.
+    // A deadline inherited from a dependent job never counts as missed, since the dependent job still has to
+    // run.
     const bool ownDeadline = spec.deadline.has_value();
     if (ownDeadline && left < spec.estimatedRunTime * kMinShareOfEstimate) return kMissedDeadlinePosition;
     return job.run->waiting * spec.cpus * spec.estimatedRunTime.count();
--- a/src/coordination/scheduling/job_queue.h
+++ b/src/coordination/scheduling/job_queue.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // The order in which the leader serves the jobs with waiting tasks. Owns the list of open jobs and the order
-// of those with waiting tasks. Sets each job's rank, position in its rank, guaranteed and overdue flags,
-// which are stored in the job's run. Used on the leader's thread.
+// of the jobs with waiting tasks. Sets each job's rank, its position within the rank and its guaranteed and
+// overdue flags, which are kept in the job's run. Used on the leader's thread.
 
 #include <string_view>
 #include <unordered_map>
@@ -16,14 +16,14 @@
 
 namespace burlpoint::coordination {
 
-/// What decides first in the job queue's order; a later value is served sooner. `low` to `high` follow the
-/// job's priority.
+/// The first sort key of the job queue; jobs of a later enumerator are served first. `low`, `normal`, `high`
+/// and `production` follow from the job's priority.
 enum class Rank : int {
     low,
     normal,
     high,
     guaranteed,  // within its team's guaranteed quota
-    overdue,     // passed over for longer than the policy allows, and not begun
+    overdue,     // has waited longer than the policy's longestPassedOver, and not begun
     production
 };
 
@@ -35,34 +35,34 @@
 /// The rank of a job that is neither guaranteed nor overdue.
 Rank rankOfPriority(protocol::Priority priority);
 
-/// Orders jobs by rank. Within a rank, overdue jobs come first. Jobs with a deadline follow, least remaining
-/// work first, then the others by arrival, and last the jobs whose deadline can't be met any more.
+/// Orders jobs by rank. Within a rank, overdue jobs come first, then jobs with a deadline by least remaining
+/// work, then the other jobs by arrival, and last the jobs that can no longer meet their deadline.
 class JobQueue {
   public:
-    /// Kept by reference; it has to outlive this.
+    /// Keeps a reference to the policy, which must outlive this object.
     explicit JobQueue(const protocol::Policy& policy);
 
     /// Adds an open job whose run has begun; it must not be in the queue yet.
     void add(bookkeeping::Job& job);
-    /// Removes a job that is over. It stays in `waiting` until the next refresh.
+    /// Removes a job that has ended. It stays in `waiting` until the next refresh.
     void remove(bookkeeping::Job& job);
 
-    /// Notes that something that the order depends on has changed: waiting or finished tasks, or priorities.
+    /// Marks the order as stale. To be called when waiting tasks, finished tasks or priorities have changed.
     void markStale() { stale_ = true; }
 
-    /// Sorts anew if the order is stale, at most ten times a second, since that walks over all open jobs.
-    /// First brings the priorities that jobs inherit from their dependents up to date, in the replica and in
-    /// what the fleet counts by priority. Returns true if the order was made anew.
+    /// Sorts the jobs again if the order is stale, at most ten times a second, since sorting iterates over
+    /// all open jobs. First updates the priorities that jobs inherit from their dependents, in the replica
+    /// and in the fleet's counts by priority. Returns true if the jobs were sorted.
     bool refresh(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet, const WallClock& clock,
                  Time now);
 
-    /// The open jobs. At the last refresh they were sorted by arrival; newer ones follow.
+    /// The open jobs, sorted by arrival at the last refresh; jobs added since then follow.
     const std::vector<bookkeeping::Job*>& open() const { return open_; }
     /// The jobs that had waiting tasks at the last refresh, in the order in which they are served. Some may
-    /// be over by now, or have none left.
+    /// have ended since then or have no waiting tasks left.
     const std::vector<bookkeeping::Job*>& waiting() const { return waiting_; }
-    /// The fewest processors that a task of `waiting` needs. Infinite for practical purposes if no job waits,
-    /// and 0 before the first refresh.
+    /// The smallest number of processors that a task of a job in `waiting` needs. The largest double if no
+    /// job is waiting, and 0 before the first refresh.
     double minCpus() const { return minCpus_; }
 
   private:
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -18,19 +18,19 @@
 
 namespace {
 
-// A task that is stopped sooner counts as never started for its users.
+// Users count a task that is stopped sooner as never started.
 constexpr std::chrono::seconds kMinCountedRunTime{30};
-// For so long a job avoids a machine on which one of its tasks failed.
-constexpr auto kErrorMemory = kMaxSoftConstraintTime;
-// A job that failed on so many machines is itself the likely cause, so it avoids none of them.
+// How long a job avoids a machine on which one of its tasks failed.
+constexpr auto kFailureAvoidanceTime = kMaxSoftConstraintTime;
+// A job that has failed on this many machines is the likely cause itself, so it avoids none of them.
 constexpr std::size_t kMaxAvoidedMachines = 3;
 
-/// Does the job have to leave alone what is reserved for `holder` on the machine?
-bool mustLeaveReservation(const Job& job, const Machine& machine, const Job& holder) {
+/// True if the job may not use the capacity that is reserved for `holder` on the machine.
+bool mustRespectReservation(const Job& job, const Machine& machine, const Job& holder) {
     if (!holder.run || holder.run->waiting == 0) return false;
     if (rankOf(holder) >= rankOf(job)) return true;
-    // Capacity that preemption freed is not for other jobs of no higher priority, whatever their rank.
-    // Otherwise tasks within a guaranteed quota would take it and be preempted again and again.
+    // Other jobs may use capacity that preemption freed only if their priority is higher, whatever their
+    // rank. Otherwise tasks within a guaranteed quota would take it and be preempted again and again.
     return !machine.reservation.withoutPreemption && holder.priority() >= job.priority();
 }
 
@@ -38,11 +38,11 @@
     const auto& failures = job.run->errorMachines;
     const auto failed = failures.find(machine.id);
     if (failed == failures.end() || failures.size() >= kMaxAvoidedMachines) return false;
-    return now - failed->second < kErrorMemory;
+    return now - failed->second < kFailureAvoidanceTime;
 }
 
-/// What the team uses, with machines that are not reconciled counted as full of its tasks: an earlier leader
-/// may have filled them.
+/// An upper bound of the team's use: machines that are not reconciled count as fully used by the team, since
+/// an earlier leader may have filled them with its tasks.
 Resources maxTeamUse(const std::string& team, const Fleet& fleet, const MachineTypes& types) {
     auto use = fleet.teamUse(team);
     for (const auto& [offering, count] : fleet.unreconciled()) {
@@ -59,7 +59,7 @@
     const bool leaving = machine.cloud.draining || machine.cloud.deletionRequested || machine.cloud.failed ||
                          machine.cloud.interruptionAt;
     if (leaving || machine.agent.unreachableSince || machine.history.startBackoffUntil > now) return false;
-    // The next leader would not know of a machine outside the stored registry, nor of its tasks.
+    // The next leader would know neither a machine that is not in the stored registry nor the tasks on it.
     const bool known = machine.agent.acknowledged && machine.lease.active &&
                        machine.registry.state == RegistrationState::stored;
     return known && !isFaulty(machine) && machine.typeInfo;
@@ -112,7 +112,7 @@
     if (!machine.typeInfo) return {};
     auto available = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.total;
     const auto* holder = machine.reservation.job;
-    if (holder != &job && machine.reservation.isActive(now) && mustLeaveReservation(job, machine, *holder))
+    if (holder != &job && machine.reservation.isActive(now) && mustRespectReservation(job, machine, *holder))
         available -= bookkeeping::needOf(holder->spec, machine.reservation.tasks);
     return available;
 }
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -15,45 +15,47 @@
 
 namespace {
 
-// Bounds on the work of one round. Tasks and gangs that get capacity:
+// Bounds on the work of one round.
+// The number of tasks and gangs that get capacity:
 constexpr std::size_t kMaxPreemptionsPerRound = 12;
-// Machines to look at: so many, or more in a larger fleet. Enough for some jobs in any fleet, as rounds have
-// to reach all waiting jobs within a few seconds. Otherwise a job's reservations would lapse before its next
-// turn.
+// The number of machines scanned in one round: at least kMinScans, and kScansPerMachine for each machine of a
+// larger fleet. This is enough for several jobs in a fleet of any size. Rounds have to reach all waiting jobs
+// within a few seconds, since otherwise a job's reservations would lapse before its next turn.
 constexpr std::uint64_t kMinScans = 6000;
 constexpr std::uint64_t kScansPerMachine = 12;
-// A plan on one machine costs as much as looking at so many machines.
+// Planning on one machine costs as much as scanning this many machines.
 constexpr std::uint64_t kScansPerPlan = 10;
 
 // Bounds for one job in one round.
 constexpr std::size_t kMaxPlans = 40;
 constexpr std::size_t kMaxTasks = 6;
 
-// Heartbeat intervals for which freed capacity is reserved, beyond the time in which the job's own tasks
-// save.
+// Heartbeat intervals for which freed capacity is reserved, in addition to the save time of the job for which
+// it is freed.
 constexpr int kReservedIntervals = 4;
 constexpr int kReservedIntervalsForGang = 3;
 
-// How long a job waits for capacity to become free by itself, which shows within 1.5 heartbeat intervals.
+// How long a job waits for capacity to become free without preemption. Capacity that becomes free is seen
+// within 1.5 heartbeat intervals.
 constexpr double kIntervalsUntilFree = 1.5;
 constexpr double kShareOfObjective = 0.35;
-// The same for jobs in a hurry.
-constexpr Seconds kHurriedWait{0.2};
-constexpr double kHurriedShareOfObjective = 0.1;
-// A wait objective below so many heartbeat intervals is short: such jobs are in a hurry, too.
+// The same for urgent jobs.
+constexpr Seconds kUrgentWait{0.2};
+constexpr double kUrgentShareOfObjective = 0.1;
+// A job whose wait objective is below this many heartbeat intervals is treated as urgent, too.
 constexpr double kShortObjectiveIntervals = 3;
 
-// Losses that count when a gang's machines are chosen, in processor seconds for a task.
+// Additional losses when machines are chosen for a gang, in processor seconds for each task.
 constexpr double kSpotLoss = 100;  // the interruption of a spot machine would stop the whole gang
 constexpr double kFetchLoss = 150;
-// Far larger than usual losses, so that machines reserved for the gang come first.
+// Far larger than usual losses, so that machines reserved for the gang are preferred.
 constexpr double kReservedBonus = 1e6;
 
 }  // namespace
 
 Preemption::Preemption(const PreemptionContext& context) : context_(context) {}
 
-// Production jobs have their turn in each round. The others go on where the last round ended.
+// Each round serves all production jobs first. The others continue where the last round ended.
 void Preemption::preemptForWaitingJobs(Time now) {
     const auto& jobs = context_.jobQueue.waiting();
     const auto firstOther = std::find_if(jobs.begin(), jobs.end(),
@@ -80,7 +82,7 @@
     nextJob_ = 0;
 }
 
-/// How many machines a round may look at.
+/// The number of machines that a round may scan.
 std::uint64_t Preemption::scanBudget() const {
     return std::max<std::uint64_t>(kMinScans, context_.fleet.machines().size() * kScansPerMachine);
 }
@@ -95,17 +97,17 @@
     return withinTeamQuota(job, tasks, context_.fleet, context_.types);
 }
 
-/// How long a job waits for capacity to become free by itself: a small part of its wait objective, if it has
-/// one.
+/// How long a job waits for capacity to become free without preemption. At most a part of its wait objective,
+/// if it has one.
 Seconds Preemption::maxWaitBeforePreemption(const Job& job) const {
     const auto heartbeat = context_.settings.heartbeatInterval;
-    // The capacity of replicas and whole accelerator machines rarely become free by waiting.
-    const bool hurried = job.priority() == Priority::production || job.spec.gpus > 0;
-    const Seconds wait = hurried ? kHurriedWait : heartbeat * kIntervalsUntilFree;
+    // Capacity in use by replicas, and whole machines with accelerators, rarely become free by waiting.
+    const bool urgent = job.priority() == Priority::production || job.spec.gpus > 0;
+    const Seconds wait = urgent ? kUrgentWait : heartbeat * kIntervalsUntilFree;
     const auto& objective = job.run->shortestWaitObjective;
     if (!objective) return wait;
-    if (hurried || *objective < heartbeat * kShortObjectiveIntervals)
-        return std::min(wait, *objective * kHurriedShareOfObjective);
+    if (urgent || *objective < heartbeat * kShortObjectiveIntervals)
+        return std::min(wait, *objective * kUrgentShareOfObjective);
     return *objective * kShareOfObjective;
 }
 
@@ -128,9 +130,10 @@
     context_.fleet.reserve(machine, job, reservedUntil, ReservationKind::preempting, plan.tasks);
 }
 
-// --- jobs whose tasks start one by one --------------------------------------------------------------------
+// --- jobs whose tasks start separately --------------------------------------------------------------------
 
-/// Preempts on the machines where that loses least. Returns for how many tasks of the job.
+/// Preempts on the machines where the loss is smallest. Returns the number of the job's tasks that it freed
+/// capacity for.
 std::size_t Preemption::preemptForTasks(Job& job, Time now) {
     auto survey = surveyCapacity(job, now);
     if (survey.expected >= job.run->waiting) return 0;
@@ -152,8 +155,8 @@
     return preempted;
 }
 
-/// Surveys the machines with the job's image if it should wait for one of them. Otherwise all, until there is
-/// capacity for all waiting tasks.
+/// Surveys only the machines with the job's image if the job should wait for one of them. Otherwise surveys
+/// the fleet until capacity for all waiting tasks is found.
 Preemption::CapacitySurvey Preemption::surveyCapacity(Job& job, Time now) {
     CapacitySurvey survey{0, job.run->zones, {}};
     if (context_.images.waitsForImage(job, now)) {
@@ -179,14 +182,14 @@
         return;
     }
     const auto need = bookkeeping::needOf(job.spec);
-    // Tasks that fit at once start with the machine's next heartbeat.
+    // Tasks that fit now start with the machine's next heartbeat.
     const auto fitting = availableCapacity(machine, job, now).times(need);
     survey.expected += fitting;
     if (fitting > 0) return;
     if (capacityWithPreemption(machine, job, now).covers(need)) survey.candidates.push_back(&machine);
 }
 
-/// Plans for one task each on some of the candidates, the least loss first.
+/// Makes a plan for one task on each of some candidates, sorted by loss, the smallest first.
 std::vector<PreemptionPlan> Preemption::plansOn(const std::vector<Machine*>& candidates, const Job& job,
                                                 Time now) {
     std::vector<PreemptionPlan> plans;
@@ -204,18 +207,18 @@
 
 // --- gangs of several tasks -------------------------------------------------------------------------------
 
-/// Preempts for the whole gang or not at all: only where free capacity and what it may preempt suffice for
-/// all of its tasks. If only more machines that become free would suffice, asks for a zone reservation
-/// instead: until the gang has enough there, jobs that compete for such machines go elsewhere, while jobs of
-/// lower priority go on. Returns whether it preempted.
+/// Preempts for the whole gang or not at all: only if free capacity and preemptible tasks together suffice
+/// for all of its tasks. If the zone would suffice only after other tasks have ended, requests a zone
+/// reservation instead. Until the gang has enough machines there, competing jobs are kept off such machines,
+/// while jobs of lower priority continue to start. Returns whether it preempted.
 bool Preemption::preemptForGang(Job& job, Time now) {
     if (job.run->placedTotal > 0) return false;
     const auto size = job.spec.tasks;
     const auto capacity = bestGangCapacity(job, context_.fleet, context_.settings.zones, context_.constraints,
                                            context_.scans, now);
     if (capacity.withPreemption < size) {
-        // Not if the zone is too small anyway and more machines have to come up first.
-        if (capacity.besideReplicas >= size) context_.zoneReservations.reserve(job, capacity.zone, now);
+        // No reservation if the zone is too small for the gang and more machines have to come up first.
+        if (capacity.withReplicasOnly >= size) context_.zoneReservations.reserve(job, capacity.zone, now);
         return false;
     }
     const auto plans = plansForGang(job, capacity, now);
@@ -228,7 +231,7 @@
     return true;
 }
 
-/// A plan for each machine, those first that lose least for each of the gang's tasks.
+/// Makes a plan for each machine, sorted by loss per task of the gang, the smallest first.
 std::vector<PreemptionPlan> Preemption::plansForGang(const Job& job, const GangCapacity& capacity, Time now) {
     std::vector<PreemptionPlan> plans;
     for (const auto& [machine, tasks] : capacity.machines) {
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Preemption: gives waiting jobs capacity by stopping tasks (victims) that have to yield to them. Owns where
-// its next round over the waiting jobs starts, and which candidate machines it looks at first. The freed
-// capacity is reserved for the job in the fleet. Used on the leader's thread.
+// Preemption: frees capacity for waiting jobs by stopping tasks (victims) of lower precedence. Owns the
+// positions at which the next round over the waiting jobs and the next pass over candidate machines start.
+// The freed capacity is reserved for the job in the fleet. Used on the leader's thread.
 
 #include <cstddef>
 #include <cstdint>
@@ -26,7 +26,7 @@
 
 namespace burlpoint::coordination {
 
-/// What preemption looks at and acts on.
+/// The settings, state and components that preemption uses.
 struct PreemptionContext {
     const protocol::Settings& settings;
     bookkeeping::Fleet& fleet;
@@ -41,19 +41,20 @@
 
 class Preemption {
   public:
-    /// All that the context refers to has to outlive this.
+    /// Everything that the context refers to must outlive this object.
     explicit Preemption(const PreemptionContext& context);
 
-    /// One round: preempts tasks for a few of the jobs that have waited long enough, production jobs first.
-    /// It ends when the budget of machines to look at is used up, and the next round goes on from there.
+    /// Runs one round: preempts tasks for a few of the jobs that have waited long enough, production jobs
+    /// first. The round ends when its budget of machine scans or preemptions is used up, and the next round
+    /// continues from there.
     void preemptForWaitingJobs(Time now);
 
   private:
-    /// The capacity for a job on the machines that it may use.
+    /// The capacity for a job on the surveyed machines that it may use.
     struct CapacitySurvey {
-        std::size_t expected = 0;  // tasks that have capacity without further preemption
+        std::size_t expected = 0;  // tasks that will have capacity without further preemption
         std::map<std::string, std::uint32_t> tasksInZone;  // placed, or with capacity reserved by preemption
-        std::vector<bookkeeping::Machine*> candidates;     // where preemption would give capacity for a task
+        std::vector<bookkeeping::Machine*> candidates;     // where preemption would free enough for a task
     };
 
     std::uint64_t scanBudget() const;
@@ -77,8 +78,8 @@
     Time reservationEnd(const bookkeeping::Job& job, int heartbeatIntervals, Time now) const;
 
     const PreemptionContext context_;
-    std::size_t nextJob_ = 0;        // index among the waiting jobs at which the next round goes on
-    std::size_t nextCandidate_ = 0;  // so that each round plans on other candidates
+    std::size_t nextJob_ = 0;        // index in the waiting jobs at which the next round continues
+    std::size_t nextCandidate_ = 0;  // rotates the candidates, so that each pass plans on other ones
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/preemption_plan.cpp
+++ b/src/coordination/scheduling/preemption_plan.cpp
@@ -17,14 +17,14 @@
 
 namespace {
 
-// Losses per processor, in seconds of work that has to be done again or what counts as much.
-constexpr double kScarceMachineLoss = 1000;   // a task that needs accelerators, for a job that needs none
-constexpr double kProtectedStartLoss = 1000;  // see isProtectedStart
-constexpr double kRestartLoss = 5;            // restart of a task with checkpoints, beyond its save time
-// A task counts as using at least so many processors, so that its run time is never without weight.
+// Losses per processor, in seconds of work that has to be repeated, or an equivalent weight.
+constexpr double kAcceleratorTaskLoss = 1000;  // victim needs accelerators, job needs none
+constexpr double kProtectedStartLoss = 1000;   // see isProtectedStart
+constexpr double kRestartLoss = 5;  // restart of a task with checkpoints, in addition to its save time
+// Each task counts as using at least this many processors, so that its run time always has some weight.
 constexpr double kMinCpus = 0.1;
 // Losses in processor seconds.
-constexpr double kStopLoss = 1;    // each victim, so that fewer victims are better
+constexpr double kStopLoss = 1;    // for each victim, so that fewer victims are preferred
 constexpr double kFetchLoss = 10;  // the machine lacks the job's image
 
 struct Victim {
@@ -32,19 +32,20 @@
     Placement* placement = nullptr;
 };
 
-/// What is lost if the task is preempted for the job, in processor seconds.
+/// The loss if the task is preempted for the job, in processor seconds.
 double lossOf(const Placement& placement, const Job& job, Time now) {
     const auto& spec = placement.job->spec;
     const bool running = placement.state == PlacementState::running;
     double lost = running ? Seconds(now - placement.runningSince).count() : 0;
-    if (spec.gpus > 0 && job.spec.gpus <= 0) lost += kScarceMachineLoss;
+    if (spec.gpus > 0 && job.spec.gpus <= 0) lost += kAcceleratorTaskLoss;
     const bool hasCheckpoints = spec.checkpointInterval > Seconds(0);
     if (hasCheckpoints) lost = std::min(lost, spec.saveTime.count() + kRestartLoss);
     if (isProtectedStart(placement, now)) lost += kProtectedStartLoss;
     return lost * std::max(spec.cpus, kMinCpus) + kStopLoss;
 }
 
-/// May the job, within its team's guaranteed quota, take back what the other team has beyond its own?
+/// True if the job is within its team's guaranteed quota and may reclaim capacity from the placement: its job
+/// is outside the guaranteed quota of another team, which uses more processors than that quota.
 bool reclaimsGuaranteedQuota(const Placement& placement, const Job& job, const Fleet& fleet,
                              const Settings& settings) {
     if (!job.run->guaranteed || job.priority() >= Priority::production) return false;
@@ -66,7 +67,8 @@
     return victims;
 }
 
-/// What the job could have on the machine once the tasks that are stopping already are gone.
+/// The capacity that the job will have on the machine once the tasks that are already being stopped have
+/// ended.
 bookkeeping::Resources capacityAfterStops(const Machine& machine, const Job& job, Time now) {
     auto capacity = availableCapacity(machine, job, now);
     for (const auto& [key, placement] : machine.placements)
--- a/src/coordination/scheduling/preemption_plan.h
+++ b/src/coordination/scheduling/preemption_plan.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Chooses which tasks on one machine would be preempted so that a job gets capacity there. Pure functions;
-// they own and change nothing.
+// Selects the tasks to preempt on one machine so that a job gets capacity there. Pure functions without state
+// or side effects.
 
 #include <cstdint>
 #include <optional>
@@ -18,17 +18,18 @@
     bookkeeping::Machine* machine = nullptr;
     std::vector<bookkeeping::Placement*> victims;
     double loss = 0;          // estimated, in processor seconds; comparable only among plans for one job
-    std::uint32_t tasks = 1;  // of the job, that get capacity
+    std::uint32_t tasks = 1;  // number of the job's tasks that get capacity
 };
 
-/// May the job preempt the placement's task? Never replicas of services nor tasks of larger gangs. Otherwise
-/// jobs preempt tasks of lower priority, and a job within its team's guaranteed quota also preempts what
-/// another team has beyond its own.
+/// True if the job may preempt the placement's task. Service replicas and tasks of gangs with several tasks
+/// are never preempted. Other tasks may be preempted by jobs of higher priority, and by a job within its
+/// team's guaranteed quota if their own team exceeds its guaranteed quota. Protected starts (see
+/// `isProtectedStart`) yield to production jobs only.
 bool mayPreempt(const bookkeeping::Placement& placement, const bookkeeping::Job& job,
                 const bookkeeping::Fleet& fleet, const protocol::Settings& settings, Time now);
 
-/// The plan that gives this many tasks of the job capacity on the machine, with the victims that lose least.
-/// None if the machine can't have capacity for so many.
+/// A plan that gives this many tasks of the job capacity on the machine, taking the victims with the smallest
+/// loss first. Returns nullopt if preemption can't free enough capacity.
 std::optional<PreemptionPlan> planPreemption(bookkeeping::Machine& machine, const bookkeeping::Job& job,
                                              std::uint32_t tasks, const bookkeeping::Fleet& fleet,
                                              const protocol::Settings& settings, Time now);
--- a/src/coordination/scheduling/scan_counter.h
+++ b/src/coordination/scheduling/scan_counter.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// Counts how many machines were looked at on behalf of waiting jobs. Owns the count. Used on the leader's
+// Counts the machines that were scanned on behalf of waiting jobs. Owns the count. Used on the leader's
 // thread.
 
 #include <cstdint>
 
 namespace burlpoint::coordination {
 
-/// Preemption rounds end when this count has grown by their budget, so that their cost does not grow with the
-/// number of jobs times the number of machines.
+/// Counts machine scans. A preemption round ends when the count has grown by the round's budget, so that its
+/// cost does not grow with the number of jobs times the number of machines.
 class ScanCounter {
   public:
     void add(std::uint64_t machines = 1) { total_ += machines; }
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -15,9 +15,9 @@
 
 namespace {
 
-// A machine shows within so many heartbeat intervals that its stopped tasks are gone.
+// Within this many heartbeat intervals a machine reports that its stopped tasks have ended.
 constexpr int kIntervalsUntilFree = 3;
-// Machines of a stopped gang are reserved for this much longer than it takes to stop its tasks.
+// Machines of a stopped gang stay reserved for this long after its tasks have ended.
 constexpr Seconds kGangReservation{5};
 
 }  // namespace
@@ -29,7 +29,7 @@
     if (placement.stopping && placement.grace <= grace) return;
     placement.stopping = true;
     placement.grace = grace;
-    urgent_.insert(machine.id);
+    machinesWithNewStops_.insert(machine.id);
 }
 
 void TaskTerminator::stopJob(Job& job, Seconds grace, Time now) {
@@ -52,6 +52,6 @@
     fleet_.reserve(machine, gang, until, ReservationKind::preempting, gang.run->machines.at(machine.id));
 }
 
-std::set<std::string> TaskTerminator::takeUrgent() { return std::exchange(urgent_, {}); }
+std::set<std::string> TaskTerminator::takeUrgent() { return std::exchange(machinesWithNewStops_, {}); }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/task_terminator.h
+++ b/src/coordination/scheduling/task_terminator.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Marks tasks to be stopped. The marks are in the fleet and go with every message to the worker until a
-// heartbeat shows that it has them. Owns the set of machines that have to be sent new stops without waiting
+// Marks tasks to be stopped. The marks are kept in the fleet, and every message to the worker repeats them
+// until a heartbeat confirms them. Owns the set of machines that have to be sent new stops without waiting
 // for a heartbeat. Used on the leader's thread.
 
 #include <set>
@@ -16,21 +16,23 @@
 
 class TaskTerminator {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// Keeps references to all arguments, which must outlive this object.
     TaskTerminator(const protocol::Settings& settings, bookkeeping::Fleet& fleet, JobQueue& jobQueue);
 
     /// Marks the task to be stopped. `grace` is the time that it has to save a checkpoint. A shorter grace
-    /// replaces that of an earlier stop; a longer one changes nothing.
+    /// period replaces that of an earlier stop; a longer one has no effect.
     void stop(bookkeeping::Machine& machine, bookkeeping::Placement& placement, Seconds grace);
 
-    /// Stops all tasks of the job. Those that are only planned are removed at once. If the job is an open
-    /// gang of several tasks, its machines are reserved for it for a while, so that it can start again soon.
+    /// Stops all tasks of the job. Tasks that are only planned are removed at once. If the job is an open
+    /// gang of several tasks, its machines stay reserved for it for a while, so that it can restart soon.
     void stopJob(bookkeeping::Job& job, Seconds grace, Time now);
 
-    /// The response to the machine's heartbeat carries its stops, so it needs no message of its own.
-    void noteAnswered(const std::string& machine) { urgent_.erase(machine); }
+    /// Records that the response to the machine's heartbeat carries its stops, so that no separate message is
+    /// needed.
+    void noteAnswered(const std::string& machine) { machinesWithNewStops_.erase(machine); }
 
-    /// Takes the ids of the machines with new stops since the last call, except those that were answered.
+    /// Returns and clears the ids of the machines that got new stops and have not had a heartbeat answered
+    /// since.
     std::set<std::string> takeUrgent();
 
   private:
@@ -39,7 +41,7 @@
     const protocol::Settings& settings_;
     bookkeeping::Fleet& fleet_;
     JobQueue& jobQueue_;
-    std::set<std::string> urgent_;
+    std::set<std::string> machinesWithNewStops_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/zone_reservations.cpp
+++ b/src/coordination/scheduling/zone_reservations.cpp
@@ -13,14 +13,15 @@
 
 namespace {
 
-// A reservation lapses after this unless renewed. The rounds of preemption, which renew it, reach each
-// waiting gang every few seconds at most.
+// A reservation lapses after this time unless it is renewed. Preemption rounds renew it and reach each
+// waiting gang every few seconds.
 constexpr auto kRenewalTimeout = 10s;
-// A zone alternates between an interval for its gang alone and one that is open to jobs that have waited too.
+// A reserved zone alternates between an interval in which it is exclusive to its gang and an open interval in
+// which jobs that have waited may start, too.
 constexpr auto kExclusiveInterval = 60s;
 constexpr auto kOpenInterval = 30s;
-// A job may start in the open interval if it has waited for so long without any task on a machine.
-constexpr auto kMinWaitOfOthers = 20s;
+// A job may start in the open interval if it has waited for this long without any task on a machine.
+constexpr auto kMinWaitInOpenInterval = 20s;
 // A gang has to wait for the policy's `longestPassedOver` divided by this before it has a zone reserved.
 constexpr double kMinAgeDivisor = 3;
 
@@ -40,7 +41,7 @@
     if (now - readyAt <= policy_.longestPassedOver / kMinAgeDivisor) return;
     const auto holder = byZone_.find(zone);
     const bool taken = holder != byZone_.end();
-    // The oldest goes first; otherwise one younger gang after the other could go before it.
+    // The oldest gang has precedence; otherwise a sequence of younger gangs could starve it.
     const bool olderThanHolder = taken && readyAt < holder->second.gang->run->readyAt;
     const bool mayHaveFurtherZone = gang.run->overdue && !taken;
     if (olderThanHolder || byZone_.empty() || mayHaveFurtherZone)
@@ -57,7 +58,7 @@
         const auto& [zone, reservation] = entry;
         if (reservation.until <= now || reservation.gang == &job) return false;
         if (zone != kAllZones && machine.zone != zone) return false;
-        if (inOpenInterval(reservation, now) && job.run->hasWaitedUnstarted(kMinWaitOfOthers, now))
+        if (inOpenInterval(reservation, now) && job.run->hasWaitedUnstarted(kMinWaitInOpenInterval, now))
             return false;
         return competes(job, *reservation.gang, machine);
     });
@@ -67,12 +68,12 @@
     return (now - reservation.since) % (kExclusiveInterval + kOpenInterval) >= kExclusiveInterval;
 }
 
-/// Does the gang wait for machines like this one, and would the job take it from the gang? Jobs of lower
-/// priority would not, as the gang may preempt them.
+/// True if the gang waits for machines like this one and the job would take the machine from it. Jobs of
+/// lower priority do not compete, since the gang may preempt them.
 bool ZoneReservations::competes(const Job& job, const Job& gang, const Machine& machine) {
     if (job.priority() < gang.priority()) return false;
-    const bool needsTheSame = gang.spec.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == JobKind::gang;
-    if (!needsTheSame) return false;
+    const bool needsSameMachines = gang.spec.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == JobKind::gang;
+    if (!needsSameMachines) return false;
     return bookkeeping::sizeOf(*machine.typeInfo).covers(bookkeeping::needOf(gang.spec));
 }
 
--- a/src/coordination/scheduling/zone_reservations.h
+++ b/src/coordination/scheduling/zone_reservations.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Reserves zones for large gangs. A gang whose machines go to smaller jobs as each becomes free would never
-// find enough of them at once, so a zone can be reserved for it until it has. Owns which gang has which zone,
-// since when and until when. Whether the gang's machines can be had in the zone at all is for the caller to
-// know. Used on the leader's thread.
+// Reserves zones for large gangs. If each machine that becomes free went to a smaller job, a large gang would
+// never find enough machines at once, so a zone can be reserved for it until it does. Owns the reservations
+// with their gang, start and end. Callers must check that the zone has enough machines for the gang at all.
+// Used on the leader's thread.
 
 #include <map>
 #include <string>
@@ -14,27 +14,29 @@
 
 namespace burlpoint::coordination {
 
-/// Stands for all zones together, for a gang that may be spread over them.
+/// Denotes all zones together, for a gang that may use machines in several zones.
 inline const std::string kAllZones;
 
-/// Reservations by zone, or by `kAllZones`. One zone is reserved at a time, so that smaller jobs have another
-/// to go to; a gang that is overdue may have a further one. A zone is never shared, so that no two gangs hold
-/// half of it each and wait for the other half.
+/// Reservations by zone, or by `kAllZones`. Only one zone is reserved at a time, so that smaller jobs can use
+/// another one; an overdue gang may reserve a further zone. A zone is reserved for one gang only. Otherwise
+/// two gangs could deadlock, each holding half of the zone and waiting for the other half.
 class ZoneReservations {
   public:
-    /// Kept by reference; it has to outlive this.
+    /// Keeps a reference to the policy, which must outlive this object.
     explicit ZoneReservations(const protocol::Policy& policy);
 
-    /// Reserves the zone for the gang for some seconds from now. To be called again while the gang waits. A
-    /// gang that has a zone keeps that one, whichever is asked for. Does nothing for a gang that is younger
-    /// than a third of the policy's `longestPassedOver`, nor while an older gang has the reservation.
+    /// Reserves the zone for the gang for 10 s. Must be called again to renew the reservation while the gang
+    /// waits. A gang that has a zone keeps it, whichever zone is passed. Does nothing for a gang that has
+    /// been ready for at most a third of the policy's `longestPassedOver`, nor while an older gang has the
+    /// reservation.
     void reserve(const bookkeeping::Job& gang, const std::string& zone, Time now);
 
-    /// The gang has its machines, or no longer waits for them.
+    /// Ends the gang's reservation. To be called when the gang has its machines or no longer waits for them.
     void release(const bookkeeping::Job& gang);
 
-    /// Must the job stay off the machine, since the zone is reserved for a gang that waits for such machines?
-    /// Never true for the gang itself, for production jobs and for jobs that the gang could not replace.
+    /// True if the job may not use the machine because its zone is reserved for a gang that waits for such
+    /// machines. Never true for the gang itself, for production jobs and for jobs that do not compete with
+    /// the gang: those of lower priority, which it may preempt, and those that need other machines.
     bool excludes(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
   private:
--- a/tests/scheduling/accelerator_policy_test.cpp
+++ b/tests/scheduling/accelerator_policy_test.cpp
@@ -22,8 +22,8 @@
 
 namespace {
 
-/// Plain machines of 8 processors, and machines of 16 processors and two accelerators, in one zone. Tasks
-/// need two processors.
+/// Plain machines have 8 processors, other machines 16 processors and two accelerators, all in one zone.
+/// Tasks need two processors.
 struct AcceleratorPolicyTest : testing::Test {
     bookkeeping::MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a"}}},
                                     {"gpu", {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a"}}}};
@@ -56,14 +56,15 @@
         job.run->priority = priority;
         return job;
     }
-    /// Records the demand of a job with accelerators; its tasks leave six processors of a machine.
+    /// Records the demand of a job whose tasks need two accelerators and ten processors, which leaves six
+    /// processors of a machine.
     void recordDemand(Priority priority) { policy.recordDemand(job(JobKind::array, priority, 2, 10)); }
     Job& array(Priority priority) { return job(JobKind::array, priority); }
     /// A service that has waited long enough for a plain machine.
     Job& service() {
-        auto& made = job(JobKind::service, Priority::normal);
-        made.run->waitingSince = now - 12s;
-        return made;
+        auto& newJob = job(JobKind::service, Priority::normal);
+        newJob.run->waitingSince = now - 12s;
+        return newJob;
     }
     void place(Machine& machine, Job& job, std::uint32_t tasks) {
         for (std::uint32_t task = 0; task < tasks; ++task)
@@ -96,9 +97,9 @@
     auto& gpu = machine("g", "gpu");
     EXPECT_TRUE(allows(array(Priority::normal), gpu));
     EXPECT_FALSE(allows(array(Priority::high), gpu));
-    auto& bound = array(Priority::high);
-    bound.spec.types = std::vector<std::string>{"gpu"};
-    EXPECT_TRUE(allows(bound, gpu));  // it may run nowhere else
+    auto& restricted = array(Priority::high);
+    restricted.spec.types = std::vector<std::string>{"gpu"};
+    EXPECT_TRUE(allows(restricted, gpu));  // the job may run nowhere else
 }
 
 TEST_F(AcceleratorPolicyTest, JobsOfNoLowerPriorityLeaveCapacityForTheDemand) {
@@ -112,7 +113,7 @@
     EXPECT_TRUE(allows(same, gpu));  // lower priorities count as preemptible
     place(gpu, array(Priority::high), 1);
     EXPECT_FALSE(allows(same, gpu));
-    EXPECT_TRUE(allows(array(Priority::low), gpu));  // it can be preempted itself
+    EXPECT_TRUE(allows(array(Priority::low), gpu));  // its tasks can be preempted
 }
 
 TEST_F(AcceleratorPolicyTest, LargestDemandAndLowestPriorityCount) {
@@ -122,22 +123,22 @@
 }
 
 TEST_F(AcceleratorPolicyTest, DemandCountsOnlyOnTypesThatItsOwnerAllows) {
-    auto& elsewhere = job(JobKind::array, Priority::low, 2, 16);
-    elsewhere.spec.types = std::vector<std::string>{"other"};
-    policy.recordDemand(elsewhere);
+    auto& restricted = job(JobKind::array, Priority::low, 2, 16);
+    restricted.spec.types = std::vector<std::string>{"other"};
+    policy.recordDemand(restricted);
     EXPECT_TRUE(allows(array(Priority::normal), machine("g", "gpu")));
 }
 
 TEST_F(AcceleratorPolicyTest, UnstartedJobIsAllowedAfterAMinute) {
     policy.recordDemand(job(JobKind::array, Priority::low, 2, 16));
     auto& gpu = machine("g", "gpu");
-    auto& waits = array(Priority::normal);
+    auto& waiting = array(Priority::normal);
     now += 59s;
-    EXPECT_FALSE(allows(waits, gpu));
+    EXPECT_FALSE(allows(waiting, gpu));
     now += 1s;
-    EXPECT_TRUE(allows(waits, gpu));
-    waits.run->placedTotal = 1;
-    EXPECT_FALSE(allows(waits, gpu));
+    EXPECT_TRUE(allows(waiting, gpu));
+    waiting.run->placedTotal = 1;
+    EXPECT_FALSE(allows(waiting, gpu));
 }
 
 TEST_F(AcceleratorPolicyTest, ReplicaWaitsForPlainMachinesFirst) {
@@ -145,9 +146,9 @@
     auto& replica = job(JobKind::service, Priority::normal);
     EXPECT_FALSE(allows(replica, gpu));
     makePlainUnavailable();
-    EXPECT_TRUE(allows(replica, gpu));  // there are none
+    EXPECT_TRUE(allows(replica, gpu));  // no plain machine can be obtained
     now += 1h;
-    // The capacity errors are over.
+    // The capacity errors have expired.
     EXPECT_TRUE(plainMachineObtainable(replica.spec, types, capacityErrors, now));
     replica.run->waitingSince = now - 11s;
     EXPECT_FALSE(allows(replica, gpu));
@@ -172,18 +173,18 @@
 TEST_F(AcceleratorPolicyTest, ReplicasTakeUpAnEighthOfTheMachinesIfTheCloudHasNoMore) {
     policy.recordDemand(job(JobKind::array, Priority::normal, 2, 16));
     makePlainUnavailable();
-    auto& given = machine("g0", "gpu");
-    place(given, service(), 1);
+    auto& occupied = machine("g0", "gpu");
+    place(occupied, service(), 1);
     for (const auto* id : {"g1", "g2", "g3", "g4", "g5", "g6", "g7"}) machine(id, "gpu");
-    auto& untouched = *fleet.find("g1");
+    auto& unoccupied = *fleet.find("g1");
     refresh();
-    EXPECT_TRUE(allows(service(), untouched));  // the cloud has more
+    EXPECT_TRUE(allows(service(), unoccupied));  // the cloud may have more machines
     makeUnavailable("gpu");
-    EXPECT_FALSE(allows(service(), untouched));  // one of eight is taken up
-    EXPECT_TRUE(allows(service(), given));       // taken up already
+    EXPECT_FALSE(allows(service(), unoccupied));  // one of eight is occupied
+    EXPECT_TRUE(allows(service(), occupied));     // already occupied
     machine("g8", "gpu");
     refresh();
-    EXPECT_TRUE(allows(service(), untouched));
-    place(untouched, job(JobKind::array, Priority::normal, 1), 1);
-    EXPECT_FALSE(allows(service(), untouched));  // its accelerators are in use
+    EXPECT_TRUE(allows(service(), unoccupied));
+    place(unoccupied, job(JobKind::array, Priority::normal, 1), 1);
+    EXPECT_FALSE(allows(service(), unoccupied));  // its accelerators are in use
 }
--- a/tests/scheduling/fetch_pacing_test.cpp
+++ b/tests/scheduling/fetch_pacing_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr double kCacheGb = 10;
 
-/// Machines of eight processors and jobs of one processor and ten seconds a task.
+/// Machines have eight processors. Each task needs one processor and runs for ten seconds.
 struct FetchPacingTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
@@ -64,12 +64,12 @@
 
 }  // namespace
 
-// Md = M times the share of the machines that are up and lack the image.
+// Md is M times the share of machines that are up without the image.
 TEST_F(FetchPacingTest, AdmissionExpectsFetchesInProportionToMachinesWithoutTheImage) {
     machine("m1", "a", {"i"});
     machine("m2", "a", {});
     machine("m3", "b", {});
-    machine("m4", "b", {"i"}).lease.active = false;  // not up, so it counts neither way
+    machine("m4", "b", {"i"}).lease.active = false;  // not up, so it is not counted
     auto& paced = job("i", 30);
     refresh();
     pacing.admit(paced, fleet);
@@ -90,10 +90,10 @@
     fleet.useImage(first, "i", 1, kCacheGb);
     refresh();
     pacing.admit(paced, fleet);
-    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);  // Md is that of the admission
+    EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);  // Md stays as set at admission
 }
 
-// More machines may have the image than were up at the last refresh.
+// Guards against a negative Md when more machines have the image than were up at the last refresh.
 TEST_F(FetchPacingTest, ExpectedFetchesAreNeverNegative) {
     machine("m1", "a", {"i"});
     auto& paced = job("i", 10);
@@ -103,25 +103,26 @@
     EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 0);
 }
 
-// m/M >= md/Md: with M = 10 and Md = 5, each fetch takes two launches.
+// m/M >= md/Md: with M = 10 and Md = 5, one fetch is allowed for every two launches.
 TEST_F(FetchPacingTest, FetchesKeepToTheirShareOfTheLaunches) {
     machine("m1", "a", {"i"});
-    auto& lacking = machine("m2", "b", {});
+    auto& withoutImage = machine("m2", "b", {});
     auto& paced = job("i", 10);
     refresh();
     pacing.admit(paced, fleet);
     ASSERT_DOUBLE_EQ(paced.run->expectedPacedFetches, 5);
-    EXPECT_TRUE(pacing.allows(paced, lacking, now));  // 0/10 >= 0/5
+    EXPECT_TRUE(pacing.allows(paced, withoutImage, now));  // 0/10 >= 0/5
     paced.run->launchedTasks = 1;
     paced.run->pacedFetches = 1;
-    EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 1/10 < 1/5
+    EXPECT_FALSE(pacing.allows(paced, withoutImage, now));  // 1/10 < 1/5
     paced.run->launchedTasks = 2;
-    EXPECT_TRUE(pacing.allows(paced, lacking, now));  // 2/10 >= 1/5
+    EXPECT_TRUE(pacing.allows(paced, withoutImage, now));  // 2/10 >= 1/5
     paced.run->pacedFetches = 2;
-    EXPECT_FALSE(pacing.allows(paced, lacking, now));  // 2/10 < 2/5
+    EXPECT_FALSE(pacing.allows(paced, withoutImage, now));  // 2/10 < 2/5
 }
 
-// There is no share to keep to if every machine had the image at admission.
+// Md is 0 if every machine had the image at admission. Fetches are then not limited to a share of the
+// launches.
 TEST_F(FetchPacingTest, JobWithoutExpectedFetchesIsNotLimitedToAShare) {
     machine("m1", "a", {"i"});
     auto& paced = job("i", 10);
@@ -134,8 +135,8 @@
     EXPECT_TRUE(pacing.allows(paced, later, now));
 }
 
-// ts is the waiting work of a machine's images, each shared by the processors of all machines that have it. A
-// machine with ts above E[ts] fetches nothing.
+// ts is the sum over a machine's images of the waiting work, divided by the processors of all machines that
+// have the image. A machine with ts above E[ts] must not fetch.
 TEST_F(FetchPacingTest, MachineWithMoreCachedWorkThanTheMeanFetchesNothing) {
     auto& busy = machine("m1", "a", {"x", "y"});
     auto& lighter = machine("m2", "a", {"y"});
@@ -145,31 +146,31 @@
     auto& other = job("z", 4);
     refresh();
     EXPECT_FALSE(pacing.allows(other, busy, now));
-    EXPECT_TRUE(pacing.allows(other, lighter, now));  // as much as the mean
+    EXPECT_TRUE(pacing.allows(other, lighter, now));  // its ts equals the mean
     EXPECT_TRUE(pacing.allows(other, idle, now));
-    fleet.useImage(lighter, "x", 1, kCacheGb);  // x now takes 5 s on both, E[ts] = 10 s still, ts = 15 s
+    fleet.useImage(lighter, "x", 1, kCacheGb);  // x now takes 5 s on both; E[ts] is still 10 s, ts = 15 s
     refresh();
     EXPECT_FALSE(pacing.allows(other, lighter, now));
 }
 
-// tr >= min(E[tr], threshold) with the threshold as the smaller one: the mean fetch time has to pass.
+// tr >= min(E[tr], threshold): if the threshold is smaller, a zone may fetch again after the mean fetch time.
 TEST_F(FetchPacingTest, ZoneFetchesAgainAfterTheMeanFetchTime) {
-    auto& here = machine("m1", "a", {});
+    auto& host = machine("m1", "a", {});
     machine("m2", "b", {});
     auto& paced = job("i", 100);
     refresh();
-    pacing.recordFetch(paced, "b", now - 1h);  // E[tr] is half an hour and more
+    pacing.recordFetch(paced, "b", now - 1h);  // E[tr] is at least half an hour
     pacing.recordFetch(paced, "a", now);
     EXPECT_EQ(paced.run->pacedFetches, 2u);
-    EXPECT_FALSE(pacing.allows(paced, here, now));
-    EXPECT_FALSE(pacing.allows(paced, here, now + 4900ms));
-    EXPECT_TRUE(pacing.allows(paced, here, now + 5s));  // the policy's fetchStart
+    EXPECT_FALSE(pacing.allows(paced, host, now));
+    EXPECT_FALSE(pacing.allows(paced, host, now + 4900ms));
+    EXPECT_TRUE(pacing.allows(paced, host, now + 5s));  // the policy's fetchStart
     pacing.recordFetchTime(Seconds(3));
-    EXPECT_FALSE(pacing.allows(paced, here, now + 2900ms));
-    EXPECT_TRUE(pacing.allows(paced, here, now + 3s));
+    EXPECT_FALSE(pacing.allows(paced, host, now + 2900ms));
+    EXPECT_TRUE(pacing.allows(paced, host, now + 3s));
 }
 
-// With E[tr] as the smaller one, only a zone with tr of at least the mean may fetch.
+// tr >= min(E[tr], threshold): if E[tr] is smaller, only a zone whose tr is at least E[tr] may fetch.
 TEST_F(FetchPacingTest, OfTwoZonesTheOneAboveTheMeanTimeSinceFetchFetches) {
     auto& first = machine("m1", "a", {});
     auto& second = machine("m2", "b", {});
@@ -190,16 +191,16 @@
     EXPECT_TRUE(pacing.allows(paced, second, now));
 }
 
-// With one zone tr equals E[tr], so its check has no effect.
+// With one zone, tr equals E[tr], so the check of tr has no effect.
 TEST_F(FetchPacingTest, SingleZoneNeverWaitsForItself) {
-    auto& here = machine("m1", "a", {});
+    auto& host = machine("m1", "a", {});
     auto& paced = job("i", 100);
     refresh();
     pacing.recordFetch(paced, "a", now);
-    EXPECT_TRUE(pacing.allows(paced, here, now));
+    EXPECT_TRUE(pacing.allows(paced, host, now));
 }
 
-// A zone that is cut off would inflate E[tr], so only zones with a heartbeat in the last three heartbeat
+// A partitioned zone would inflate E[tr], so only zones with a heartbeat in the last three heartbeat
 // intervals count.
 TEST_F(FetchPacingTest, ZoneWithoutRecentHeartbeatsDoesNotDelayTheOthers) {
     auto& first = machine("m1", "a", {});
--- a/tests/scheduling/gang_planner_test.cpp
+++ b/tests/scheduling/gang_planner_test.cpp
@@ -13,16 +13,16 @@
 
 class GangPlannerTest : public PlacementFixture {
   protected:
-    /// A gang of four tasks of four processors, two for each plain machine.
+    /// A gang of four tasks of four processors each. A plain machine has capacity for two of them.
     protocol::JobSpec gang(const std::string& id = "wk-103") const {
-        auto made = spec(id, JobKind::gang);
-        made.cpus = 4;
-        return made;
+        auto jobSpec = spec(id, JobKind::gang);
+        jobSpec.cpus = 4;
+        return jobSpec;
     }
     void plan() {
         now += 200ms;
         refresh();
-        gangs.plan(now);
+        gangPlanner.plan(now);
     }
     /// The machines with placements of the gang, as "machine:tasks".
     std::vector<std::string> placed(const Job& job) const {
@@ -51,9 +51,9 @@
 }
 
 TEST_F(GangPlannerTest, SingleZoneGangIsNotSplitOverZones) {
-    auto bound = gang();
-    bound.singleZone = true;
-    auto& job = accept(bound);
+    auto restricted = gang();
+    restricted.singleZone = true;
+    auto& job = accept(restricted);
     machine("m1", "a");
     machine("m2", "b");
     plan();
@@ -134,12 +134,12 @@
 
 TEST_F(GangPlannerTest, GangThatBeganOrWaitedTooLongTakesNoReplacement) {
     auto& job = accept(gang());
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     job.run->gangAttempt = 1;
-    fleet.place(on, job, 0, 1, PlacementState::waiting, now);
-    fleet.place(on, job, 1, 1, PlacementState::waiting, now);
-    EXPECT_TRUE(gangs.mayComplete(job, now));
-    EXPECT_FALSE(gangs.mayComplete(job, now + 13s));  // the other tasks have waited too long
-    fleet.place(on, job, 2, 1, PlacementState::running, now);
-    EXPECT_FALSE(gangs.mayComplete(job, now));
+    fleet.place(host, job, 0, 1, PlacementState::waiting, now);
+    fleet.place(host, job, 1, 1, PlacementState::waiting, now);
+    EXPECT_TRUE(gangPlanner.mayComplete(job, now));
+    EXPECT_FALSE(gangPlanner.mayComplete(job, now + 13s));  // the other tasks have waited too long
+    fleet.place(host, job, 2, 1, PlacementState::running, now);
+    EXPECT_FALSE(gangPlanner.mayComplete(job, now));
 }
--- a/tests/scheduling/job_queue_test.cpp
+++ b/tests/scheduling/job_queue_test.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-/// Jobs of four tasks, each of one processor and ten seconds, that arrive in the order in which they are
-/// made.
+/// Jobs have four tasks of one processor and ten seconds each and arrive in the order in which they are
+/// created.
 struct JobQueueTest : testing::Test {
     protocol::Policy policy;
     protocol::Team guaranteed{"guaranteed", 8, 0, 0, 0};
-    protocol::Team free{"free", 0, 0, 0, 0};
+    protocol::Team noQuota{"free", 0, 0, 0, 0};
     StateReplica replica;
     Fleet fleet;
     std::vector<std::unique_ptr<Job>> jobs;
@@ -35,7 +35,7 @@
     Job& job(const std::string& id, Priority priority = Priority::normal) {
         auto& job = *jobs.emplace_back(std::make_unique<Job>());
         job.spec.id = id;
-        job.spec.team = free.name;
+        job.spec.team = noQuota.name;
         job.spec.tasks = 4;
         job.spec.cpus = 1;
         job.spec.estimatedRunTime = Seconds(10);
@@ -43,22 +43,22 @@
         job.accepted = jobs.size();
         job.beginRun(bookkeeping::JobOrigin::accepted, now);
         job.run->readyAt = now;
-        job.run->team = &free;
+        job.run->team = &noQuota;
         jobQueue.add(job);
         return job;
     }
     Job& jobWithDeadline(const std::string& id, Clock::duration dueIn) {
-        auto& made = job(id);
-        made.spec.deadline = Seconds(100);
-        made.dueAtMs = kStartMs + static_cast<std::uint64_t>(dueIn / 1ms);
-        return made;
+        auto& newJob = job(id);
+        newJob.spec.deadline = Seconds(100);
+        newJob.dueAtMs = kStartMs + static_cast<std::uint64_t>(dueIn / 1ms);
+        return newJob;
     }
     Job& guaranteedJob(const std::string& id, double cpus) {
-        auto& made = job(id);
-        made.spec.team = guaranteed.name;
-        made.spec.cpus = cpus;
-        made.run->team = &guaranteed;
-        return made;
+        auto& newJob = job(id);
+        newJob.spec.team = guaranteed.name;
+        newJob.spec.cpus = cpus;
+        newJob.run->team = &guaranteed;
+        return newJob;
     }
     /// The ids of the waiting jobs, in the order of the queue after a refresh.
     std::string order() {
@@ -90,8 +90,8 @@
 TEST_F(JobQueueTest, JobWithinGuaranteedQuotaComesAfterProductionOnly) {
     job("high", Priority::high);
     job("production", Priority::production);
-    guaranteedJob("first", 1);   // 4 of 8 processors
-    guaranteedJob("second", 2);  // 12 of 8
+    guaranteedJob("first", 1);   // the team demands 4 of 8 guaranteed processors
+    guaranteedJob("second", 2);  // the team demands 12 of 8
     EXPECT_EQ(order(), "production first high second");
 }
 
@@ -107,10 +107,10 @@
 }
 
 TEST_F(JobQueueTest, JobWithAcceleratorsIsNotGuaranteedWithoutAcceleratorQuota) {
-    auto& made = guaranteedJob("accelerated", 1);
-    made.spec.gpus = 1;
+    auto& newJob = guaranteedJob("accelerated", 1);
+    newJob.spec.gpus = 1;
     order();
-    EXPECT_FALSE(made.run->guaranteed);
+    EXPECT_FALSE(newJob.run->guaranteed);
 }
 
 TEST_F(JobQueueTest, JobsWithDeadlinesAreOrderedByLeastRemainingWork) {
@@ -184,16 +184,17 @@
     EXPECT_TRUE(jobQueue.refresh(replica, fleet, clock, now + 100ms));
 }
 
-// The fleet counts the tasks on each machine by priority, so it has to be told of each change.
+// The fleet counts the tasks on each machine by priority, so it must be updated with each change of a
+// priority.
 TEST_F(JobQueueTest, ChangedPriorityReachesTheFleetCounts) {
-    auto& made = job("made");
+    auto& newJob = job("made");
     order();
     auto& machine = fleet.add("m", now);
-    fleet.place(machine, made, 0, 1, bookkeeping::PlacementState::running, now);
-    made.effectivePriority = Priority::high;
+    fleet.place(machine, newJob, 0, 1, bookkeeping::PlacementState::running, now);
+    newJob.effectivePriority = Priority::high;
     jobQueue.markStale();
     order();
-    EXPECT_EQ(made.priority(), Priority::high);
+    EXPECT_EQ(newJob.priority(), Priority::high);
     EXPECT_EQ(machine.use.preemptible[static_cast<std::size_t>(Priority::normal)].cpus, 0);
     EXPECT_EQ(machine.use.preemptible[static_cast<std::size_t>(Priority::high)].cpus, 1);
 }
--- a/tests/scheduling/placement_constraints_test.cpp
+++ b/tests/scheduling/placement_constraints_test.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-/// Machines of eight processors, and jobs of four tasks of two processors.
+/// Machines have eight processors, and jobs have four tasks of two processors.
 struct PlacementConstraintsTest : testing::Test {
     bookkeeping::MachineTypes types{{"plain", {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a", "b"}}}};
     protocol::Team team{"t", 0, 0, 0, 0};
@@ -67,7 +67,7 @@
     EXPECT_TRUE(usable(machine("m"), now));
 }
 
-// The next leader would not know of its tasks.
+// The next leader would not know the tasks on such a machine.
 TEST_F(PlacementConstraintsTest, MachineOutsideTheStoredRegistryIsNotUsable) {
     auto& unstored = machine("m");
     fleet.setRegistration(unstored, RegistrationState::writing);
@@ -75,73 +75,73 @@
 }
 
 TEST_F(PlacementConstraintsTest, MachineThatLeavesOrFailsOrIsUnreachableIsNotUsable) {
-    const auto without = [&](const std::string& id, const std::function<void(Machine&)>& change) {
+    const auto usableAfter = [&](const std::string& id, const std::function<void(Machine&)>& change) {
         auto& changed = machine(id);
         change(changed);
         return usable(changed, now);
     };
-    EXPECT_FALSE(without("not acknowledged", [](Machine& m) { m.agent.acknowledged = false; }));
-    EXPECT_FALSE(without("no heartbeats", [](Machine& m) { m.lease.active = false; }));
-    EXPECT_FALSE(without("draining", [](Machine& m) { m.cloud.draining = true; }));
-    EXPECT_FALSE(without("deletion requested", [](Machine& m) { m.cloud.deletionRequested = true; }));
-    EXPECT_FALSE(without("failed", [](Machine& m) { m.cloud.failed = true; }));
-    EXPECT_FALSE(without("interruption", [&](Machine& m) { m.cloud.interruptionAt = now + 1min; }));
-    EXPECT_FALSE(without("unreachable", [&](Machine& m) { m.agent.unreachableSince = now; }));
-    EXPECT_FALSE(without("unknown type", [](Machine& m) { m.typeInfo = nullptr; }));
-    EXPECT_TRUE(without("one error", [](Machine& m) { m.history.failedJobs = {"a"}; }));
-    EXPECT_FALSE(without("two errors", [](Machine& m) { m.history.failedJobs = {"a", "b"}; }));
+    EXPECT_FALSE(usableAfter("not acknowledged", [](Machine& m) { m.agent.acknowledged = false; }));
+    EXPECT_FALSE(usableAfter("no heartbeats", [](Machine& m) { m.lease.active = false; }));
+    EXPECT_FALSE(usableAfter("draining", [](Machine& m) { m.cloud.draining = true; }));
+    EXPECT_FALSE(usableAfter("deletion requested", [](Machine& m) { m.cloud.deletionRequested = true; }));
+    EXPECT_FALSE(usableAfter("failed", [](Machine& m) { m.cloud.failed = true; }));
+    EXPECT_FALSE(usableAfter("interruption", [&](Machine& m) { m.cloud.interruptionAt = now + 1min; }));
+    EXPECT_FALSE(usableAfter("unreachable", [&](Machine& m) { m.agent.unreachableSince = now; }));
+    EXPECT_FALSE(usableAfter("unknown type", [](Machine& m) { m.typeInfo = nullptr; }));
+    EXPECT_TRUE(usableAfter("one error", [](Machine& m) { m.history.failedJobs = {"a"}; }));
+    EXPECT_FALSE(usableAfter("two errors", [](Machine& m) { m.history.failedJobs = {"a", "b"}; }));
 }
 
 TEST_F(PlacementConstraintsTest, MachineThatRefusedAStartIsUsableAfterItsBackoff) {
-    auto& quiet = machine("m");
-    quiet.history.startBackoffUntil = now + 2s;
-    EXPECT_FALSE(usable(quiet, now));
-    EXPECT_TRUE(usable(quiet, now + 2s));
+    auto& refusing = machine("m");
+    refusing.history.startBackoffUntil = now + 2s;
+    EXPECT_FALSE(usable(refusing, now));
+    EXPECT_TRUE(usable(refusing, now + 2s));
 }
 
 TEST_F(PlacementConstraintsTest, OwnerRestrictsTypeZoneAndSpot) {
-    auto& any = job();
-    EXPECT_TRUE(bookkeeping::ownerAllows(any.spec, "plain", "a", false));
-    EXPECT_FALSE(bookkeeping::ownerAllows(any.spec, "plain", "a", true));
-    any.spec.spot = true;
-    EXPECT_TRUE(bookkeeping::ownerAllows(any.spec, "plain", "a", true));
-    auto& bound = job();
-    bound.spec.zone = "a";
-    bound.spec.types = std::vector<std::string>{"plain", "large"};
-    EXPECT_TRUE(bookkeeping::ownerAllows(bound.spec, "large", "a", false));
-    EXPECT_FALSE(bookkeeping::ownerAllows(bound.spec, "large", "b", false));
-    EXPECT_FALSE(bookkeeping::ownerAllows(bound.spec, "gpu", "a", false));
+    auto& unrestricted = job();
+    EXPECT_TRUE(bookkeeping::ownerAllows(unrestricted.spec, "plain", "a", false));
+    EXPECT_FALSE(bookkeeping::ownerAllows(unrestricted.spec, "plain", "a", true));
+    unrestricted.spec.spot = true;
+    EXPECT_TRUE(bookkeeping::ownerAllows(unrestricted.spec, "plain", "a", true));
+    auto& restricted = job();
+    restricted.spec.zone = "a";
+    restricted.spec.types = std::vector<std::string>{"plain", "large"};
+    EXPECT_TRUE(bookkeeping::ownerAllows(restricted.spec, "large", "a", false));
+    EXPECT_FALSE(bookkeeping::ownerAllows(restricted.spec, "large", "b", false));
+    EXPECT_FALSE(bookkeeping::ownerAllows(restricted.spec, "gpu", "a", false));
 }
 
 TEST_F(PlacementConstraintsTest, SingleZoneJobStaysInItsZone) {
-    auto& together = job();
-    together.spec.singleZone = true;
-    EXPECT_TRUE(zoneAllows(together, "a"));
-    place(machine("m"), together, 0);
-    EXPECT_TRUE(zoneAllows(together, "a"));
-    EXPECT_FALSE(zoneAllows(together, "b"));
-    place(machine("n", "b"), together, 1);  // an earlier leader may have placed it there
-    EXPECT_FALSE(zoneAllows(together, "a"));
+    auto& singleZone = job();
+    singleZone.spec.singleZone = true;
+    EXPECT_TRUE(zoneAllows(singleZone, "a"));
+    place(machine("m"), singleZone, 0);
+    EXPECT_TRUE(zoneAllows(singleZone, "a"));
+    EXPECT_FALSE(zoneAllows(singleZone, "b"));
+    place(machine("n", "b"), singleZone, 1);  // as an earlier leader may have done
+    EXPECT_FALSE(zoneAllows(singleZone, "a"));
 }
 
 TEST_F(PlacementConstraintsTest, SpreadJobHasAtMostHalfOfItsTasksInAZone) {
-    auto& apart = job();
-    apart.spec.spreadZones = true;
-    apart.spec.tasks = 3;
-    auto& here = machine("m");
-    place(here, apart, 0);
-    EXPECT_TRUE(zoneAllows(apart, "a"));  // half of three, rounded up
-    place(here, apart, 1);
-    EXPECT_FALSE(zoneAllows(apart, "a"));
-    EXPECT_TRUE(zoneAllows(apart, "b"));
+    auto& spread = job();
+    spread.spec.spreadZones = true;
+    spread.spec.tasks = 3;
+    auto& host = machine("m");
+    place(host, spread, 0);
+    EXPECT_TRUE(zoneAllows(spread, "a"));  // half of three, rounded up
+    place(host, spread, 1);
+    EXPECT_FALSE(zoneAllows(spread, "a"));
+    EXPECT_TRUE(zoneAllows(spread, "b"));
 }
 
 TEST_F(PlacementConstraintsTest, InheritedJobIsBlockedByUnreconciledMachinesItMayBeOn) {
     auto& inherited = job();
     inherited.run->origin = bookkeeping::JobOrigin::inherited;
-    auto& unheard = machine("m");
+    auto& unreconciled = machine("m");
     EXPECT_FALSE(blockedByUnreconciled(inherited, fleet));
-    fleet.setReconciled(unheard, false);
+    fleet.setReconciled(unreconciled, false);
     EXPECT_TRUE(blockedByUnreconciled(inherited, fleet));
     EXPECT_FALSE(blockedByUnreconciled(job(), fleet));  // accepted under this leader
     inherited.spec.zone = "b";
@@ -172,53 +172,53 @@
 }
 
 TEST_F(PlacementConstraintsTest, JobOfAnUnknownTeamMayStartNothing) {
-    auto& strange = job();
-    strange.run->team = nullptr;
-    EXPECT_FALSE(withinTeamQuota(strange, 1, fleet, types));
+    auto& unknownTeam = job();
+    unknownTeam.run->team = nullptr;
+    EXPECT_FALSE(withinTeamQuota(unknownTeam, 1, fleet, types));
 }
 
 TEST_F(PlacementConstraintsTest, AvailableCapacityIsWhatIsNotUsed) {
-    auto& here = machine("m");
+    auto& host = machine("m");
     auto& requester = job();
-    EXPECT_DOUBLE_EQ(availableCpus(here, requester), 8);
-    place(here, requester, 0);
-    EXPECT_DOUBLE_EQ(availableCpus(here, requester), 6);
-    here.typeInfo = nullptr;
-    EXPECT_DOUBLE_EQ(availableCpus(here, requester), 0);
+    EXPECT_DOUBLE_EQ(availableCpus(host, requester), 8);
+    place(host, requester, 0);
+    EXPECT_DOUBLE_EQ(availableCpus(host, requester), 6);
+    host.typeInfo = nullptr;
+    EXPECT_DOUBLE_EQ(availableCpus(host, requester), 0);
 }
 
 TEST_F(PlacementConstraintsTest, ReservedCapacityIsOnlyForTheHolderAndHigherRanks) {
-    auto& here = machine("m");
+    auto& host = machine("m");
     auto& holder = job(Priority::high);
-    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::waiting, 2);
-    EXPECT_DOUBLE_EQ(availableCpus(here, holder), 8);
-    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::high)), 4);
-    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::low)), 4);
-    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::production)), 8);
-    EXPECT_DOUBLE_EQ(availableCapacity(here, job(Priority::low), now + 5s).cpus, 8);  // lapsed
+    fleet.reserve(host, holder, now + 5s, bookkeeping::ReservationKind::waiting, 2);
+    EXPECT_DOUBLE_EQ(availableCpus(host, holder), 8);
+    EXPECT_DOUBLE_EQ(availableCpus(host, job(Priority::high)), 4);
+    EXPECT_DOUBLE_EQ(availableCpus(host, job(Priority::low)), 4);
+    EXPECT_DOUBLE_EQ(availableCpus(host, job(Priority::production)), 8);
+    EXPECT_DOUBLE_EQ(availableCapacity(host, job(Priority::low), now + 5s).cpus, 8);  // lapsed
     holder.run->waiting = 0;
-    EXPECT_DOUBLE_EQ(availableCpus(here, job(Priority::low)), 8);  // the holder has no waiting tasks
+    EXPECT_DOUBLE_EQ(availableCpus(host, job(Priority::low)), 8);  // the holder has no waiting tasks
 }
 
-// Guaranteed tasks would take the capacity and be preempted again and again.
+// Otherwise tasks within a guaranteed quota would take the capacity and be preempted again and again.
 TEST_F(PlacementConstraintsTest, CapacityFreedByPreemptionIsNotForGuaranteedJobsOfNoHigherPriority) {
-    auto& here = machine("m");
+    auto& host = machine("m");
     auto& holder = job(Priority::high);
     auto& guaranteed = job(Priority::normal);
     guaranteed.run->rank = static_cast<int>(Rank::guaranteed);
-    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::preempting, 1);
-    EXPECT_DOUBLE_EQ(availableCpus(here, guaranteed), 6);
-    fleet.reserve(here, holder, now + 5s, bookkeeping::ReservationKind::waiting, 1);  // without preemption
-    EXPECT_DOUBLE_EQ(availableCpus(here, guaranteed), 8);
+    fleet.reserve(host, holder, now + 5s, bookkeeping::ReservationKind::preempting, 1);
+    EXPECT_DOUBLE_EQ(availableCpus(host, guaranteed), 6);
+    fleet.reserve(host, holder, now + 5s, bookkeeping::ReservationKind::waiting, 1);  // without preemption
+    EXPECT_DOUBLE_EQ(availableCpus(host, guaranteed), 8);
 }
 
 TEST_F(PlacementConstraintsTest, CapacityWithPreemptionCountsLowerPrioritiesAndAllForAGuaranteedJob) {
-    auto& here = machine("m");
-    place(here, job(Priority::low), 0);
-    place(here, job(Priority::normal), 0);
-    place(here, job(Priority::high), 0);
+    auto& host = machine("m");
+    place(host, job(Priority::low), 0);
+    place(host, job(Priority::normal), 0);
+    place(host, job(Priority::high), 0);
     auto& requester = job(Priority::normal);
-    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, requester, now).cpus, 4);  // 2 are free, 2 of low priority
+    EXPECT_DOUBLE_EQ(capacityWithPreemption(host, requester, now).cpus, 4);  // 2 are free, 2 of low priority
     requester.run->guaranteed = true;
-    EXPECT_DOUBLE_EQ(capacityWithPreemption(here, requester, now).cpus, 8);
+    EXPECT_DOUBLE_EQ(capacityWithPreemption(host, requester, now).cpus, 8);
 }
--- a/tests/scheduling/placement_fixture.h
+++ b/tests/scheduling/placement_fixture.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Test fixture: machines, stored jobs and the modules that place tasks, connected as in the leader, without a
-// leader.
+// Test fixture with machines, stored jobs and the components that place tasks, connected as in the leader but
+// without a leader.
 
 #include <gtest/gtest.h>
 
@@ -22,8 +22,8 @@
 
 namespace burlpoint::tests {
 
-/// Plain machines of eight processors, and machines with two accelerators, in zones "a" and "b". Unless a
-/// test says otherwise, jobs have four tasks of two processors and belong to a team without quotas.
+/// Plain machines have eight processors, other machines 16 processors and two accelerators, in zones "a" and
+/// "b". By default jobs have four tasks of two processors and belong to a team without quotas.
 class PlacementFixture : public testing::Test {
   protected:
     using Job = bookkeeping::Job;
@@ -42,7 +42,7 @@
         types["gpu"] = {"gpu", 16, 2, 64, 50, 1, 8, 3, Seconds(30), {"a", "b"}};
     }
 
-    /// A usable machine.
+    /// Adds a usable machine.
     Machine& machine(const std::string& id, const std::string& zone = "a",
                      const std::string& type = "plain") {
         auto& added = fleet.add(id, now);
@@ -59,16 +59,16 @@
         return added;
     }
     protocol::JobSpec spec(const std::string& id, JobKind kind = JobKind::array) const {
-        protocol::JobSpec made;
-        made.id = id;
-        made.jobClass = made.image = "class";
-        made.team = "t";
-        made.kind = kind;
-        made.tasks = 4;
-        made.cpus = 2;
-        made.estimatedRunTime = Seconds(10);
-        if (kind == JobKind::service) made.priority = Priority::production;
-        return made;
+        protocol::JobSpec jobSpec;
+        jobSpec.id = id;
+        jobSpec.jobClass = jobSpec.image = "class";
+        jobSpec.team = "t";
+        jobSpec.kind = kind;
+        jobSpec.tasks = 4;
+        jobSpec.cpus = 2;
+        jobSpec.estimatedRunTime = Seconds(10);
+        if (kind == JobKind::service) jobSpec.priority = Priority::production;
+        return jobSpec;
     }
     /// Adds the job to the replica and begins its run.
     Job& accept(const protocol::JobSpec& accepted) {
@@ -81,7 +81,7 @@
         activator.begin(job, bookkeeping::JobOrigin::accepted, now);
         return job;
     }
-    /// Brings the job queue and the pacing up to date.
+    /// Refreshes the job queue and the pacing, and admits all open jobs.
     void refresh() {
         now += std::chrono::milliseconds(100);
         jobQueue.markStale();
@@ -94,11 +94,11 @@
     void giveImage(Machine& holder, const Job& job) {
         fleet.useImage(holder, job.spec.image, job.spec.imageGb, holder.typeInfo->cacheGb);
     }
-    bookkeeping::Placement& place(Machine& on, Job& job, std::uint32_t task,
+    bookkeeping::Placement& place(Machine& host, Job& job, std::uint32_t task,
                                   bookkeeping::PlacementState state = bookkeeping::PlacementState::running) {
-        return fleet.place(on, job, task, attempts.next(), state, now);
+        return fleet.place(host, job, task, attempts.next(), state, now);
     }
-    /// The tasks that start with the response to the machine's heartbeat, as "job/task".
+    /// Schedules one heartbeat of the machine and returns the tasks that its response starts, as "job/task".
     std::vector<std::string> schedule(Machine& machine) {
         refresh();
         std::vector<protocol::WorkerCommand> commands;
@@ -141,12 +141,12 @@
     coordination::PlacementConstraints constraints{accelerators, zones};
     coordination::ImageLocality images{settings, policy, fleet, pacing, constraints, scans};
     coordination::TaskTerminator terminator{settings, fleet, jobQueue};
-    coordination::GangPlanner gangs{settings, fleet, types, constraints, jobQueue, zones, attempts};
+    coordination::GangPlanner gangPlanner{settings, fleet, types, constraints, jobQueue, zones, attempts};
     coordination::DegradedFirstScheduler scheduler{
         {settings, fleet, types, jobQueue, pacing, constraints, images, attempts}};
     coordination::Preemption preemption{
         {settings, fleet, types, jobQueue, constraints, images, zones, terminator, scans}};
-    coordination::AttemptCompletion ends{fleet, gangs, jobQueue, terminator};
+    coordination::AttemptCompletion ends{fleet, gangPlanner, jobQueue, terminator};
     coordination::HeartbeatReconciler reconciler{
         {kToken, replica, fleet, jobQueue, activator, writer, pacing, terminator, ends}};
 };
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -18,25 +18,25 @@
   protected:
     Job& acceptWith(const std::string& id, Priority priority, JobKind kind = JobKind::array,
                     double cpus = 2) {
-        auto made = spec(id, kind);
-        made.priority = priority;
-        made.cpus = cpus;
-        made.image = id;
-        auto& job = accept(made);
+        auto jobSpec = spec(id, kind);
+        jobSpec.priority = priority;
+        jobSpec.cpus = cpus;
+        jobSpec.image = id;
+        auto& job = accept(jobSpec);
         job.run->priority = priority;
         return job;
     }
     /// Fills a machine with tasks of a low-priority job.
-    Job& fill(Machine& on, const std::string& id) {
+    Job& fill(Machine& host, const std::string& id) {
         auto& job = acceptWith(id, Priority::low);
-        for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(on, job, task);
+        for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(host, job, task);
         return job;
     }
     bool mayBePreempted(const Placement& placement, const Job& job) const {
         return mayPreempt(placement, job, fleet, settings, now);
     }
     void preemptForWaitingJobs() {
-        now += 10s;  // longer than any job waits before it preempts
+        now += 10s;  // every job preempts after a shorter wait
         refresh();
         preemption.preemptForWaitingJobs(now);
     }
@@ -45,19 +45,19 @@
 }  // namespace
 
 TEST_F(PreemptionTest, LowerPriorityIsPreemptedAndEqualPriorityIsNot) {
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     auto& normal = acceptWith("wk-1", Priority::normal);
-    const auto& placement = place(on, normal, 0);
+    const auto& placement = place(host, normal, 0);
     EXPECT_TRUE(mayBePreempted(placement, acceptWith("wk-2", Priority::high)));
     EXPECT_FALSE(mayBePreempted(placement, acceptWith("wk-3", Priority::normal)));
     EXPECT_FALSE(mayBePreempted(placement, normal));
 }
 
 TEST_F(PreemptionTest, ReplicasAndLargerGangsAreNeverPreempted) {
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     auto& high = acceptWith("wk-1", Priority::high);
-    EXPECT_FALSE(mayBePreempted(place(on, acceptWith("wk-2", Priority::low, JobKind::service), 0), high));
-    EXPECT_FALSE(mayBePreempted(place(on, acceptWith("wk-3", Priority::low, JobKind::gang), 0), high));
+    EXPECT_FALSE(mayBePreempted(place(host, acceptWith("wk-2", Priority::low, JobKind::service), 0), high));
+    EXPECT_FALSE(mayBePreempted(place(host, acceptWith("wk-3", Priority::low, JobKind::gang), 0), high));
 }
 
 TEST_F(PreemptionTest, GuaranteedJobPreemptsWhatAnotherTeamHasBeyondItsQuota) {
@@ -83,14 +83,14 @@
 }
 
 TEST_F(PreemptionTest, VictimsAreTheTasksThatRanLeastAndNoMoreThanNeeded) {
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     auto& low = acceptWith("wk-1", Priority::low);
     for (std::uint32_t task = 0; task < 4; ++task) {
-        place(on, low, task);
+        place(host, low, task);
         now += 40s;
     }
     const auto plan =
-        planPreemption(on, acceptWith("wk-2", Priority::high, JobKind::array, 4), 1, fleet, settings, now);
+        planPreemption(host, acceptWith("wk-2", Priority::high, JobKind::array, 4), 1, fleet, settings, now);
     ASSERT_TRUE(plan);
     ASSERT_EQ(plan->victims.size(), 2u);
     EXPECT_EQ(plan->victims[0]->task, 3u);
@@ -98,41 +98,41 @@
 }
 
 TEST_F(PreemptionTest, NoPlanIfPreemptionCannotFreeEnoughCapacity) {
-    auto& on = machine("m1");
-    fill(on, "wk-1");
+    auto& host = machine("m1");
+    fill(host, "wk-1");
     const auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
-    EXPECT_TRUE(planPreemption(on, job, 2, fleet, settings, now));
-    EXPECT_FALSE(planPreemption(on, job, 3, fleet, settings, now));
+    EXPECT_TRUE(planPreemption(host, job, 2, fleet, settings, now));
+    EXPECT_FALSE(planPreemption(host, job, 3, fleet, settings, now));
 }
 
 TEST_F(PreemptionTest, CapacityIsFreedAndReservedForAHighPriorityJob) {
-    auto& on = machine("m1");
-    fill(on, "wk-1");
+    auto& host = machine("m1");
+    fill(host, "wk-1");
     auto& job = acceptWith("wk-2", Priority::high, JobKind::array, 4);
     preemptForWaitingJobs();
-    EXPECT_EQ(countStopping(on), 2u);
-    EXPECT_EQ(on.reservation.job, &job);
+    EXPECT_EQ(countStopping(host), 2u);
+    EXPECT_EQ(host.reservation.job, &job);
     EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
 TEST_F(PreemptionTest, NothingIsPreemptedWhileCapacityIsFree) {
-    auto& on = machine("m1");
-    fill(on, "wk-1");
+    auto& host = machine("m1");
+    fill(host, "wk-1");
     machine("m2");
     machine("m3");
     acceptWith("wk-2", Priority::high, JobKind::array, 4);
     preemptForWaitingJobs();
-    EXPECT_EQ(countStopping(on), 0u);
+    EXPECT_EQ(countStopping(host), 0u);
 }
 
 TEST_F(PreemptionTest, NothingIsPreemptedBeforeTheJobHasWaitedLongEnough) {
-    auto& on = machine("m1");
-    fill(on, "wk-1");
+    auto& host = machine("m1");
+    fill(host, "wk-1");
     acceptWith("wk-2", Priority::high);
-    now += 2s;  // of the three that it waits
+    now += 2s;  // the job waits 3 s before it preempts
     refresh();
     preemption.preemptForWaitingJobs(now);
-    EXPECT_EQ(countStopping(on), 0u);
+    EXPECT_EQ(countStopping(host), 0u);
 }
 
 TEST_F(PreemptionTest, GangPreemptsForAllItsTasksOrNotAtAll) {
@@ -149,8 +149,8 @@
     EXPECT_EQ(two.reservation.job, &job);
 }
 
-// The protected start counts as stoppable but may not be preempted. Then nothing is preempted for the rest of
-// the gang either.
+// A protected start is part of the capacity that counts as preemptible, but it may not be preempted, so the
+// plans do not cover the whole gang. No task may be preempted for the gang then.
 TEST_F(PreemptionTest, NothingIsPreemptedForAGangThatAProtectedStartBlocks) {
     auto& one = machine("m1");
     auto& two = machine("m2");
@@ -163,9 +163,9 @@
 }
 
 TEST_F(PreemptionTest, BestGangCapacityIsThatOfTheZoneWithTheMost) {
-    auto bound = spec("wk-1", JobKind::gang);
-    bound.singleZone = true;
-    const auto& job = accept(bound);
+    auto restricted = spec("wk-1", JobKind::gang);
+    restricted.singleZone = true;
+    const auto& job = accept(restricted);
     machine("m1", "a");
     auto& full = machine("m2", "b");
     fill(full, "wk-2");
@@ -176,5 +176,5 @@
     fill(*fleet.find("m1"), "wk-3");
     EXPECT_EQ(best().withPreemption, 4u);  // by preempting the low-priority tasks
     EXPECT_EQ(best().free, 0u);
-    EXPECT_EQ(best().besideReplicas, 4u);
+    EXPECT_EQ(best().withReplicasOnly, 4u);
 }
--- a/tests/scheduling/scheduling_test.cpp
+++ b/tests/scheduling/scheduling_test.cpp
@@ -1,5 +1,5 @@
-// Which tasks start with the response to a heartbeat: degraded-first scheduling, placement constraints, and
-// the look-up of machines that have an image.
+// Tests which tasks start with the response to a heartbeat: degraded-first scheduling, placement constraints
+// and the look-up of machines that have an image.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -17,7 +17,7 @@
 class SchedulerTest : public PlacementFixture {};
 class MayStartTest : public PlacementFixture {
   protected:
-    bool mayStart(const Job& job, const Machine& on) const { return constraints.mayStart(job, on, now); }
+    bool mayStart(const Job& job, const Machine& host) const { return constraints.mayStart(job, host, now); }
 };
 class ImageLocalityTest : public PlacementFixture {};
 
@@ -27,26 +27,26 @@
 
 TEST_F(SchedulerTest, CachedTasksFillAMachineThatHasTheImage) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    giveImage(on, job);
-    EXPECT_EQ(schedule(on), (Names{"wk-1/0", "wk-1/1", "wk-1/2", "wk-1/3"}));
+    auto& host = machine("m1");
+    giveImage(host, job);
+    EXPECT_EQ(schedule(host), (Names{"wk-1/0", "wk-1/1", "wk-1/2", "wk-1/3"}));
     EXPECT_EQ(job.run->launchedTasks, 4u);
     EXPECT_EQ(job.run->pacedFetches, 0u);
 }
 
 TEST_F(SchedulerTest, StartRecordsTheHeartbeatThatItAnswers) {
     accept(spec("wk-1"));
-    auto& on = machine("m1");
-    on.agent.sequence = 7;
-    ASSERT_FALSE(schedule(on).empty());
-    for (const auto& [key, placement] : on.placements) {
+    auto& host = machine("m1");
+    host.agent.sequence = 7;
+    ASSERT_FALSE(schedule(host).empty());
+    for (const auto& [key, placement] : host.placements) {
         EXPECT_EQ(placement.state, PlacementState::sent);
         EXPECT_EQ(placement.sentSequence, 7u);
     }
 }
 
-// The machines with the images send heartbeats soon and have capacity for three of the four tasks of each
-// job.
+// The machines with the images are expected to send heartbeats soon and have capacity for three of the four
+// tasks of each job.
 TEST_F(SchedulerTest, OnlyTasksThatDoNotFitOnMachinesWithTheImageFetch) {
     auto other = spec("wk-2");
     other.image = "other";
@@ -64,9 +64,9 @@
 
 TEST_F(SchedulerTest, LeftoverCapacityTakesFetchingTasks) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    EXPECT_EQ(schedule(on).size(), 4u);
-    EXPECT_EQ(job.run->pacedFetches, 1u);  // they share one fetch
+    auto& host = machine("m1");
+    EXPECT_EQ(schedule(host).size(), 4u);
+    EXPECT_EQ(job.run->pacedFetches, 1u);  // all four tasks share one fetch
 }
 
 TEST_F(SchedulerTest, LeftoverCapacityStaysFreeWhileMachinesWithTheImageSuffice) {
@@ -80,10 +80,10 @@
     auto high = spec("wk-102");
     high.priority = Priority::high;
     high.image = "high";
-    auto& on = machine("m1");
-    giveImage(on, accept(low));
+    auto& host = machine("m1");
+    giveImage(host, accept(low));
     accept(high);
-    EXPECT_EQ(schedule(on), (Names{"wk-102/0", "wk-102/1", "wk-102/2", "wk-102/3"}));
+    EXPECT_EQ(schedule(host), (Names{"wk-102/0", "wk-102/1", "wk-102/2", "wk-102/3"}));
 }
 
 TEST_F(SchedulerTest, PlannedGangTasksStartThoughTheMachineIsFull) {
@@ -91,11 +91,11 @@
     gang.tasks = 2;
     gang.cpus = 4;
     accept(gang);
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     refresh();
-    gangs.plan(now);
-    EXPECT_EQ(schedule(on), (Names{"wk-103/0", "wk-103/1"}));
-    EXPECT_EQ(schedule(on), Names{});  // they were sent
+    gangPlanner.plan(now);
+    EXPECT_EQ(schedule(host), (Names{"wk-103/0", "wk-103/1"}));
+    EXPECT_EQ(schedule(host), Names{});  // the starts have been sent
 }
 
 TEST_F(SchedulerTest, GangOfSeveralTasksIsNotStartedTaskByTask) {
@@ -108,20 +108,20 @@
     high.priority = Priority::high;
     high.cpus = 8;
     auto& job = accept(high);
-    auto& on = machine("m1");
-    place(on, accept(spec("wk-101")), 0);
-    EXPECT_EQ(schedule(on), Names{});
-    EXPECT_EQ(on.reservation.job, &job);
-    EXPECT_TRUE(on.reservation.withoutPreemption);
+    auto& host = machine("m1");
+    place(host, accept(spec("wk-101")), 0);
+    EXPECT_EQ(schedule(host), Names{});
+    EXPECT_EQ(host.reservation.job, &job);
+    EXPECT_TRUE(host.reservation.withoutPreemption);
 }
 
 // --- placement constraints --------------------------------------------------------------------------------
 
 TEST_F(MayStartTest, OwnerConstraintsOnTypeZoneAndSpotAreKept) {
-    auto bound = spec("wk-1");
-    bound.types = Names{"gpu"};
-    bound.zone = "b";
-    const auto& job = accept(bound);
+    auto restricted = spec("wk-1");
+    restricted.types = Names{"gpu"};
+    restricted.zone = "b";
+    const auto& job = accept(restricted);
     EXPECT_TRUE(mayStart(job, machine("m1", "b", "gpu")));
     EXPECT_FALSE(mayStart(job, machine("m2", "a", "gpu")));
     EXPECT_FALSE(mayStart(job, machine("m3", "b", "plain")));
@@ -132,33 +132,34 @@
 
 TEST_F(MayStartTest, JobThatIsOverOrBackingOffOrHasNothingWaitingStartsNothing) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    ASSERT_TRUE(mayStart(job, on));
+    auto& host = machine("m1");
+    ASSERT_TRUE(mayStart(job, host));
     job.run->backoffUntil = now + 1s;
-    EXPECT_FALSE(mayStart(job, on));
+    EXPECT_FALSE(mayStart(job, host));
     job.run->backoffUntil = now;
-    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(on, job, task);
-    EXPECT_FALSE(mayStart(job, on));
+    for (std::uint32_t task = 0; task < job.spec.tasks; ++task) place(host, job, task);
+    EXPECT_FALSE(mayStart(job, host));
     job.terminalState = storage::TerminalState::cancelled;
     EXPECT_FALSE(mayStart(job, machine("m2")));
 }
 
 TEST_F(MayStartTest, JobAvoidsAMachineForAMinuteAfterAFailureThere) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     job.run->errorMachines["m1"] = now;
-    EXPECT_FALSE(mayStart(job, on));
+    EXPECT_FALSE(mayStart(job, host));
     EXPECT_TRUE(mayStart(job, machine("m2")));
     now += 60s;
-    EXPECT_TRUE(mayStart(job, on));
+    EXPECT_TRUE(mayStart(job, host));
 }
 
-// The job is then the likely cause itself, and otherwise it would soon find no machine.
+// A job that failed on three machines is the likely cause itself, and would soon find no machine if it
+// avoided them.
 TEST_F(MayStartTest, JobThatFailedOnThreeMachinesAvoidsNone) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     for (const char* id : {"m1", "m2", "m3"}) job.run->errorMachines[id] = now;
-    EXPECT_TRUE(mayStart(job, on));
+    EXPECT_TRUE(mayStart(job, host));
 }
 
 // --- machines with the image ------------------------------------------------------------------------------
@@ -171,7 +172,7 @@
     giveImage(cached, job);
     machine("without");
     EXPECT_EQ(images.capacityWithImage(job, now), 4u);
-    now += 250ms;  // after which the answer is no longer cached
+    now += 250ms;  // the cached result has expired
     cached.lease.lastHeartbeat = now - 4s;
     EXPECT_EQ(images.capacityWithImage(job, now), 0u);
 }
@@ -180,17 +181,17 @@
     auto& job = accept(spec("wk-1"));
     giveImage(machine("m1"), job);
     images.capacityWithImage(job, now);
-    const auto looked = scans.total();
+    const auto scansBefore = scans.total();
     images.capacityWithImage(job, now + 249ms);
-    EXPECT_EQ(scans.total(), looked);
+    EXPECT_EQ(scans.total(), scansBefore);
     images.capacityWithImage(job, now + 250ms);
-    EXPECT_GT(scans.total(), looked);
+    EXPECT_GT(scans.total(), scansBefore);
 }
 
 TEST_F(ImageLocalityTest, ShortWaitObjectiveWaitsForAMachineThatHasTheImage) {
     settings.objectives = {{"wait", "class", Seconds(3)}};
     auto& job = accept(spec("wk-1", JobKind::service));
-    EXPECT_FALSE(images.waitsForImage(job, now));  // no machine has it
+    EXPECT_FALSE(images.waitsForImage(job, now));  // no machine has the image
     now += 250ms;
     auto& cached = machine("cached");
     giveImage(cached, job);
--- a/tests/scheduling/zone_reservations_test.cpp
+++ b/tests/scheduling/zone_reservations_test.cpp
@@ -16,10 +16,11 @@
 
 namespace {
 
-// More than a third of longestPassedOver, after which a gang may reserve a zone.
+// A gang may reserve a zone after a third of longestPassedOver, which is 40 s here.
 constexpr auto kLongWait = 41s;
 
-/// Machines with and without accelerators in zones "a" and "b". Jobs have no task on any machine.
+/// Machines with accelerators in zones "a" and "b" and a plain machine in zone "a". Jobs have no task on any
+/// machine.
 struct ZoneReservationsTest : testing::Test {
     protocol::Policy policy;
     protocol::MachineType plainType{"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"a", "b"}};
@@ -56,32 +57,34 @@
     Job& gang(Clock::duration age = kLongWait, double gpus = 1) {
         return job(JobKind::gang, gpus, Priority::normal, age);
     }
-    Job& rival() { return job(JobKind::array, 1, Priority::normal, 0s); }
+    Job& competingJob() { return job(JobKind::array, 1, Priority::normal, 0s); }
     bool excludes(const Job& job, const Machine& machine) { return zones.excludes(job, machine, now); }
 };
 
 }  // namespace
 
-TEST_F(ZoneReservationsTest, WithoutAReservationNoJobIsExcluded) { EXPECT_FALSE(excludes(rival(), gpuA)); }
+TEST_F(ZoneReservationsTest, WithoutAReservationNoJobIsExcluded) {
+    EXPECT_FALSE(excludes(competingJob(), gpuA));
+}
 
 TEST_F(ZoneReservationsTest, ZoneIsReservedForAGangThatWaitedLong) {
     auto& large = gang();
-    auto& other = rival();
+    auto& other = competingJob();
     zones.reserve(large, "a", now);
     EXPECT_TRUE(excludes(other, gpuA));
-    EXPECT_FALSE(excludes(other, gpuB));  // it has another zone to go to
+    EXPECT_FALSE(excludes(other, gpuB));  // another zone stays available to it
     EXPECT_FALSE(excludes(large, gpuA));
 }
 
 TEST_F(ZoneReservationsTest, YoungGangGetsNoReservation) {
     zones.reserve(gang(40s), "a", now);
-    EXPECT_FALSE(excludes(rival(), gpuA));
+    EXPECT_FALSE(excludes(competingJob(), gpuA));
 }
 
 TEST_F(ZoneReservationsTest, ReservationOfAllZonesExcludesInEachZone) {
     zones.reserve(gang(), "", now);
-    EXPECT_TRUE(excludes(rival(), gpuA));
-    EXPECT_TRUE(excludes(rival(), gpuB));
+    EXPECT_TRUE(excludes(competingJob(), gpuA));
+    EXPECT_TRUE(excludes(competingJob(), gpuB));
 }
 
 TEST_F(ZoneReservationsTest, ProductionAndLowerPriorityJobsAreNotExcluded) {
@@ -94,7 +97,7 @@
 TEST_F(ZoneReservationsTest, JobWithoutAcceleratorsIsNotExcludedForAGangWithThem) {
     zones.reserve(gang(), "a", now);
     EXPECT_FALSE(excludes(job(JobKind::array, 0, Priority::normal, 0s), gpuA));
-    EXPECT_FALSE(excludes(rival(), plainA));  // the gang does not fit there
+    EXPECT_FALSE(excludes(competingJob(), plainA));  // the gang does not fit there
 }
 
 TEST_F(ZoneReservationsTest, GangWithoutAcceleratorsExcludesGangsOnly) {
@@ -105,7 +108,7 @@
 
 TEST_F(ZoneReservationsTest, ReservationLapsesUnlessRenewed) {
     auto& large = gang();
-    auto& other = rival();
+    auto& other = competingJob();
     zones.reserve(large, "a", now);
     now += 9900ms;
     EXPECT_TRUE(excludes(other, gpuA));
@@ -120,17 +123,17 @@
     auto& large = gang();
     zones.reserve(large, "a", now);
     zones.reserve(large, "b", now);
-    EXPECT_TRUE(excludes(rival(), gpuA));
-    EXPECT_FALSE(excludes(rival(), gpuB));
+    EXPECT_TRUE(excludes(competingJob(), gpuA));
+    EXPECT_FALSE(excludes(competingJob(), gpuB));
 }
 
 TEST_F(ZoneReservationsTest, ReleasedZoneExcludesNobody) {
     auto& large = gang();
     zones.reserve(large, "a", now);
-    zones.release(gang());  // another one
-    EXPECT_TRUE(excludes(rival(), gpuA));
+    zones.release(gang());  // a gang without the reservation
+    EXPECT_TRUE(excludes(competingJob(), gpuA));
     zones.release(large);
-    EXPECT_FALSE(excludes(rival(), gpuA));
+    EXPECT_FALSE(excludes(competingJob(), gpuA));
 }
 
 TEST_F(ZoneReservationsTest, OneZoneIsReservedAtATime) {
@@ -138,7 +141,7 @@
     auto& second = gang();
     zones.reserve(first, "a", now);
     zones.reserve(second, "b", now);
-    EXPECT_FALSE(excludes(rival(), gpuB));
+    EXPECT_FALSE(excludes(competingJob(), gpuB));
     EXPECT_TRUE(excludes(second, gpuA));
 }
 
@@ -164,27 +167,28 @@
     EXPECT_FALSE(excludes(older, gpuA));
 }
 
-// A minute for the gang alone alternates with half a minute in which jobs that waited for 20 s may start.
+// 60 s in which the zone is exclusive to the gang alternate with 30 s in which jobs that have waited for 20 s
+// may start, too.
 TEST_F(ZoneReservationsTest, JobThatWaitedMayStartInTheOpenInterval) {
     auto& large = gang();
-    auto& waited = rival();
-    const auto goOn = [&](int seconds) {
+    auto& waited = competingJob();
+    const auto advance = [&](int seconds) {
         for (int i = 0; i < seconds; ++i) {
             now += 1s;
             zones.reserve(large, "a", now);
         }
     };
     zones.reserve(large, "a", now);
-    goOn(59);
+    advance(59);
     EXPECT_TRUE(excludes(waited, gpuA));
-    goOn(1);
+    advance(1);
     EXPECT_FALSE(excludes(waited, gpuA));
-    EXPECT_TRUE(excludes(rival(), gpuA));  // has not waited
+    EXPECT_TRUE(excludes(competingJob(), gpuA));  // has not waited
     waited.run->placedTotal = 1;
     EXPECT_TRUE(excludes(waited, gpuA));  // has a task on a machine
     waited.run->placedTotal = 0;
-    goOn(29);
+    advance(29);
     EXPECT_FALSE(excludes(waited, gpuA));
-    goOn(1);
+    advance(1);
     EXPECT_TRUE(excludes(waited, gpuA));
 }
