--- a/src/coordination/api/job_cancellation.cpp
+++ b/src/coordination/api/job_cancellation.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr auto kWriteTimeout = 1200ms;  // users wait for 2 s
-constexpr int kMaxAttempts = 3;         // writes of one cancellation
+constexpr int kMaxAttempts = 3;         // writes per cancellation
 
 }  // namespace
 
@@ -38,7 +38,8 @@
     if (job->terminalState != TerminalState::none) return queries_.replyWithState(*job, request.reply);
     const auto key = keys::job(request.id);
     const auto record = cancelledRecord(*job, request.attemptsLeft == 1);
-    // Conditional on the record's version: a job becomes either done or cancelled, whichever is stored first.
+    // The write is conditional on the record's version, so a job becomes either done or cancelled, whichever
+    // is stored first.
     store_.transact({{key, job->version}}, {{key, record, 0}}, kWriteTimeout,
                     [this, request](const TransactionResult& result) { writeCompleted(request, result); });
 }
@@ -46,8 +47,8 @@
 std::string JobCancellation::cancelledRecord(const Job& job, bool lastAttempt) const {
     const storage::JobRecord record{job.spec, TerminalState::cancelled, job.acceptedMs, job.doneCount,
                                     job.chunkTasks};
-    // The last attempt leaves out all that can be spared, in case the key-value store's limit on values is
-    // lower than the settings say.
+    // The last attempt omits all optional parts of the record, in case the key-value store's limit on the
+    // size of values is lower than configured.
     const auto maxBytes = lastAttempt ? 0 : settings_.maxValueBytes();
     return storage::encodeTerminatedJob(record, maxBytes);
 }
@@ -56,8 +57,8 @@
     const auto& [id, reply, attemptsLeft] = request;
     const bool mayRetry = attemptsLeft > 1;
     if (result.status == TransactionStatus::applied) {
-        // Reads may fail for a while from here on. Noted now, the cancellation is known to this controller's
-        // users, its own leader, and a leader that asks this controller for a lease vote.
+        // Reads of the store may fail from now on. Recording the cancellation at once makes it known to this
+        // controller's users, to its own leader, and to a leader that asks this controller for a lease vote.
         watcher_.noteCancelled(id, result.revision);
         return reply(protocol::respond(200, protocol::jobReply(id, JobState::cancelled)));
     }
--- a/src/coordination/api/job_cancellation.h
+++ b/src/coordination/api/job_cancellation.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Cancels jobs on behalf of users. Owns no state beyond the cancellations in flight. Used on the controller's
+// Cancels jobs on behalf of users. Owns no state except the cancellations in flight. Used on the controller's
 // thread.
 
 #include <string>
@@ -18,7 +18,8 @@
 /// Stores cancellations. A cancellation is acknowledged only once it is stored.
 class JobCancellation {
   public:
-    /// All references must outlive this object, which waits for answers of `store` and reads of `queries`.
+    /// All references must outlive this object. This object must outlive its pending requests to `store` and
+    /// reads of `queries`.
     JobCancellation(const protocol::Settings& settings, storage::KeyValueClient& store,
                     bookkeeping::StateReplica& replica, StateWatcher& watcher, JobQueries& queries)
         : settings_(settings), store_(store), replica_(replica), watcher_(watcher), queries_(queries) {}
@@ -33,7 +34,7 @@
     struct Request {
         std::string id;
         transport::Reply reply;
-        int attemptsLeft = 0;  // writes that may still be made, the one in flight included
+        int attemptsLeft = 0;  // remaining writes, including the one in flight
     };
 
     void attempt(const Request& request);
--- a/src/coordination/api/job_queries.h
+++ b/src/coordination/api/job_queries.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Answers what state a job is in. Owns the numbers of running tasks that users are shown. Used on the
-// controller's thread.
+// Answers queries for the state of a job. Owns the numbers of running tasks that are reported to users. Used
+// on the controller's thread.
 
 #include <cstdint>
 #include <functional>
@@ -17,26 +17,27 @@
 
 namespace burlpoint::coordination {
 
-/// Replies with the states of jobs. Only a terminal state, which never changes, may be told without a read of
-/// the key-value store, as another controller may have changed any other.
+/// Replies with the states of jobs. Only a terminal state, which never changes, may be reported without a
+/// read of the key-value store. Any other state could be stale, since another controller may have changed it.
 class JobQueries {
   public:
-    /// Both must outlive this object, which waits for reads of the watcher.
+    /// Both references must outlive this object, and this object must outlive its pending reads of `watcher`.
     JobQueries(bookkeeping::StateReplica& replica, StateWatcher& watcher)
         : replica_(replica), watcher_(watcher) {}
 
-    /// Replies with the state of the job according to the replica.
+    /// Replies with the state of the job according to the replica, without a read.
     void replyWithState(const bookkeeping::Job& job, const transport::Reply& reply) const;
 
-    /// Reads what is stored, then replies with the state of the job, or with `ifUnknown` if no such job was
+    /// Replies with the state of the job after a linearizable read, or with `ifUnknown` if no such job was
     /// accepted.
     void replyAfterRead(const std::string& id, transport::Response ifUnknown, const transport::Reply& reply);
 
-    /// Calls `next` once the replica holds all that was stored when this was called. If the key-value store
-    /// does not answer, replies with 503 instead.
+    /// Calls `next` once the replica holds everything that was stored at the time of this call (a
+    /// linearizable read). If the key-value store does not answer, replies with 503 instead.
     void afterRead(const transport::Reply& reply, std::function<void()> next);
 
-    /// Replaces the numbers of running tasks by those that the leader told last, by job; for display only.
+    /// Replaces the numbers of running tasks per job with those last reported by the leader. They are for
+    /// display only.
     void setRunning(const std::vector<std::pair<std::string, std::uint32_t>>& running);
 
   private:
@@ -44,7 +45,7 @@
 
     bookkeeping::StateReplica& replica_;
     StateWatcher& watcher_;
-    std::unordered_map<std::string, std::uint32_t> running_;  // tasks by job
+    std::unordered_map<std::string, std::uint32_t> running_;  // number of tasks by job
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/api/readiness.cpp
+++ b/src/coordination/api/readiness.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::chrono::seconds kMaxHoldDown = 40s;
-constexpr std::chrono::seconds kFlapWindow = 120s;  // losses closer to each other than this count as flapping
+constexpr std::chrono::seconds kFlapWindow = 120s;  // losses less than this apart count as flapping
 
 }  // namespace
 
@@ -24,9 +24,9 @@
 
 void Readiness::noteUnhealthy(Time now) {
     if (ready_) {
-        const bool flapping = now - lostAt_ < kFlapWindow;
+        const bool flapping = now - lastLossAt_ < kFlapWindow;
         holdDown_ = flapping ? std::min(holdDown_ * 2, kMaxHoldDown) : kInitialHoldDown;
-        lostAt_ = now;
+        lastLossAt_ = now;
     }
     ready_ = false;
     healthySince_ = Time::max();
--- a/src/coordination/api/readiness.h
+++ b/src/coordination/api/readiness.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Whether this controller reports itself as ready to the load balancer. Owns the history of losses of
-// readiness. Used on the controller's thread.
+// Decides whether this controller reports itself as ready to the load balancer. Owns the time of the last
+// loss of readiness and the hold-down. Used on the controller's thread.
 
 #include <chrono>
 
@@ -9,17 +9,19 @@
 
 namespace burlpoint::coordination {
 
-/// Readiness with flap damping: after a loss, the controller has to stay healthy for a hold-down time before
-/// it is ready again, and each further loss shortly afterwards doubles the hold-down. A controller that is
-/// healthy only now and then stays out of the load balancer's rotation instead of flapping.
+/// Readiness with flap damping. After a loss of readiness, the controller has to stay healthy for a hold-down
+/// time before it is ready again, and each further loss shortly afterwards doubles the hold-down. A
+/// controller that is healthy only intermittently stays out of the load balancer's rotation instead of
+/// flapping.
 class Readiness {
   public:
-    /// Takes in whether the controller can serve users at `now`. To be called several times a second, with
-    /// times that do not go back. The controller is ready as soon as it is healthy for the first time, and
-    /// later on after the hold-down without interruption. It is unready as soon as it is not healthy.
+    /// Records whether the controller can serve users at `now`. Must be called several times a second, with
+    /// non-decreasing times. The controller becomes ready as soon as it is healthy for the first time, and
+    /// after a loss once it has been healthy for the whole hold-down. It becomes unready as soon as it is
+    /// unhealthy.
     void update(bool healthy, Time now);
 
-    /// As of the last update; false before the first.
+    /// True if the controller was ready at the last update; false before the first update.
     bool ready() const { return ready_; }
 
   private:
@@ -29,8 +31,8 @@
 
     bool ready_ = false;
     bool wasEverReady_ = false;
-    Time healthySince_ = Time::max();  // max: not healthy
-    Time lostAt_{};                    // when readiness was lost last
+    Time healthySince_ = Time::max();  // max: unhealthy
+    Time lastLossAt_{};                // time of the last loss of readiness
     std::chrono::seconds holdDown_ = kInitialHoldDown;
 };
 
--- a/src/coordination/api/submission_handler.cpp
+++ b/src/coordination/api/submission_handler.cpp
@@ -32,7 +32,7 @@
     if (const auto* job = replica_.find(spec.id)) return replyToResubmission(*job, reply);
     if (!watcher_.synced() || replica_.types.empty())
         return reply(protocol::retryLater(503, "not able to decide yet"));
-    if (const auto reason = whyItCanNeverRun(spec, settings_, replica_.types))
+    if (const auto reason = findRejectionReason(spec, settings_, replica_.types))
         return reject(spec.id, *reason, reply);
     checkDependencies(std::move(spec), reply);
 }
@@ -42,7 +42,7 @@
     queries_.replyAfterRead(job.spec.id, noSuchJob(), reply);
 }
 
-// Another controller may have accepted the job under other settings.
+// Replies after a read, since another controller may have accepted the job under different settings.
 void SubmissionHandler::reject(const std::string& id, RejectionReason reason, const Reply& reply) {
     queries_.replyAfterRead(id, rejected(reason), reply);
 }
@@ -52,14 +52,14 @@
     writer_.submit(std::move(spec), reply);
 }
 
-// Another controller may have accepted the dependency a moment ago.
+// The read is necessary, since another controller may have accepted the dependency a moment ago.
 void SubmissionHandler::checkDependenciesAfterRead(const JobSpec& spec, const Reply& reply) {
     queries_.afterRead(reply, [this, spec, reply] {
         if (const auto* job = replica_.find(spec.id)) return queries_.replyWithState(*job, reply);
         const auto missing = missingDependency(spec);
         if (!missing) return writer_.submit(spec, reply);
-        const auto why = "needs " + *missing + ", which was never accepted";
-        reply(protocol::respond(422, protocol::errorReply(why)));
+        const auto message = "needs " + *missing + ", which was never accepted";
+        reply(protocol::respond(422, protocol::errorReply(message)));
     });
 }
 
--- a/src/coordination/api/submission_handler.h
+++ b/src/coordination/api/submission_handler.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Decides whether a submitted job is accepted: decoding, idempotent resubmission, validation and job
-// dependencies. Accepted jobs go on to the `SubmissionWriter`, which it owns. Used on the controller's
+// Decides whether a submitted job is accepted: handles decoding, idempotent resubmission, validation and job
+// dependencies. Passes accepted jobs to the `SubmissionWriter`, which it owns. Used on the controller's
 // thread.
 
 #include <optional>
@@ -20,8 +20,8 @@
 
 namespace burlpoint::coordination {
 
-/// Handles submissions. A job that was accepted before, by any controller, is never rejected: its state is
-/// replied instead, so that users can repeat a submission safely.
+/// Handles submissions. A job that was accepted before, by any controller, is never rejected: the reply is
+/// its state, so that users can safely repeat a submission.
 class SubmissionHandler {
   public:
     /// All references must outlive this object.
@@ -29,7 +29,7 @@
                       storage::KeyValueClient& store, bookkeeping::StateReplica& replica,
                       StateWatcher& watcher, JobQueries& queries);
 
-    /// Accepts or rejects the job in `body`, and replies, perhaps later.
+    /// Accepts or rejects the job in `body`, and replies, possibly after this call has returned.
     void submit(const std::string& body, const transport::Reply& reply);
 
   private:
@@ -37,10 +37,11 @@
     void replyToResubmission(const bookkeeping::Job& job, const transport::Reply& reply);
     /// Rejects the job unless it was accepted before.
     void reject(const std::string& id, RejectionReason reason, const transport::Reply& reply);
-    /// Accepts the job if all its dependencies were accepted. If the replica lacks one, decides after a read.
+    /// Accepts the job if all of its dependencies were accepted. If the replica lacks one, decides after a
+    /// linearizable read.
     void checkDependencies(protocol::JobSpec spec, const transport::Reply& reply);
     void checkDependenciesAfterRead(const protocol::JobSpec& spec, const transport::Reply& reply);
-    /// A dependency of the job that the replica does not have.
+    /// The first dependency of the job that the replica does not have; empty if it has all of them.
     std::optional<std::string> missingDependency(const protocol::JobSpec& spec) const;
 
     const protocol::Settings& settings_;
--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// The accepted submissions that wait to be stored: a fair queue per team, with a limit on its length. Owns
-// the waiting submissions, the round-robin position, the number of writes in flight, and the budget of
-// key-value store writes that submissions share. Used on the controller's thread.
+// Queues the accepted submissions that wait to be stored, fairly by team and with a limit on their total
+// number. Owns the waiting submissions, the round-robin position, the number of writes in flight, and the
+// budget of key-value store writes that all submissions share. Used on the controller's thread.
 
 #include <chrono>
 #include <cstddef>
@@ -20,53 +20,56 @@
 
 namespace burlpoint::coordination {
 
-/// A submission that waits to be stored.
+/// An accepted submission that waits to be stored.
 struct Submission {
     protocol::JobSpec spec;
     transport::Reply reply;
     Time queuedAt;
 };
 
-/// A first-in, first-out queue per team, served round-robin, one submission at a time. It neither writes to
-/// the key-value store nor replies to users.
+/// A first-in, first-out queue per team. The teams are served round-robin, one submission at a time. The
+/// queue neither writes to the key-value store nor replies to users.
 class SubmissionQueue {
   public:
-    /// The longest time from queueing a submission to the end of its last write. Users wait for 2 s.
+    /// The longest time in milliseconds that a submission may wait in the queue. Users wait 2 s for a reply.
     static constexpr Duration kMaxWait{1200};
 
     SubmissionQueue(const protocol::Settings& settings, Time now);
 
-    /// Admission control: empty if one more submission could be stored within `kMaxWait`. Otherwise it is to
-    /// be turned away, and this is the time (1 to 30 s) after which the user should try again.
+    /// Admission control. Empty if one more submission can be stored within `kMaxWait`. Otherwise the
+    /// submission must be rejected, and the result is the time (1 to 30 s) after which the user should try
+    /// again.
     std::optional<std::chrono::seconds> retryAfterIfFull(Time now);
 
-    /// Adds a submission behind the others of its team.
+    /// Appends a submission to the queue of its team.
     void add(Submission submission);
 
-    /// Puts a submission that the key-value store refused back as the next of its team.
+    /// Puts a submission whose write the key-value store refused back at the front of the queue of its team.
     void requeue(Submission submission);
 
-    /// Removes the submissions that have waited for longer than `kMaxWait`, for the caller to reply to.
+    /// Removes and returns the submissions that have waited for longer than `kMaxWait`. The caller replies to
+    /// them.
     std::vector<Submission> takeExpired(Time now);
 
-    /// Removes the next submission to store, of the team that follows the one served last. Empty if none
-    /// waits, the write budget is used up or too many writes are in flight. Each submission taken has to be
-    /// followed by one call of `writeCompleted`.
+    /// Removes and returns the next submission to store, from the team that follows the one served last.
+    /// Empty if no submission waits, the write budget is used up or too many writes are in flight.
+    /// `writeCompleted` must be called once for each submission taken.
     std::optional<Submission> takeNext(Time now);
 
-    /// The write of a submission that was taken has ended, whatever the outcome.
+    /// Records that the write of a submission returned by `takeNext` has ended, whatever its outcome.
     void writeCompleted() { --writesInFlight_; }
 
-    /// The key-value store refused a write because of its rate limit: the write budget shrinks for a while.
+    /// Records that the key-value store refused a write because of its rate limit, which reduces the write
+    /// budget for a while.
     void noteRateLimited(Time now) { writeBudget_.recordRefusal(now); }
 
-    /// True if no submission waits. Submissions being written are not counted.
+    /// True if no submission waits. Submissions whose writes are in flight do not count.
     bool empty() const { return queues_.empty(); }
 
   private:
     storage::TokenBucket writeBudget_;
-    std::map<std::string, std::deque<Submission>> queues_;  // by team; none of them is empty
-    std::size_t queued_ = 0;                                // in all queues
+    std::map<std::string, std::deque<Submission>> queues_;  // by team; contains no empty queues
+    std::size_t queued_ = 0;                                // total over all queues
     std::size_t writesInFlight_ = 0;
     std::string lastServedTeam_;
 };
--- a/src/coordination/api/submission_validation.cpp
+++ b/src/coordination/api/submission_validation.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double kRoundingError = 1e-9;  // of sums of processors and memory
+constexpr double kRoundingError = 1e-9;  // of sums of processors, accelerators and memory
 
 bool exceeds(double need, double quota) { return quota > 0 && need > quota + kRoundingError; }
 
@@ -47,15 +47,15 @@
     return {};
 }
 
-std::optional<RejectionReason> whyItCanNeverRun(const JobSpec& spec, const Settings& settings,
-                                                const std::vector<MachineType>& types) {
+std::optional<RejectionReason> findRejectionReason(const JobSpec& spec, const Settings& settings,
+                                                   const std::vector<MachineType>& types) {
     const auto* team = settings.team(spec.team);
     if (!team) return RejectionReason::unknownTeam;
     if (exceedsTeamQuota(spec, *team)) return RejectionReason::exceedsTeamQuota;
     const bool fitsSomeType =
         std::any_of(types.begin(), types.end(), [&](const auto& type) { return fits(spec, type); });
     if (!fitsSomeType) return RejectionReason::fitsNoMachineType;
-    // No part of a record may be left out or kept elsewhere.
+    // The record of a job that is not in a terminal state has to be stored whole.
     if (!storage::jobFits(spec, settings.maxValueBytes())) return RejectionReason::recordTooLarge;
     return std::nullopt;
 }
--- a/src/coordination/api/submission_validation.h
+++ b/src/coordination/api/submission_validation.h
@@ -12,7 +12,7 @@
 
 namespace burlpoint::coordination {
 
-/// Why a job can never run here.
+/// Why a job can never run in this cluster.
 enum class RejectionReason {
     unknownTeam,
     exceedsTeamQuota,   // a task of an array, or all tasks of another job, need more than the maximum quota
@@ -20,12 +20,12 @@
     recordTooLarge,     // the job's record is larger than a value of the key-value store may be
 };
 
-/// The reason as users are told it in the body of the response.
+/// The text of the reason for users, in the body of the response.
 std::string_view textOf(RejectionReason reason);
 
-/// The reason why the job can never run under the settings and on the machine types; empty if it could.
-std::optional<RejectionReason> whyItCanNeverRun(const protocol::JobSpec& spec,
-                                                const protocol::Settings& settings,
-                                                const std::vector<protocol::MachineType>& types);
+/// Returns why the job can never run with the given settings and machine types; empty if it can run.
+std::optional<RejectionReason> findRejectionReason(const protocol::JobSpec& spec,
+                                                   const protocol::Settings& settings,
+                                                   const std::vector<protocol::MachineType>& types);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr auto kWriteTimeout = 1200ms;  // users wait for 2 s
-constexpr auto kRetryPause = 120ms;     // before a submission that was refused is written again
-constexpr auto kQueuePause = 50ms;      // between looks at a queue that waits for the write budget
+constexpr auto kRetryPause = 120ms;     // before a refused submission is written again
+constexpr auto kQueuePause = 50ms;      // before a queue that waits for the write budget is served again
 
 }  // namespace
 
@@ -75,7 +75,7 @@
         case TransactionStatus::conflict:  // accepted before, perhaps by another controller
             queries_.replyAfterRead(id, noSuchJob(), submission.reply);
             break;
-        case TransactionStatus::tooLarge:  // the store's limit is lower than the settings say
+        case TransactionStatus::tooLarge:  // the store's limit is lower than configured
             queries_.replyAfterRead(id, rejected(RejectionReason::recordTooLarge), submission.reply);
             break;
         case TransactionStatus::tooMany:
@@ -90,8 +90,8 @@
 }
 
 void SubmissionWriter::retryOrGiveUp(const Submission& submission) {
-    const bool timeLeft = Clock::now() - submission.queuedAt < SubmissionQueue::kMaxWait / 2;
-    if (timeLeft) {
+    const bool mayRetry = Clock::now() - submission.queuedAt < SubmissionQueue::kMaxWait / 2;
+    if (mayRetry) {
         queue_.requeue(submission);
         return serveQueueAfter(kRetryPause);
     }
--- a/src/coordination/api/user_api.cpp
+++ b/src/coordination/api/user_api.cpp
@@ -50,14 +50,14 @@
 }
 
 void UserApi::handleJob(const JobPath& path, const Request& request, const Reply& reply) {
-    const bool cancels = path.operation == JobOperation::cancel;
-    const auto* method = cancels ? "POST" : "GET";
+    const bool isCancellation = path.operation == JobOperation::cancel;
+    const auto* method = isCancellation ? "POST" : "GET";
     if (request.method != method) return reply(methodNotAllowed(method));
-    // No job with an id of another form can have been accepted.
+    // No job with a malformed id can have been accepted.
     if (!protocol::isJobId(path.id)) return reply(noSuchJob());
     const auto* job = replica_.find(path.id);
     if (job && job->terminalState != TerminalState::none) return queries_.replyWithState(*job, reply);
-    if (cancels) return cancellation_.cancel(path.id, reply);
+    if (isCancellation) return cancellation_.cancel(path.id, reply);
     queries_.replyAfterRead(path.id, noSuchJob(), reply);
 }
 
--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -17,26 +17,29 @@
 
 namespace {
 
-// Share of the cloud's limit of requests per second that is used; its clock and its way of counting differ.
+// Share of the cloud's limit on requests per second that is used. The rest is a margin, since the cloud's
+// clock and its way of counting differ from those of this controller.
 constexpr double kRequestBudgetShare = 0.8;
-constexpr std::size_t kMaxMachinesPerScaleIn = 100;    // in one request
-constexpr Clock::duration kScaleInInterval = 500ms;    // gathers several machines for one request
+constexpr std::size_t kMaxMachinesPerScaleIn = 100;    // per request
+constexpr Clock::duration kScaleInInterval = 500ms;    // batches several machines into one request
 constexpr Clock::duration kScaleInRetryInterval = 2s;  // keeps the load on an unresponsive cloud low
-// A listing shows news twice per lag; with a longer interval, machines that are gone would be kept for long.
+// Machines are listed twice per list lag, within these bounds. With a longer interval than the upper bound,
+// machines that are gone would stay in the fleet for too long.
 constexpr Clock::duration kMinListingInterval = 3s;
 constexpr Clock::duration kMaxListingInterval = 10s;
-constexpr Clock::duration kTypeListingInterval = 30s;      // spot prices change all the time
-constexpr Clock::duration kFirstTypeListingInterval = 2s;  // without types no machine can be requested
-// A listing may lag by up to twice the configured lag, and may be older than the one before.
+constexpr Clock::duration kTypeListingInterval = 30s;      // spot prices change continually
+constexpr Clock::duration kFirstTypeListingInterval = 2s;  // no machine can be requested without types
+// A listing may lag by up to twice the configured lag and may be older than the listing before it, so a
+// machine counts as gone only if it was last seen this many lags before the listing was requested.
 constexpr double kMaxListingLags = 2.5;
 
-/// When the machine was last known to exist.
+/// The time at which the machine was last known to exist.
 Time lastSeen(const Machine& machine) {
     if (machine.agent.incarnation == 0) return machine.cloud.firstSeenAt;
     return std::max(machine.lease.lastHeartbeat, machine.cloud.firstSeenAt);
 }
 
-/// Only a listing can tell whether the machine exists: it sends no heartbeats, can have no tasks and its
+/// True if only listings show whether the machine exists: it sends no heartbeats, cannot have tasks, and its
 /// deletion has not been requested.
 bool isKnownByListingsOnly(const Machine& machine) {
     const bool mayHaveTasks = !machine.placements.empty() || !machine.registry.reconciled;
@@ -82,8 +85,9 @@
     auto request = instanceRequests_.complete(name);
     if (!request) return std::nullopt;
     const auto offering = offeringOf(*request);
-    const bool inFull = outcome == InstanceRequestOutcome::fulfilled && machineCount >= request->count;
-    if (inFull) {
+    const bool fulfilledInFull =
+        outcome == InstanceRequestOutcome::fulfilled && machineCount >= request->count;
+    if (fulfilledInFull) {
         capacityErrors_.clear(offering);
     } else {
         capacityErrors_.record(offering, now);
@@ -96,7 +100,7 @@
                                 ScalingRequests& requests, Time now) {
     if (scaleInInFlight_ || now < nextScaleIn_) return;
     const auto machines = machinesToDelete(fleet, neededMachines, now);
-    if (machines.empty() || !takeRequest(now)) return;
+    if (machines.empty() || !takeFromRequestBudget(now)) return;
     for (auto* machine : machines) {
         machine->cloud.deletionRequested = true;
         requests.scaleIn.push_back(machine->id);
@@ -117,12 +121,13 @@
 
 void Autoscaler::scaleInCompleted(ScaleInOutcome outcome, Time now) {
     scaleInInFlight_ = false;
-    // The machines are still marked, so they are requested again; the cloud ignores ids that are gone.
+    // The machines are still marked with `deletionRequested`, so the next request includes them again. The
+    // cloud ignores ids of machines that it has already deleted.
     if (outcome == ScaleInOutcome::unknown) nextScaleIn_ = now + kScaleInRetryInterval;
 }
 
 void Autoscaler::requestMachineListing(ScalingRequests& requests, Time now) {
-    if (now < nextMachineListing_ || listingInFlight_ || !takeRequest(now)) return;
+    if (now < nextMachineListing_ || listingInFlight_ || !takeFromRequestBudget(now)) return;
     const auto interval = toClockDuration(settings_.cloudListLag / 2);
     nextMachineListing_ = now + std::clamp(interval, kMinListingInterval, kMaxListingInterval);
     listingInFlight_ = true;
@@ -130,7 +135,7 @@
 }
 
 void Autoscaler::requestTypeListing(bool typesKnown, ScalingRequests& requests, Time now) {
-    if (now < nextTypeListing_ || !takeRequest(now)) return;
+    if (now < nextTypeListing_ || !takeFromRequestBudget(now)) return;
     nextTypeListing_ = now + (typesKnown ? kTypeListingInterval : kFirstTypeListingInterval);
     requests.listTypes = true;
 }
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// The autoscaler: decides what the leader asks of the cloud, that is instance requests (scale out), deletions
-// of machines (scale in), and listings of machines and machine types. Owns the budget of cloud requests, the
-// pending instance requests, the capacity errors, and when the next deletion and listing are due. It does no
-// I/O, and does not add machines to the fleet or remove them; its caller does. Used on the controller's
-// thread.
+// The autoscaler decides which requests the leader sends to the cloud: instance requests (scale-out),
+// deletions of machines (scale-in), and listings of machines and machine types. Owns the budget of cloud
+// requests, the pending instance requests, the capacity errors, and the times at which the next deletion and
+// listings are due. It does no I/O, and neither adds machines to the fleet nor removes them; its caller does.
+// Used on the controller's thread.
 
 #include <cstddef>
 #include <cstdint>
@@ -39,13 +39,13 @@
 
 /// The waiting jobs that need capacity.
 struct WaitingWork {
-    const std::vector<bookkeeping::Job*>& order;  // in the order in which they are to be scheduled
+    const std::vector<bookkeeping::Job*>& order;  // jobs in scheduling order
     DueTime dueTime;
 };
 
-/// Decides on scale out, scale in and listings, for one leadership. The caller sends the requests that
-/// `decide` returns and passes on the outcome of each, also if there was no answer. At most one deletion and
-/// one listing of machines are in flight at a time.
+/// Decides on scale-out, scale-in and listings, for one leadership. The caller sends the requests that
+/// `decide` returns and reports the outcome of each deletion, instance request and machine listing, also if
+/// there was no answer. At most one deletion and one listing of machines are in flight at a time.
 class Autoscaler {
   public:
     /// All references must outlive this object. The fencing token makes the names of instance requests
@@ -59,27 +59,27 @@
     ScalingRequests decide(bookkeeping::Fleet& fleet, const bookkeeping::MachineTypes& types,
                            const WaitingWork& work, Time now);
 
-    /// The outcome of the instance request `name`, which created `machineCount` machines. Returns the request
-    /// when it is complete; empty if its outcome is unknown, so that it is sent again, or if it was complete
-    /// before.
+    /// Records the outcome of the instance request `name`, which created `machineCount` machines. Returns the
+    /// request if it is now complete. Returns nothing if the outcome is unknown, so that the request is sent
+    /// again, or if the request was complete before.
     std::optional<protocol::InstanceRequest> scaleOutCompleted(const std::string& name,
                                                                InstanceRequestOutcome outcome,
                                                                std::size_t machineCount, Time now);
 
-    /// The outcome of the deletion in flight. If it is unknown, the deletion is requested again after 2 s.
+    /// Records the outcome of the deletion in flight. If it is unknown, the deletion is requested again after
+    /// 2 s.
     void scaleInCompleted(ScaleInOutcome outcome, Time now);
 
-    /// The listing of machines in flight has ended, successfully or not.
+    /// Records that the listing of machines in flight has ended, successfully or not.
     void machinesListed() { listingInFlight_ = false; }
 
-    /// The machines that the cloud no longer has: they are not among the `listed` ids of a listing requested
-    /// at `requestedAt`, although they are known for longer than a listing may lag behind. Machines that send
-    /// heartbeats or may have tasks are never among them.
+    /// Returns the machines that the cloud no longer has. Their ids are missing from `listed`, the result of
+    /// a listing requested at `requestedAt`, and they were last known to exist longer before `requestedAt`
+    /// than a listing may lag. Machines that send heartbeats or may have tasks are never returned.
     std::vector<bookkeeping::Machine*> vanished(bookkeeping::Fleet& fleet,
                                                 const std::set<std::string>& listed, Time requestedAt) const;
 
-    /// The offerings that had capacity errors, for decisions that depend on whether more machines could be
-    /// obtained.
+    /// The recent capacity errors, for decisions that depend on whether more machines can be obtained.
     const CapacityErrors& capacityErrors() const { return capacityErrors_; }
 
   private:
@@ -91,12 +91,12 @@
                                                         Time now) const;
     void requestMachineListing(ScalingRequests& requests, Time now);
     void requestTypeListing(bool typesKnown, ScalingRequests& requests, Time now);
-    bool takeRequest(Time now) { return requestBudget_.tryTake(1, 0, now); }
+    bool takeFromRequestBudget(Time now) { return requestBudget_.tryTake(1, 0, now); }
 
     const protocol::Settings& settings_;
     const protocol::Policy& policy_;
     const bookkeeping::StateReplica& replica_;
-    storage::TokenBucket requestBudget_;  // requests to the cloud
+    storage::TokenBucket requestBudget_;  // of requests to the cloud
     InstanceRequestQueue instanceRequests_;
     CapacityErrors capacityErrors_;
     ScaleInRules scaleInRules_;
--- a/src/coordination/autoscaling/bin_packing.cpp
+++ b/src/coordination/autoscaling/bin_packing.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr double kRoundingError = 1e-6;  // processors; sums of decimals are not exact
+constexpr double kRoundingError = 1e-6;  // processors; sums of decimal fractions are not exact
 
 }  // namespace
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// True if the job's constraints and the bin's reservation allow the job there.
+/// True if the job's constraints and the bin's reservation allow the job to run in the bin.
 bool BinPacking::admits(const Bin& bin, const Job& job) {
     const auto& [type, zone, spot] = bin.offering;
     if (!bookkeeping::ownerAllows(job.spec, type, zone, spot)) return false;
@@ -51,14 +51,15 @@
 }
 
 void BinPacking::packInto(Bin& bin, TaskDemand& demand) const {
-    // A cheap test first, since most bins of a large fleet are full.
+    // This cheap test comes first, since most bins of a large fleet are full.
     if (bin.room.cpus < demand.perTask.cpus - kRoundingError) return;
     const auto& job = demand.job;
     if (!admits(bin, job)) return;
     const auto& zone = bin.offering.zone;
     const auto count = demand.tasksThatFit(bin.room, zone);
     if (count == 0) return;
-    // Plain work may fill accelerator machines, but is a reason to keep one only if it can run nowhere else.
+    // Tasks that need no accelerators may fill accelerator machines, but justify keeping one only if their
+    // job can run nowhere else.
     bin.needed |= job.spec.gpus > 0 || bin.type.gpus <= 0 || needsAcceleratorMachine(job.spec, types_);
     demand.tasksPerZone[zone] += count;
     demand.unpacked -= count;
@@ -66,12 +67,12 @@
 }
 
 std::map<std::string, std::uint32_t> BinPacking::roomPerZone(const TaskDemand& demand) const {
-    std::map<std::string, std::uint32_t> rooms;
+    std::map<std::string, std::uint32_t> roomPerZone;
     for (const auto& bin : bins_) {
         if (!bin.room.covers(demand.perTask) || !admits(bin, demand.job)) continue;
-        rooms[bin.offering.zone] += bin.room.times(demand.perTask);
+        roomPerZone[bin.offering.zone] += bin.room.times(demand.perTask);
     }
-    return rooms;
+    return roomPerZone;
 }
 
 std::map<std::string, std::uint32_t> BinPacking::neededRequestsPerZone() const {
--- a/src/coordination/autoscaling/bin_packing.h
+++ b/src/coordination/autoscaling/bin_packing.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// First-fit bin packing of waiting tasks into machines: those that are there, those requested from the cloud
-// and those that are to be requested. Owns the bins, that is the free room per machine. It is a model only:
-// nothing is started or requested.
+// First-fit bin packing of waiting tasks into machines: existing ones, ones requested from the cloud, and
+// ones still to be requested. Owns the bins, which hold the free resources of each machine. The packing is
+// only a model: it starts no tasks and requests no machines.
 
 #include <cstdint>
 #include <map>
@@ -19,29 +19,29 @@
 
 namespace burlpoint::coordination {
 
-/// The part of a job that is still to be packed.
+/// The tasks of a job that are still to be packed.
 struct TaskDemand {
     const bookkeeping::Job& job;
     bookkeeping::Resources perTask;
-    std::uint32_t unpacked = 0;  // tasks without room so far
-    TasksPerZone tasksPerZone;   // running or packed
+    std::uint32_t unpacked = 0;  // tasks not packed into any bin so far
+    TasksPerZone tasksPerZone;   // tasks running or packed
 
-    /// How many of the unpacked tasks fit into `room` in `zone`, by resources and by the job's rules on
-    /// zones.
+    /// How many of the unpacked tasks fit into the free resources `room` in `zone`, under the job's zone
+    /// rules.
     std::uint32_t tasksThatFit(const bookkeeping::Resources& room, const std::string& zone) const;
 };
 
-/// A bin per machine, filled in the order in which the bins were added.
+/// One bin per machine, filled in the order in which the bins were added.
 class BinPacking {
   public:
-    /// `types` must outlive this object; the types of bins point into it or live as long.
+    /// `types` must outlive this object, and so must the machine types of all bins added.
     explicit BinPacking(const bookkeeping::MachineTypes& types) : types_(types) {}
 
-    /// Adds the free room of a machine whose type is known. While the machine is reserved, its room is for
-    /// the job that it is reserved for.
+    /// Adds a bin for an existing machine, whose type must be known. If the machine is reserved at `now`, the
+    /// bin admits only the job that it is reserved for.
     void addMachine(const bookkeeping::Machine& machine, Time now);
 
-    /// Adds a machine that has been requested from the cloud, or is to be.
+    /// Adds a bin for a machine that has been requested from the cloud or is to be requested.
     void addRequestedMachine(const bookkeeping::Offering& offering, const protocol::MachineType& type);
 
     /// Packs as many of the tasks as fit into the bins.
@@ -50,13 +50,13 @@
     /// Packs as many of the tasks as fit into the bin added last.
     void packIntoLast(TaskDemand& demand) { packInto(bins_.back(), demand); }
 
-    /// How many tasks like the demand's have room, by zone; zones without room may be left out.
+    /// How many tasks like those of `demand` have room, by zone. Zones without room may be missing.
     std::map<std::string, std::uint32_t> roomPerZone(const TaskDemand& demand) const;
 
-    /// How many requested machines have tasks packed that need them, by zone.
+    /// How many requested machines are needed by tasks packed into them, by zone.
     std::map<std::string, std::uint32_t> neededRequestsPerZone() const;
 
-    /// The ids of the machines that packed tasks need, so that they should be kept.
+    /// The ids of the existing machines that should be kept, since packed tasks need them.
     std::set<std::string> neededMachines() const;
 
   private:
@@ -64,9 +64,9 @@
         bookkeeping::Offering offering;
         const protocol::MachineType& type;
         bookkeeping::Resources room;
-        const bookkeeping::Machine* machine = nullptr;  // null: not there yet
-        const bookkeeping::Job* reservedFor = nullptr;  // null: for all jobs
-        bool needed = false;                            // a packed task is a reason to have the machine
+        const bookkeeping::Machine* machine = nullptr;  // null: no machine exists yet
+        const bookkeeping::Job* reservedFor = nullptr;  // null: open to all jobs
+        bool needed = false;                            // a packed task justifies keeping the machine
     };
 
     static bool admits(const Bin& bin, const bookkeeping::Job& job);
--- a/src/coordination/autoscaling/capacity_errors.cpp
+++ b/src/coordination/autoscaling/capacity_errors.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Short enough to notice soon that there is capacity again, long enough to need few requests meanwhile.
+// The bounds are short enough to notice soon that there is capacity again, and long enough to spend few
+// requests on unavailable offerings.
 constexpr Clock::duration kMinBackOff = 4s;
 constexpr Clock::duration kMaxBackOff = 16s;
 
--- a/src/coordination/autoscaling/capacity_errors.h
+++ b/src/coordination/autoscaling/capacity_errors.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Remembers which offerings the cloud recently had no capacity for. Owns the back-off of each offering.
-// The autoscaler records capacity errors here; scheduling and the autoscaler ask it whether more machines
-// could be obtained.
+// Records which offerings the cloud recently had no capacity for, and owns the back-off of each offering. The
+// autoscaler records capacity errors here; the autoscaler and the scheduler query whether more machines can
+// be obtained.
 
 #include <map>
 #include <vector>
@@ -17,11 +17,12 @@
 /// it was last fulfilled in full.
 class CapacityErrors {
   public:
-    /// The cloud provided fewer machines than requested, or none. The offering is unavailable for a back-off
-    /// that starts at 4 s and doubles with each consecutive error, up to 16 s.
+    /// Records that the cloud provided fewer machines than requested, or none. The offering is unavailable
+    /// for a back-off that starts at 4 s and doubles with each consecutive error, up to 16 s.
     void record(const bookkeeping::Offering& offering, Time now);
 
-    /// An instance request was fulfilled in full: earlier errors of the offering no longer count.
+    /// Records that an instance request was fulfilled in full: earlier errors of the offering no longer
+    /// count.
     void clear(const bookkeeping::Offering& offering);
 
     /// True while the back-off after the offering's last capacity error lasts.
--- a/src/coordination/autoscaling/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Machines on which a job has failed; from then on the job is the likely cause, not the machines.
+// Number of machines with failures of a job from which on the job, not the machines, is the likely cause.
 constexpr std::size_t kMaxErrorMachines = 3;
 
 }  // namespace
@@ -70,8 +70,8 @@
     planMissingMachines(demand);
 }
 
-/// The zone for a gang that runs nowhere yet: one with room for all of it, or where machines can be obtained
-/// for the rest. Empty if there is none.
+/// Selects the zone for a gang without running tasks: a zone with room for the whole gang, or one where
+/// machines for the rest can be obtained. Empty if there is none.
 std::optional<std::string> CapacityPlan::gangZone(const TaskDemand& demand) const {
     auto roomPerZone = packing_.roomPerZone(demand);
     for (const auto& zone : inputs_.settings.zones) roomPerZone.try_emplace(zone, 0);
@@ -86,7 +86,7 @@
     return selectGangZone(candidates);
 }
 
-/// Plans missing machines for the tasks that are left, as far as there are offerings for them.
+/// Plans missing machines for the unpacked tasks, as far as there are offerings for them.
 void CapacityPlan::planMissingMachines(TaskDemand& demand) {
     if (demand.unpacked == 0) return;
     const bool plainObtainable =
@@ -96,9 +96,9 @@
         if (!offering) return;
         ++missingMachines_[*offering];
         packing_.addRequestedMachine(*offering, inputs_.types.at(offering->type));
-        const auto before = demand.unpacked;
+        const auto unpackedBefore = demand.unpacked;
         packing_.packIntoLast(demand);
-        if (demand.unpacked == before) return;
+        if (demand.unpacked == unpackedBefore) return;
     }
 }
 
--- a/src/coordination/autoscaling/capacity_plan.h
+++ b/src/coordination/autoscaling/capacity_plan.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Which machines the waiting jobs need: existing ones, requested ones, and missing ones that have to be
-// requested. Owns one plan, made anew for each decision of the autoscaler. Nothing is started, requested or
-// deleted by it.
+// Plans which machines the waiting jobs need: existing ones, requested ones, and missing ones that have to be
+// requested. A new plan is made for each decision of the autoscaler. The plan itself starts no tasks and
+// neither requests nor deletes machines.
 
 #include <optional>
 #include <set>
@@ -24,8 +24,8 @@
 
 namespace burlpoint::coordination {
 
-/// The inputs of a plan. All of them must outlive the plan and stay unchanged meanwhile. The `typeInfo` of
-/// the fleet's machines points into `types`.
+/// The inputs of a plan. All of them must outlive the plan and stay unchanged during its lifetime. The
+/// `typeInfo` of the fleet's machines points into `types`.
 struct PlanInputs {
     const protocol::Settings& settings;
     const protocol::Policy& policy;
@@ -38,22 +38,22 @@
     Time now;
 };
 
-/// Packs the waiting tasks into the room that exists or has been requested. For the tasks that are left, it
-/// plans missing machines, of the offering that is cheapest per task. The caller adds the jobs in the order
-/// in which they are to be scheduled, each once.
+/// Packs the waiting tasks into machines that exist or have been requested. For the remaining tasks it plans
+/// missing machines of the offering that is cheapest per task. The caller adds each job once, in scheduling
+/// order.
 class CapacityPlan {
   public:
     explicit CapacityPlan(PlanInputs inputs);
 
-    /// Packs the job's waiting tasks, within its team's maximum quota and its rules on zones. Does nothing
-    /// for a job that is in a terminal state, has no waiting task, or has failed on several machines. A job
+    /// Packs the job's waiting tasks, within its team's maximum quota and its zone rules. Does nothing for a
+    /// job that is in a terminal state, has no waiting tasks, or has failed on three machines or more. A job
     /// that is not in a terminal state must have a run.
     void add(const bookkeeping::Job& job);
 
-    /// How many machines have to be requested per offering, beyond the pending requests.
+    /// How many machines have to be requested per offering, in addition to the pending requests.
     const MissingMachines& missingMachines() const { return missingMachines_; }
 
-    /// The ids of the existing machines that planned tasks need, so that they should be kept.
+    /// The ids of the existing machines that should be kept, since planned tasks need them.
     std::set<std::string> neededMachines() const { return packing_.neededMachines(); }
 
   private:
--- a/src/coordination/autoscaling/instance_request_queue.h
+++ b/src/coordination/autoscaling/instance_request_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The instance requests that the cloud has not answered for good. Owns their queue, their idempotent request
-// names and the time of the next attempt of each.
+// Queues the instance requests to which the cloud has not given a definite answer yet. Owns the queue, the
+// request names, which are idempotency keys, and the time of the next attempt of each request.
 
 #include <cstdint>
 #include <deque>
@@ -18,9 +18,9 @@
 
 /// The cloud's answer to an instance request.
 enum class InstanceRequestOutcome {
-    fulfilled,  // with as many machines as requested, or fewer
-    rejected,   // for lack of capacity, or as malformed: it is not sent again
-    unknown,    // no answer, or an ambiguous one: the request may have been carried out
+    fulfilled,  // with all of the requested machines or fewer
+    rejected,   // for lack of capacity or as malformed; it is not sent again
+    unknown,    // no answer or an ambiguous one; the request may have been carried out
 };
 
 /// The outcome of a request to delete machines.
@@ -44,11 +44,11 @@
     /// flight until `complete` or `scheduleRetry` is called with its name.
     std::vector<protocol::InstanceRequest> takeDue(storage::TokenBucket& budget, Time now);
 
-    /// The outcome is unknown: the request is due again after 2 s. Does nothing if no request of that name is
+    /// Makes a request of unknown outcome due again after 2 s. Does nothing if no request of that name is
     /// pending.
     void scheduleRetry(const std::string& name, Time now);
 
-    /// The cloud answered for good. Removes the request and returns it; empty if it was not pending.
+    /// Removes and returns a request to which the cloud gave a definite answer; empty if it was not pending.
     std::optional<protocol::InstanceRequest> complete(const std::string& name);
 
     /// Removes the requests for the offering that were never sent. Requests of unknown outcome stay, since
@@ -65,8 +65,8 @@
     struct PendingRequest {
         protocol::InstanceRequest request;
         Time nextAttempt{};
-        bool inFlight = false;  // sent, and not answered yet
-        bool sent = false;      // at least once
+        bool inFlight = false;  // sent and not answered yet
+        bool sent = false;      // sent at least once
     };
 
     std::string nextName();
--- a/src/coordination/autoscaling/instance_selection.h
+++ b/src/coordination/autoscaling/instance_selection.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Which machine types a job may use, which of them can be obtained from the cloud at present, and which are
-// worth their price for the job. Pure functions of a job's spec, the machine types and the capacity errors;
-// owns no state. A "plain" machine is one without accelerators.
+// Determines which machine types a job may use, which of them can be obtained from the cloud at present, and
+// which have an acceptable price for the job. Pure functions of a job's spec, the machine types and the
+// capacity errors; owns no state. A "plain" machine is one without accelerators.
 
 #include <string>
 
@@ -17,21 +17,21 @@
 /// The values of `Offering::spot`, in the order of preference at equal price: on-demand, then spot.
 inline constexpr bool kPurchaseOptions[] = {false, true};
 
-/// True if the zone offers a machine type that is large enough for a task of the job, that the job's
-/// constraints allow and that is not unavailable.
+/// True if the zone offers a machine type that is large enough for a task of the job, is allowed by the job's
+/// constraints and is available.
 bool isObtainableIn(const std::string& zone, const protocol::JobSpec& spec,
                     const bookkeeping::MachineTypes& types, const CapacityErrors& capacityErrors, Time now);
 
-/// True if a plain machine that the job may use can be obtained in some zone.
+/// True if a plain machine that is large enough and allowed for the job can be obtained in some zone.
 bool plainMachineObtainable(const protocol::JobSpec& spec, const bookkeeping::MachineTypes& types,
                             const CapacityErrors& capacityErrors, Time now);
 
-/// True for a job that needs no accelerators but can only run on machines that have some: its constraints
-/// allow no plain machine, or none is large enough.
+/// True for a job that needs no accelerators but can run only on machines that have some, since its
+/// constraints allow no plain machine or no plain machine is large enough.
 bool needsAcceleratorMachine(const protocol::JobSpec& spec, const bookkeeping::MachineTypes& types);
 
-/// False for an array that needs no accelerators, on a machine type that has some, if a processor costs more
-/// than twice as much there as on a plain on-demand machine.
+/// False for an array without need of accelerators, on a machine type that has some, if a processor there
+/// costs more than twice as much as on a plain on-demand machine. True in all other cases.
 bool isPriceAcceptable(const protocol::JobSpec& spec, const protocol::MachineType& type, bool spot,
                        const bookkeeping::MachineTypes& types);
 
--- a/src/coordination/autoscaling/offering_selection.cpp
+++ b/src/coordination/autoscaling/offering_selection.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// After a capacity error an offering is probed with a few machines; the rest is requested elsewhere.
+// After a capacity error an offering is probed with this many machines at most; the rest are requested from
+// other offerings.
 constexpr std::uint32_t kMaxMachinesAfterError = 3;
 
 }  // namespace
@@ -26,7 +27,8 @@
     return std::move(best->offering);
 }
 
-/// The type is large enough, and no accelerators would go unused while plain machines can be obtained.
+/// True if the type is large enough for a task, and would not leave accelerators unused while plain machines
+/// can be obtained.
 bool OfferingSelection::isCandidate(const MachineType& type, const TaskDemand& demand,
                                     bool plainObtainable) const {
     if (!sizeOf(type).covers(demand.perTask)) return false;
@@ -34,7 +36,7 @@
     return !acceleratorsUnused || !plainObtainable;
 }
 
-/// Replaces `best` by a cheaper offering of the type in the zone, if there is one.
+/// Replaces `best` with a cheaper offering of the type in the zone, if there is one.
 void OfferingSelection::considerZone(std::optional<Choice>& best, const MachineType& type,
                                      const std::string& zone, const TaskDemand& demand,
                                      const MissingMachines& missing) const {
--- a/src/coordination/autoscaling/offering_selection.h
+++ b/src/coordination/autoscaling/offering_selection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Selects the offering to request for tasks that no machine has room for. Owns no state.
+// Selects the offering to request for tasks that fit on no existing or requested machine. Owns no state.
 
 #include <cstdint>
 #include <map>
@@ -16,19 +16,20 @@
 
 namespace burlpoint::coordination {
 
-/// How many machines are missing, by offering.
+/// The number of missing machines by offering.
 using MissingMachines = std::map<bookkeeping::Offering, std::uint32_t>;
 
-/// Selects the cheapest available offering per task, as of one moment.
+/// Selects the available offering with the lowest price per task, at one point in time.
 class OfferingSelection {
   public:
     /// Both references must outlive this object.
     OfferingSelection(const bookkeeping::MachineTypes& types, const CapacityErrors& capacityErrors, Time now)
         : types_(types), capacityErrors_(capacityErrors), now_(now) {}
 
-    /// The offering with the lowest price per task that fits on one machine, so that unused room counts
-    /// against large machines; among equals the first. Empty if none can be requested. `plainObtainable`:
-    /// `plainMachineObtainable` for the job. `missing`: what is to be requested already.
+    /// Returns the offering with the lowest machine price per task that fits on it, so that unused resources
+    /// count against large machines. Of several with the same price, returns the first; empty if none can be
+    /// requested. `plainObtainable` is the result of `plainMachineObtainable` for the job, and `missing`
+    /// holds the machines already planned to be requested.
     std::optional<bookkeeping::Offering> cheapest(const TaskDemand& demand, bool plainObtainable,
                                                   const MissingMachines& missing) const;
 
--- a/src/coordination/autoscaling/scale_in_rules.cpp
+++ b/src/coordination/autoscaling/scale_in_rules.cpp
@@ -11,9 +11,11 @@
 
 namespace {
 
-// A machine without tasks is lost when it sends no heartbeat for so long after its lease expired.
+// A machine without tasks counts as lost after sending no heartbeat for this long past the expiry of its
+// lease.
 constexpr Clock::duration kLostAfterLeaseExpiry = 10s;
-// A machine without a heartbeat after so many boot times of its type, and the margin, does not boot.
+// A machine has failed to boot if it sends no heartbeat within this many boot times of its type plus the
+// margin.
 constexpr double kMaxBootTimes = 3.5;
 constexpr Seconds kBootMargin{15};
 
@@ -39,9 +41,11 @@
     return isIdle(machine, now) && !neededMachines.contains(machine.id);
 }
 
-/// True if the machine has had no task for long, its minimum charge is used up and it is not reserved.
+/// True if the machine has had no task for its keep time, its minimum charge is used up and it is not
+/// reserved.
 bool ScaleInRules::isIdle(const Machine& machine, Time now) const {
-    // A type that boots slowly is kept longer, since the next job would wait for the whole boot.
+    // A machine of a type that boots slowly is kept longer, since the next job would have to wait for a full
+    // boot.
     const auto bootKeep = machine.typeInfo ? machine.typeInfo->boot * policy_.bootKeep : Seconds(0);
     const auto idleKeep = toClockDuration(std::max(policy_.idleKeep, bootKeep));
     const auto minimumKeep = toClockDuration(policy_.minimumKeep);
--- a/src/coordination/autoscaling/scale_in_rules.h
+++ b/src/coordination/autoscaling/scale_in_rules.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Which machines may be deleted, one at a time. Owns no state.
+// Decides for a single machine whether it may be deleted. Owns no state.
 
 #include <set>
 #include <string>
@@ -16,13 +16,13 @@
 /// Decides whether a machine may be scaled in.
 class ScaleInRules {
   public:
-    /// Both must outlive this object.
+    /// Both references must outlive this object.
     ScaleInRules(const protocol::Policy& policy, const bookkeeping::StateReplica& replica)
         : policy_(policy), replica_(replica) {}
 
-    /// True if the machine's deletion has been requested before, it stopped, did not boot, is lost, draining
-    /// or faulty, or is idle and not among the `neededMachines` (ids). A machine that may have tasks is kept,
-    /// unless it stopped or its deletion has been requested.
+    /// True if the machine's deletion was requested before, if it stopped, failed to boot, is lost, draining
+    /// or faulty, or if it is idle and its id is not among `neededMachines`. A machine that may have tasks is
+    /// kept, unless it stopped or its deletion was requested.
     bool mayScaleIn(const bookkeeping::Machine& machine, const std::set<std::string>& neededMachines,
                     Time now) const;
 
--- a/src/coordination/autoscaling/task_concurrency.cpp
+++ b/src/coordination/autoscaling/task_concurrency.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// Share of the time left until a deadline that is planned for runs. The rest is for booting machines,
-// fetching images and runs that take longer than estimated.
+// Share of the time left until a deadline that is planned for running tasks. The rest is a reserve for
+// booting machines, fetching images and tasks that run longer than estimated.
 constexpr double kPlannedShareOfTimeLeft = 0.5;
 
 /// The time within which the array's backlog should be finished.
@@ -23,7 +23,7 @@
         return std::max(*spec.deadline * kPlannedShareOfTimeLeft - waited, spec.estimatedRunTime);
     }
     if (!job.dueAtMs) return policy.backlogHorizon;
-    // Part of a pipeline: a share of the time left until the pipeline's deadline.
+    // The job is part of a pipeline, so its target is a share of the time left until the pipeline's deadline.
     const Seconds left = dueTime(job) - now;
     return std::max(std::min(policy.backlogHorizon, left * kPlannedShareOfTimeLeft), spec.estimatedRunTime);
 }
--- a/src/coordination/autoscaling/task_concurrency.h
+++ b/src/coordination/autoscaling/task_concurrency.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How many of a job's waiting tasks should run at the same time, which decides how many machines its backlog
-// is worth. Pure functions; owns no state.
+// Computes how many of a job's waiting tasks should run at the same time, which determines how many machines
+// are planned for its backlog. Pure functions; owns no state.
 
 #include <cstdint>
 #include <functional>
@@ -13,13 +13,13 @@
 
 namespace burlpoint::coordination {
 
-/// When a job has to be done so that its own deadline and those of the jobs that need it can be met. Called
-/// only for jobs with `dueAtMs`.
+/// Returns the time by which a job has to be done so that its own deadline and those of its dependents can be
+/// met. Called only for jobs with `dueAtMs`.
 using DueTime = std::function<Time(const bookkeeping::Job&)>;
 
-/// How many of `tasks` waiting tasks should run at the same time. For an array with an estimated run time, a
-/// machine runs one task after the other: as many at a time as finish the backlog in time. For other jobs all
-/// of them. The job must have a run.
+/// How many of `tasks` waiting tasks should run at the same time. For an array with an estimated run time,
+/// whose tasks can run one after the other on a machine, as many as are needed to finish the backlog in time.
+/// For other jobs all of them. The job must have a run.
 std::uint32_t targetConcurrency(const bookkeeping::Job& job, std::uint32_t tasks,
                                 const protocol::Policy& policy, const DueTime& dueTime, Time now);
 
--- a/src/coordination/autoscaling/team_quota.cpp
+++ b/src/coordination/autoscaling/team_quota.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// How many tasks that use `perTask` of a resource fit into the rest of a quota; 0 means an unlimited quota.
+/// How many tasks that each use `perTask` of a resource fit into the unused part of a quota. A quota of 0 is
+/// unlimited.
 std::uint32_t tasksWithin(double quota, double used, double perTask) {
     if (quota <= 0 || perTask <= 0) return std::numeric_limits<std::uint32_t>::max();
     return static_cast<std::uint32_t>(std::max(0.0, (quota - used) / perTask));
--- a/src/coordination/autoscaling/team_quota.h
+++ b/src/coordination/autoscaling/team_quota.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// How many more tasks each team may have within its maximum quota, while a capacity plan is being made. Owns
-// the resources planned per team so far.
+// Limits the tasks that a capacity plan may include for each team to the team's maximum quota. Owns the
+// resources planned per team so far.
 
 #include <cstdint>
 #include <string>
@@ -13,15 +13,16 @@
 
 namespace burlpoint::coordination {
 
-/// Charges planned tasks to the teams' maximum quotas, on top of what the teams use already.
+/// Charges planned tasks to the teams' maximum quotas, in addition to the resources that the teams already
+/// use.
 class TeamQuota {
   public:
-    /// Both must outlive this object.
+    /// Both references must outlive this object.
     TeamQuota(const protocol::Settings& settings, const bookkeeping::Fleet& fleet)
         : settings_(settings), fleet_(fleet) {}
 
-    /// Returns how many of the job's `tasks` the maximum quota of its team allows, and charges these. A team
-    /// that the settings do not list has no limit.
+    /// Returns how many of the job's `tasks` fit within the maximum quota of its team, and charges them to
+    /// it. A team that the settings do not list has no limit.
     std::uint32_t admit(const protocol::JobSpec& spec, std::uint32_t tasks);
 
   private:
--- a/src/coordination/autoscaling/zone_rules.cpp
+++ b/src/coordination/autoscaling/zone_rules.cpp
@@ -21,8 +21,8 @@
     const auto found = tasksPerZone.find(zone);
     if (spec.singleZone && !tasksPerZone.empty() && found == tasksPerZone.end()) return 0;
     const std::uint32_t limit = spec.spreadZones ? (spec.tasks + 1) / 2 : spec.tasks;
-    const std::uint32_t present = found == tasksPerZone.end() ? 0 : found->second;
-    return present >= limit ? 0 : limit - present;
+    const std::uint32_t tasksInZone = found == tasksPerZone.end() ? 0 : found->second;
+    return tasksInZone >= limit ? 0 : limit - tasksInZone;
 }
 
 bool isSingleZoneGang(const JobSpec& spec) {
--- a/src/coordination/autoscaling/zone_rules.h
+++ b/src/coordination/autoscaling/zone_rules.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A job's rules on zones while capacity is planned: how many of its tasks a zone may take, and which zone a
-// gang goes to that has to stay in one. Pure functions; owns no state.
+// The zone rules of a job in capacity planning: how many of its tasks a zone may take, and the choice of the
+// zone for a gang that must run in a single one. Pure functions; owns no state.
 
 #include <cstdint>
 #include <map>
@@ -13,26 +13,28 @@
 
 namespace burlpoint::coordination {
 
-/// A job's tasks, running or planned, by zone. A zone with 0 tasks is one that the job has been assigned to.
+/// The number of a job's tasks, running or planned, by zone. An entry with 0 tasks is a zone that the job has
+/// been assigned to.
 using TasksPerZone = std::map<std::string, std::uint32_t>;
 
-/// How many more of the job's tasks may go to `zone`, given where the others are. A job in a single zone may
-/// use no second one; a job spread over zones may have half of its tasks, rounded up, in a zone.
+/// How many more of the job's tasks may go to `zone`, given the zones of its other tasks. A job restricted to
+/// a single zone may not use a second one. A job spread over zones may have at most half of its tasks,
+/// rounded up, in one zone.
 std::uint32_t remainingTasksInZone(const protocol::JobSpec& spec, const TasksPerZone& tasksPerZone,
                                    const std::string& zone);
 
 /// True for a gang of several tasks that all have to be in the same zone.
 bool isSingleZoneGang(const protocol::JobSpec& spec);
 
-/// A zone that could take a whole gang, with new machines if need be.
+/// A zone that could take a whole gang, with newly requested machines if necessary.
 struct GangZoneCandidate {
     std::string zone;
-    std::uint32_t tasksWithRoom = 0;  // the gang's tasks that existing or requested machines have room for
-    std::uint32_t requestedMachines = 0;  // not up yet, and planned for jobs before this one
+    std::uint32_t tasksWithRoom = 0;      // tasks that fit on existing or requested machines
+    std::uint32_t requestedMachines = 0;  // not up yet, and needed by earlier jobs of the plan
 };
 
-/// The zone that has room for most of the gang; among equals the one with fewest requested machines, then the
-/// first. Empty if there is no candidate.
+/// Returns the zone with room for most of the gang's tasks; of several, the one with the fewest requested
+/// machines, then the first. Empty if there is no candidate.
 std::optional<std::string> selectGangZone(const std::vector<GangZoneCandidate>& candidates);
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/workers/attempt_completion.cpp
+++ b/src/coordination/workers/attempt_completion.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::size_t kFaultyJobAfter = 3;  // machines; on fewer the machine may be at fault
+constexpr std::size_t kFaultyJobMachines = 3;  // with failures on fewer machines, the machine may be at fault
 constexpr Clock::duration kFailureBackoff = 5s;
 constexpr Clock::duration kMaxFailureBackoff = 60s;
 constexpr Clock::duration kRefusalBackoff = 2s;
@@ -29,7 +29,7 @@
     return job.run->placedTotal == 0 && job.doneCount == 0 && job.run->unpersistedTasks.empty();
 }
 
-/// The worker did not begin the attempt, as far as the reason tells.
+/// True if the worker did not begin the attempt, according to its exit reason.
 bool neverBegan(ExitReason reason) {
     return reason == ExitReason::none || reason == ExitReason::noRoom || reason == ExitReason::busy;
 }
@@ -41,23 +41,23 @@
     : fleet_(fleet), gangPlanner_(gangPlanner), jobQueue_(jobQueue), terminator_(terminator) {}
 
 void AttemptCompletion::end(Machine& machine, const AttemptKey& key, ExitReason reason, Time now) {
-    const auto at = machine.placements.find(key);
-    const Placement placement = at->second;
-    fleet_.remove(machine, at);
-    noteEnded(machine, placement, reason, now);
+    const auto it = machine.placements.find(key);
+    const Placement placement = it->second;
+    fleet_.remove(machine, it);
+    handleEnded(machine, placement, reason, now);
 }
 
 void AttemptCompletion::endIf(Machine& machine, const std::function<bool(const Placement&)>& isGone,
                               Time now) {
-    for (auto at = machine.placements.begin(); at != machine.placements.end();) {
-        if (!isGone(at->second)) {
-            ++at;
+    for (auto it = machine.placements.begin(); it != machine.placements.end();) {
+        if (!isGone(it->second)) {
+            ++it;
             continue;
         }
-        const auto key = at->first;
+        const auto key = it->first;
         end(machine, key, ExitReason::none, now);
-        // Placements of the same gang may have been removed too, so `at` may be invalid.
-        at = machine.placements.upper_bound(key);
+        // end() may also have removed other placements of the same gang, which invalidates `it`.
+        it = machine.placements.upper_bound(key);
     }
 }
 
@@ -65,31 +65,32 @@
     fleet_.setReconciled(machine, true);
     jobQueue_.markStale();
     fleet_.removeAll(
-        machine, [&](const Placement& placement) { noteEnded(machine, placement, ExitReason::none, now); });
+        machine, [&](const Placement& placement) { handleEnded(machine, placement, ExitReason::none, now); });
 }
 
-/// Called after the placement has been removed from the machine.
-void AttemptCompletion::noteEnded(Machine& machine, const Placement& placement, ExitReason reason, Time now) {
+/// Must be called after the placement has been removed from the machine.
+void AttemptCompletion::handleEnded(Machine& machine, const Placement& placement, ExitReason reason,
+                                    Time now) {
     Job& job = *placement.job;
     jobQueue_.markStale();
     spdlog::debug("attempt ended job={} task={} attempt={} machine={} state={} reason={}", job.spec.id,
                   placement.task, placement.attempt, machine.id, static_cast<int>(placement.state),
                   static_cast<int>(reason));
     if (machine.placements.empty()) machine.history.lastBusyAt = now;
-    noteReason(machine, job, reason, now);
+    applyExitReason(machine, job, reason, now);
     if (job.terminalState != TerminalState::none) return;
-    updateWaiting(placement, reason, now);
-    if (job.spec.kind == JobKind::gang) noteGangTaskEnded(machine, placement, reason, now);
+    updateWaitingState(placement, reason, now);
+    if (job.spec.kind == JobKind::gang) handleGangTaskEnded(machine, placement, reason, now);
 }
 
-/// What the end of an attempt says about its machine and its job.
-void AttemptCompletion::noteReason(Machine& machine, Job& job, ExitReason reason, Time now) {
+/// Updates the back-offs and the failure history of the machine and the job from the attempt's exit reason.
+void AttemptCompletion::applyExitReason(Machine& machine, Job& job, ExitReason reason, Time now) {
     switch (reason) {
         case ExitReason::done:
             machine.history.failedJobs.clear();
             break;
         case ExitReason::error:
-            noteFailure(machine, job, now);
+            recordFailure(machine, job, now);
             break;
         case ExitReason::noRoom:
         case ExitReason::busy:
@@ -103,34 +104,35 @@
     }
 }
 
-/// A faulty machine fails the tasks of many jobs; a faulty job fails on many machines.
-void AttemptCompletion::noteFailure(Machine& machine, Job& job, Time now) {
+/// Attributes a failure to the machine or to the job: a faulty machine fails the tasks of many jobs, whereas
+/// a faulty job fails on many machines.
+void AttemptCompletion::recordFailure(Machine& machine, Job& job, Time now) {
     auto& failures = job.run->errorMachines;
     failures[machine.id] = now;
-    if (failures.size() < kFaultyJobAfter) {
+    if (failures.size() < kFaultyJobMachines) {
         machine.history.failedJobs.insert(job.spec.id);
         return;
     }
-    const auto times = static_cast<int>(failures.size() - kFaultyJobAfter + 1);
-    job.run->backoffUntil = now + std::min(kFailureBackoff * times, kMaxFailureBackoff);
+    const auto backoffSteps = static_cast<int>(failures.size() - kFaultyJobMachines + 1);
+    job.run->backoffUntil = now + std::min(kFailureBackoff * backoffSteps, kMaxFailureBackoff);
 }
 
-/// Brings the run's state as a waiting job up to date.
-void AttemptCompletion::updateWaiting(const Placement& placement, ExitReason reason, Time now) {
+/// Updates the run's waiting state after one of its attempts has ended.
+void AttemptCompletion::updateWaitingState(const Placement& placement, ExitReason reason, Time now) {
     const Job& job = *placement.job;
     auto& run = *job.run;
     if (run.firstOverdueTask == placement.task) run.firstOverdueTask.reset();
-    // Stopped right after its start, the job counts as not begun. Otherwise it would lose its place among the
-    // overdue jobs each time and could starve.
+    // A job that is stopped right after its start counts as not begun. Otherwise it would lose its position
+    // among the overdue jobs each time and could starve.
     if (reason == ExitReason::stopped && noTaskPlacedOrFinished(job) && startedRecently(placement, now))
         run.launchedTasks = run.pacedFetches = 0;
     if (run.waiting > 0) run.waitingSince = now;
 }
 
-/// A gang's attempt fails without one of its tasks, unless that task had not begun and can be replaced. The
-/// gang's next attempt waits until all tasks of this one have ended.
-void AttemptCompletion::noteGangTaskEnded(Machine& machine, const Placement& placement, ExitReason reason,
-                                          Time now) {
+/// Stops the gang when one of its tasks ends unfinished, unless that task had not begun and can be replaced.
+/// The next attempt of the gang begins only after all tasks of this one have ended.
+void AttemptCompletion::handleGangTaskEnded(Machine& machine, const Placement& placement, ExitReason reason,
+                                            Time now) {
     Job& job = *placement.job;
     job.run->machinesLeft.insert(machine.id);
     const bool replaceable = neverBegan(reason) && gangPlanner_.mayComplete(job, now);
--- a/src/coordination/workers/attempt_completion.h
+++ b/src/coordination/workers/attempt_completion.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// What follows when an attempt is no longer on a machine: for its job, for its gang and for the machine's
-// record of failures. Owns nothing: placements are in the fleet, runs belong to their jobs. Used on the
-// thread that owns the leader.
+// Handles the end of task attempts: removes their placements and updates the job, its gang and the failure
+// history of the machine. Owns no state: placements are in the fleet, and each run belongs to its job. Used
+// on the thread that owns the leader.
 
 #include <functional>
 
@@ -17,32 +17,33 @@
 
 class AttemptCompletion {
   public:
-    /// All are kept by reference and have to outlive this.
+    /// All arguments are kept by reference and must outlive this object.
     AttemptCompletion(bookkeeping::Fleet& fleet, const GangPlanner& gangPlanner, JobQueue& jobQueue,
                       TaskTerminator& terminator);
 
-    /// Removes a placement that is on the machine; the attempt ended for that reason.
+    /// Removes the placement `key`, which must exist on the machine. `reason` is why the attempt ended.
     void end(bookkeeping::Machine& machine, const bookkeeping::AttemptKey& key, protocol::ExitReason reason,
              Time now);
 
-    /// Removes the placements for which `isGone` holds, in the order of their keys and without a reason.
-    /// Others may be removed with them, as gangs end as a whole.
+    /// Removes the placements for which `isGone` returns true, in key order and with ExitReason::none.
+    /// Further placements may be removed with them, since a gang ends as a whole.
     void endIf(bookkeeping::Machine& machine,
                const std::function<bool(const bookkeeping::Placement&)>& isGone, Time now);
 
-    /// Removes all placements, and the machine counts as reconciled: its lease has expired or it was deleted,
-    /// so nothing that was sent to it so far is on it any more.
+    /// Removes all placements and marks the machine as reconciled. Called after its lease has expired or it
+    /// was deleted, so that no task sent to it before can still run there.
     void endAll(bookkeeping::Machine& machine, Time now);
 
   private:
-    void noteEnded(bookkeeping::Machine& machine, const bookkeeping::Placement& placement,
-                   protocol::ExitReason reason, Time now);
-    static void noteReason(bookkeeping::Machine& machine, bookkeeping::Job& job, protocol::ExitReason reason,
-                           Time now);
-    static void noteFailure(bookkeeping::Machine& machine, bookkeeping::Job& job, Time now);
-    static void updateWaiting(const bookkeeping::Placement& placement, protocol::ExitReason reason, Time now);
-    void noteGangTaskEnded(bookkeeping::Machine& machine, const bookkeeping::Placement& placement,
-                           protocol::ExitReason reason, Time now);
+    void handleEnded(bookkeeping::Machine& machine, const bookkeeping::Placement& placement,
+                     protocol::ExitReason reason, Time now);
+    static void applyExitReason(bookkeeping::Machine& machine, bookkeeping::Job& job,
+                                protocol::ExitReason reason, Time now);
+    static void recordFailure(bookkeeping::Machine& machine, bookkeeping::Job& job, Time now);
+    static void updateWaitingState(const bookkeeping::Placement& placement, protocol::ExitReason reason,
+                                   Time now);
+    void handleGangTaskEnded(bookkeeping::Machine& machine, const bookkeeping::Placement& placement,
+                             protocol::ExitReason reason, Time now);
 
     bookkeeping::Fleet& fleet_;
     const GangPlanner& gangPlanner_;
--- a/src/coordination/workers/failure_detector.cpp
+++ b/src/coordination/workers/failure_detector.cpp
@@ -9,27 +9,28 @@
 
 namespace {
 
-constexpr auto kCensusInterval = 500ms;
-constexpr auto kProbeGrace = 1500ms;     // after a failover: most workers send a heartbeat within this
-constexpr std::size_t kMaxProbes = 100;  // in one evaluation
-constexpr auto kTickGap = 3s;            // after a longer gap this controller did not lead in the meantime
-// One or two suspected machines, or a quarter of all, may be declared failed at a time. If more are
-// suspected, the cause is probably not in the machines.
-constexpr std::size_t kAlwaysFewSuspected = 2;
-constexpr std::size_t kFewShare = 4;
+constexpr auto kEvaluationInterval = 500ms;
+constexpr auto kProbeDelay = 1500ms;     // after a failover; most workers send a heartbeat within this time
+constexpr std::size_t kMaxProbes = 100;  // per evaluation
+constexpr auto kSuspensionGap = 3s;      // a longer gap between ticks: this controller did not act meanwhile
+// Machines may be declared failed while at most two machines, or a quarter of the monitored ones, are
+// suspected. If more are suspected, the machines are probably not the cause.
+constexpr std::size_t kMinSuspectedLimit = 2;
+constexpr std::size_t kSuspectedLimitDivisor = 4;
 
 Clock::duration suspicionTimeout(const protocol::Settings& settings) {
     return toClockDuration(settings.heartbeatInterval * 2 + Seconds(0.5));
 }
 
-/// A worker whose heartbeat fails waits 4 s, and another second before it tries the next controller.
+/// After a failed heartbeat, a worker waits for 4 s, and for another second before it tries the next
+/// controller.
 Clock::duration failureTimeout(const protocol::Settings& settings) {
     return std::max(toClockDuration(settings.workerLease * 0.4),
                     toClockDuration(settings.heartbeatInterval * 1.25 + Seconds(5.5)));
 }
 
-/// Tasks of an earlier leader may be on the machine, and its worker has not shown this leader's fencing
-/// token.
+/// True if the machine may hold tasks of an earlier leader, since its worker has not shown this leader's
+/// fencing token.
 bool isUnreconciled(const Machine& machine) { return !machine.registry.reconciled; }
 
 bool isMonitored(const Machine& machine) { return isUnreconciled(machine) || machine.lease.active; }
@@ -44,13 +45,13 @@
       failureTimeout_(failureTimeout(settings)),
       heartbeatInterval_(toClockDuration(settings.heartbeatInterval)),
       isolation_({settings.peers.size() + 1, fencingToken, began, leaseBound, suspicionTimeout(settings)}),
-      nextCensus_(began) {}
+      nextEvaluation_(began) {}
 
 void FailureDetector::noteHeartbeat(Time now) { isolation_.noteHeartbeat(now); }
 
 void FailureDetector::noteTick(Time now) {
-    if (lastTick_ != Time{} && now - lastTick_ > kTickGap) {
-        // This controller was not allowed to act for a while, or too slow, so it missed the heartbeats
+    if (lastTick_ != Time{} && now - lastTick_ > kSuspensionGap) {
+        // This controller was not allowed to act, or was too slow, so it did not receive the heartbeats
         // itself.
         isolation_.noteSuspension(now);
         for (auto& [id, machine] : fleet_.machines())
@@ -60,7 +61,7 @@
 }
 
 FailureDetector::Census FailureDetector::takeCensus(Time now) {
-    nextCensus_ = now + kCensusInterval;
+    nextEvaluation_ = now + kEvaluationInterval;
     Census census;
     for (auto& [id, machine] : fleet_.machines()) {
         if (isMonitored(*machine)) ++(suspectedFor(*machine, now) ? census.suspected : census.alive);
@@ -80,12 +81,12 @@
 
 FailureDetector::FailurePolicy FailureDetector::failurePolicy(const Census& census) {
     const auto monitored = census.alive + census.suspected;
-    const auto few = std::max(kAlwaysFewSuspected, monitored / kFewShare);
-    return census.suspected <= few ? FailurePolicy::allow : FailurePolicy::suspend;
+    const auto limit = std::max(kMinSuspectedLimit, monitored / kSuspectedLimitDivisor);
+    return census.suspected <= limit ? FailurePolicy::allow : FailurePolicy::suspend;
 }
 
-/// How long the machine has been suspected, or none if it is not. Heartbeats do not clear a machine that has
-/// not shown the fencing token or does not receive what it is sent.
+/// How long the machine has been suspected; empty if it is not. Heartbeats do not end the suspicion of a
+/// machine that has not shown this leader's fencing token or that does not receive what is sent to it.
 std::optional<Clock::duration> FailureDetector::suspectedFor(const Machine& machine, Time now) const {
     if (isUnreconciled(machine)) return now - began_;
     if (!machine.lease.active) return std::nullopt;
@@ -98,18 +99,18 @@
                                       Findings& findings) const {
     const auto suspected = suspectedFor(machine, now);
     if (!suspected) return;
-    // A probe carries the fencing token, so a machine that can be reached is reconciled by its answer. After
-    // a failover most send a heartbeat by themselves, and each answer is urgent then, so probes wait and are
-    // bounded in number.
-    const bool probeDue = !machine.agent.probing && (!isUnreconciled(machine) || *suspected > kProbeGrace);
+    // A probe carries the fencing token, so its answer reconciles a machine that can be reached. After a
+    // failover most workers send a heartbeat without a probe and their responses are urgent, so probes are
+    // delayed and limited in number.
+    const bool probeDue = !machine.agent.probing && (!isUnreconciled(machine) || *suspected > kProbeDelay);
     if (probeDue && findings.toProbe.size() < kMaxProbes) findings.toProbe.push_back(&machine);
     if (policy == FailurePolicy::allow && hasFailed(machine, *suspected, now))
         findings.failedMachines.push_back(&machine);
 }
 
-/// Has the suspected machine failed for good, and is its deletion still to be requested?
+/// True if the suspected machine has failed permanently and its deletion has not been requested yet.
 bool FailureDetector::hasFailed(const Machine& machine, Clock::duration suspected, Time now) const {
-    // A machine without tasks costs nobody anything, so it is only probed until its lease expires.
+    // A suspected machine without tasks delays no job, so it is only probed until its lease expires.
     const bool blocksWork =
         isUnreconciled(machine) || machine.agent.unreachableSince || !machine.placements.empty();
     const bool answeredProbe = now - machine.agent.probedAt < failureTimeout_;
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -1,10 +1,10 @@
 #pragma once
 
-// Failure detection for worker machines, as a leader runs it: which machines are suspected and probed, which
-// have failed, and whose lease has expired. Whether missing heartbeats are rather the fault of this
-// controller's own network is decided by the IsolationDetector that this class owns. What is known of each
-// machine is in the fleet. This module sends and removes nothing: the leader acts on its findings. Used on
-// the thread that owns the leader.
+// Failure detection for worker machines, run by the leader: determines which machines are suspected and have
+// to be probed, which have failed, and whose lease has expired. The IsolationDetector that this class owns
+// decides whether missing heartbeats are caused by this controller's own network instead. The state of each
+// machine is in the fleet. The detector sends no messages and removes no machines: the leader acts on its
+// findings. Used on the thread that owns the leader.
 
 #include <cstddef>
 #include <cstdint>
@@ -20,44 +20,45 @@
 
 class FailureDetector {
   public:
-    /// Counts over the monitored machines at one moment. Monitored are those that send heartbeats, and those
-    /// that may still hold tasks of an earlier leader.
+    /// The monitored machines at one moment. A machine is monitored if its lease is active or if it may still
+    /// hold tasks of an earlier leader.
     struct Census {
         std::size_t alive = 0;
         std::size_t suspected = 0;
-        /// Their lease has expired, so nothing that was sent to them is on them any more.
+        /// Machines whose lease has expired, so that no task sent to them can still run there.
         std::vector<bookkeeping::Machine*> expired;
     };
     struct Findings {
-        std::vector<bookkeeping::Machine*> toProbe;  // some may have no known address
+        std::vector<bookkeeping::Machine*> toProbe;  // their address may be unknown
         std::vector<bookkeeping::Machine*> failedMachines;
-        Isolation isolation = Isolation::none;  // unless none, this controller should not lead
+        Isolation isolation = Isolation::none;  // any other value: this controller should resign
     };
 
-    /// The references must outlive the detector. `fencingToken` and `began` are those of the leadership;
-    /// `leaseBound` is the longest that a worker's lease may last after a heartbeat of it was answered.
+    /// The references must outlive the detector. `fencingToken` and `began` are the token and the start of
+    /// this leadership. `leaseBound` is the longest time that a worker's lease can last after a response to
+    /// one of its heartbeats.
     FailureDetector(const protocol::Settings& settings, bookkeeping::Fleet& fleet, std::uint64_t fencingToken,
                     Time began, Clock::duration leaseBound);
 
-    /// A heartbeat arrived that was newer than all before it from the same worker.
+    /// Records the arrival of a heartbeat that is newer than all previous ones of the same worker.
     void noteHeartbeat(Time now);
-    /// To be called with every tick. A long gap since the tick before means that this controller was
-    /// suspended, so the heartbeats missing in that time count against no machine.
+    /// Must be called on every tick. A gap of more than 3 s between two ticks means that this controller was
+    /// suspended, so no machine is suspected because of heartbeats missing in that time.
     void noteTick(Time now);
 
-    /// Is the next census due?
-    bool isDue(Time now) const { return now >= nextCensus_; }
-    /// Counts the machines and finds those whose lease has expired. The leader clears these before it calls
-    /// evaluate(). The next census is due half a second later.
+    /// True if the next evaluation is due: half a second after the last call of takeCensus().
+    bool isDue(Time now) const { return now >= nextEvaluation_; }
+    /// Counts the monitored machines and collects those whose lease has expired. The leader ends the
+    /// placements and the leases of the latter before it calls evaluate().
     Census takeCensus(Time now);
-    /// What follows from a census taken at `now`, whose expired machines have been cleared since.
+    /// Evaluates a summary made at `now`, after the placements and leases of its expired machines were ended.
     Findings evaluate(const Census& census, Time now);
 
   private:
     /// Whether suspected machines may be declared failed.
     enum class FailurePolicy {
         allow,   // few machines are suspected
-        suspend  // many are suspected at once, so that the cause is probably not in the machines
+        suspend  // many are suspected at once, so the machines are probably not the cause
     };
     static FailurePolicy failurePolicy(const Census& census);
     std::optional<Clock::duration> suspectedFor(const bookkeeping::Machine& machine, Time now) const;
@@ -67,12 +68,12 @@
 
     bookkeeping::Fleet& fleet_;
     const Time began_;
-    const Clock::duration suspicionTimeout_;  // without a heartbeat for longer, a machine is suspected
-    const Clock::duration failureTimeout_;    // suspected for longer without answering a probe, it has failed
+    const Clock::duration suspicionTimeout_;  // time without a heartbeat after which a machine is suspected
+    const Clock::duration failureTimeout_;    // suspected this long without a probe answer: failed
     const Clock::duration heartbeatInterval_;
     IsolationDetector isolation_;
 
-    Time nextCensus_;
+    Time nextEvaluation_;
     Time lastTick_{};
 };
 
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-// A task of an array keeps running on an interrupted machine if it will have run for this share of its
-// estimated run time when the machine is taken.
-constexpr double kWorthFinishing = 0.7;
+// An array task keeps running on an interrupted machine if, by the time of the interruption, it will have run
+// for at least this share of its estimated run time.
+constexpr double kMinRunTimeShare = 0.7;
 
 PlacementState placementState(TaskState state) {
     switch (state) {
@@ -40,12 +40,12 @@
 
 bool isPlanned(const Placement& placement) { return placement.state == PlacementState::planned; }
 
-/// Is the array task likely to be done when its machine is interrupted?
+/// True if the array task is likely to be done before its machine is interrupted.
 bool isWorthFinishing(const Placement& placement, Time interruptionAt, Time now) {
     const bool running = placement.state == PlacementState::running;
-    const Seconds ran = running ? Seconds(now - placement.runningSince) : Seconds(0);
-    const Seconds left = interruptionAt - now;
-    return ran + left >= placement.job->spec.estimatedRunTime * kWorthFinishing;
+    const Seconds elapsed = running ? Seconds(now - placement.runningSince) : Seconds(0);
+    const Seconds remaining = interruptionAt - now;
+    return elapsed + remaining >= placement.job->spec.estimatedRunTime * kMinRunTimeShare;
 }
 
 }  // namespace
@@ -55,22 +55,24 @@
 void HeartbeatReconciler::apply(Machine& machine, const Heartbeat& heartbeat, StatusSource source, Time now) {
     if (heartbeat.incarnation > machine.agent.incarnation && machine.agent.acknowledged)
         endTasksOfEarlierIncarnation(machine, now);
-    noteMessage(machine, heartbeat, now);
+    recordMessage(machine, heartbeat, now);
     if (!machine.agent.acknowledged) return;
     reconcilePlacements(machine, heartbeat, source, now);
     if (machine.cloud.interruptionAt) drainForInterruption(machine, now);
     if (!machine.placements.empty()) machine.history.lastBusyAt = now;
 }
 
-/// A new incarnation of the worker has killed and forgotten all tasks. Planned ones had not been sent.
+/// Ends the placements of all tasks that were sent to the machine, since a restarted worker has killed and
+/// forgotten them. Planned placements stay, as they have not been sent yet.
 void HeartbeatReconciler::endTasksOfEarlierIncarnation(Machine& machine, Time now) {
-    // Its lease should not have expired yet, so probably it did not get the responses that renewed it.
-    if (machine.lease.active && machine.agent.incarnation > 0) noteUndeliveredResponse(machine, now);
+    // By this leader's count the lease was still valid, so the worker probably did not receive the responses
+    // that renewed it.
+    if (machine.lease.active && machine.agent.incarnation > 0) recordUndeliveredResponse(machine, now);
     context_.completion.endIf(
         machine, [](const Placement& placement) { return !isPlanned(placement); }, now);
 }
 
-void HeartbeatReconciler::noteMessage(Machine& machine, const Heartbeat& heartbeat, Time now) {
+void HeartbeatReconciler::recordMessage(Machine& machine, const Heartbeat& heartbeat, Time now) {
     machine.agent.incarnation = heartbeat.incarnation;
     machine.agent.sequence = heartbeat.sequence;
     machine.agent.lastMessageAt = now;
@@ -79,54 +81,55 @@
         machine.cloud.interruptionAt.reset();
     else if (!machine.cloud.interruptionAt)
         machine.cloud.interruptionAt = now + toClockDuration(*heartbeat.interruptionNotice);
-    noteFencingToken(machine, heartbeat.fencingToken);
+    recordFencingToken(machine, heartbeat.fencingToken);
 }
 
-void HeartbeatReconciler::noteFencingToken(Machine& machine, std::uint64_t token) {
+void HeartbeatReconciler::recordFencingToken(Machine& machine, std::uint64_t token) {
     if (token != context_.fencingToken || machine.agent.acknowledged) return;
     machine.agent.acknowledged = true;
     context_.fleet.setReconciled(machine, true);
     context_.jobQueue.markStale();
 }
 
-/// A response to the machine did not arrive. After a few in a row it counts as unreachable until it answers.
-void HeartbeatReconciler::noteUndeliveredResponse(Machine& machine, Time now) {
+/// Counts a response that was not delivered. After kMaxUndeliveredResponses in a row, the machine counts as
+/// unreachable until one is delivered.
+void HeartbeatReconciler::recordUndeliveredResponse(Machine& machine, Time now) {
     if (++machine.agent.undeliveredResponses < kMaxUndeliveredResponses || machine.agent.unreachableSince)
         return;
     spdlog::info("worker sends heartbeats but cannot be reached machine={}", machine.id);
     machine.agent.unreachableSince = now;
 }
 
-/// Adopts what the status lists and ends what it lacks.
+/// Adopts the tasks that the status lists and ends the placements that it does not list.
 void HeartbeatReconciler::reconcilePlacements(Machine& machine, const Heartbeat& heartbeat,
                                               StatusSource source, Time now) {
     for (auto& [key, placement] : machine.placements) placement.seen = isPlanned(placement);
     for (const auto& task : heartbeat.tasks) applyTask(machine, task, now);
     bool startUndelivered = false;
     const auto isGone = [&](const Placement& placement) {
-        // A start that left with a heartbeat's response may still be on its way when the answer to a direct
-        // command arrives. Only the worker's next heartbeat shows whether the start arrived.
-        const bool mayBeOnItsWay =
+        // A start sent in the response to a heartbeat may still be in flight when the answer to a direct
+        // command arrives. Only the worker's next heartbeat shows whether the start was delivered.
+        const bool mayBeUndelivered =
             source == StatusSource::answer || heartbeat.sequence <= placement.sentSequence;
-        const bool inFlight = placement.state == PlacementState::sent && mayBeOnItsWay;
+        const bool inFlight = placement.state == PlacementState::sent && mayBeUndelivered;
         const bool gone = !placement.seen && !inFlight;
         startUndelivered |= gone && placement.state == PlacementState::sent;
         return gone;
     };
     context_.completion.endIf(machine, isGone, now);
-    if (startUndelivered) noteUndeliveredResponse(machine, now);
+    if (startUndelivered) recordUndeliveredResponse(machine, now);
 }
 
 void HeartbeatReconciler::applyTask(Machine& machine, const TaskStatus& task, Time now) {
     auto* job = context_.replica.find(task.attempt.job);
-    if (!job || task.attempt.task >= job->spec.tasks) return;  // addCleanupCommands() has it stopped
+    if (!job || task.attempt.task >= job->spec.tasks) return;  // addCleanupCommands() stops it
     const AttemptKey key{job, task.attempt.task, task.attempt.number};
     if (task.state == TaskState::exited) return applyExit(machine, *job, key, task.why, now);
     const auto state = placementState(task.state);
-    const auto at = machine.placements.find(key);
-    const bool known = at != machine.placements.end();
-    if (known) noteProgress(machine, at->second, state, now);
-    auto& placement = known ? at->second : adopt(machine, *job, key, state, now);
+    const auto it = machine.placements.find(key);
+    const bool known = it != machine.placements.end();
+    if (known) recordProgress(machine, it->second, state, now);
+    auto& placement = known ? it->second : adopt(machine, *job, key, state, now);
     placement.seen = true;
     if (state != PlacementState::fetching) {
         const double cacheGb = machine.typeInfo ? machine.typeInfo->cacheGb : 0;
@@ -135,8 +138,8 @@
     stopIfObsolete(machine, placement);
 }
 
-/// Stops a task whose job was cancelled or that is done elsewhere, under an earlier leader. Gang tasks end
-/// with their gang.
+/// Stops a task if its job is in a terminal state, or if another attempt of it, started by an earlier leader,
+/// is done. Gang tasks are exempt from the latter, since they end together with their gang.
 void HeartbeatReconciler::stopIfObsolete(Machine& machine, Placement& placement) {
     const Job& job = *placement.job;
     const bool terminated = job.terminalState != TerminalState::none;
@@ -146,7 +149,7 @@
 
 void HeartbeatReconciler::applyExit(Machine& machine, Job& job, const AttemptKey& key, ExitReason reason,
                                     Time now) {
-    if (reason == ExitReason::done) noteTaskDone(job, key.task, now);
+    if (reason == ExitReason::done) recordTaskDone(job, key.task, now);
     if (machine.placements.contains(key)) context_.completion.end(machine, key, reason, now);
 }
 
@@ -160,9 +163,9 @@
     return placement;
 }
 
-/// The status shows the attempt in `state`.
-void HeartbeatReconciler::noteProgress(Machine& machine, Placement& placement, PlacementState state,
-                                       Time now) {
+/// Records that the worker reports the attempt in `state`.
+void HeartbeatReconciler::recordProgress(Machine& machine, Placement& placement, PlacementState state,
+                                         Time now) {
     if (placement.state == PlacementState::sent) {
         machine.agent.undeliveredResponses = 0;
         machine.agent.unreachableSince.reset();
@@ -175,26 +178,28 @@
     context_.fleet.setState(placement, state, now);
 }
 
-/// The task is done, whichever attempt did it. Its bit has to be stored before users are told.
-void HeartbeatReconciler::noteTaskDone(Job& job, std::uint32_t task, Time now) {
+/// Records that a task is done, whichever attempt completed it. Its done bit must be stored before users see
+/// the task as done.
+void HeartbeatReconciler::recordTaskDone(Job& job, std::uint32_t task, Time now) {
     if (job.terminalState != TerminalState::none || job.spec.kind == JobKind::service) return;
     if (!job.run) context_.activator.begin(job, JobOrigin::inherited, now);
-    if (!finish(job, task)) return;
+    if (!markFinished(job, task)) return;
     context_.writer.noteUnstored(job);
     job.run->errorMachines.clear();
     job.run->succeeded = true;
 }
 
-/// Marks the task as finished, and with a task of a gang all tasks of it, as they complete together. False if
-/// that was known.
-bool HeartbeatReconciler::finish(Job& job, std::uint32_t task) {
+/// Marks the task as finished; for a gang all of its tasks, since they complete together. Returns false if
+/// they were marked before.
+bool HeartbeatReconciler::markFinished(Job& job, std::uint32_t task) {
     if (job.spec.kind != JobKind::gang) return job.finish(task);
-    bool fresh = false;
-    for (std::uint32_t each = 0; each < job.spec.tasks; ++each) fresh |= job.finish(each);
-    return fresh;
+    bool newlyFinished = false;
+    for (std::uint32_t each = 0; each < job.spec.tasks; ++each) newlyFinished |= job.finish(each);
+    return newlyFinished;
 }
 
-/// A spot interruption notice: tasks that would not be done by then save or stop, and nothing new starts.
+/// Handles a spot interruption notice: no further tasks start, and tasks that would not be done by the time
+/// of the interruption save their progress or stop.
 void HeartbeatReconciler::drainForInterruption(Machine& machine, Time now) {
     machine.cloud.draining = true;
     for (auto& [key, placement] : machine.placements)
@@ -205,8 +210,8 @@
 void HeartbeatReconciler::stopForInterruption(Machine& machine, Placement& placement, Time now) {
     const auto& spec = placement.job->spec;
     if (bookkeeping::isLargeGang(spec)) {
-        // A gang saves only if all its tasks are stopped within a short time; stopping one alone would lose
-        // the progress of all.
+        // A gang can save its progress only if all of its tasks are stopped within a short time. Stopping one
+        // task alone would lose the progress of all.
         context_.terminator.stopJob(*placement.job, spec.saveTime, now);
     } else if (spec.checkpointInterval > Seconds(0)) {
         context_.terminator.stop(machine, placement, spec.saveTime);
--- a/src/coordination/workers/heartbeat_reconciler.h
+++ b/src/coordination/workers/heartbeat_reconciler.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Reconciliation of the leader's view of a machine with the status that its worker sends: placements,
-// finished tasks and interruption notices. The caller passes only messages that are newer than all before
-// them. Owns nothing: placements are in the fleet, finished tasks in the jobs. Used on the thread that owns
-// the leader.
+// Reconciles the leader's view of a machine with the status that its worker reports: placements, finished
+// tasks and interruption notices. Callers must pass only messages that are newer than all previous ones of
+// the machine. Owns no state: placements are in the fleet, finished tasks in the jobs. Used on the thread
+// that owns the leader.
 
 #include <cstdint>
 
@@ -19,16 +19,16 @@
 
 namespace burlpoint::coordination {
 
-/// After so many responses in a row that did not arrive, a machine counts as unreachable.
+/// Number of consecutive undelivered responses after which a machine counts as unreachable.
 inline constexpr std::uint32_t kMaxUndeliveredResponses = 2;
 
-/// The message by which a worker sent its status.
+/// The kind of message in which a worker reported its status.
 enum class StatusSource {
-    heartbeat,  // no other is under way: a start that its list lacks was dropped or did not arrive
-    answer      // to direct commands: a start may still be on its way in the response to a heartbeat
+    heartbeat,  // no response is in flight: a start missing from the task list was dropped or not delivered
+    answer      // to direct commands: a start may still be in flight in the response to a heartbeat
 };
 
-/// What the reconciler reads and changes.
+/// The state and the components that the reconciler reads and changes.
 struct ReconcilerContext {
     std::uint64_t fencingToken;  // of this leader
     bookkeeping::StateReplica& replica;
@@ -43,19 +43,19 @@
 
 class HeartbeatReconciler {
   public:
-    /// All that the context refers to has to outlive this.
+    /// All objects that the context refers to must outlive this object.
     explicit HeartbeatReconciler(const ReconcilerContext& context);
 
-    /// Takes in a status that is newer than all before it from that machine. Its list of tasks counts once
-    /// the machine has shown this leader's fencing token.
+    /// Applies a status that is newer than all previous ones of the machine. Its task list is used only if
+    /// the machine has shown this leader's fencing token, in this status or an earlier one.
     void apply(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, StatusSource source,
                Time now);
 
   private:
     void endTasksOfEarlierIncarnation(bookkeeping::Machine& machine, Time now);
-    void noteMessage(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, Time now);
-    void noteFencingToken(bookkeeping::Machine& machine, std::uint64_t token);
-    static void noteUndeliveredResponse(bookkeeping::Machine& machine, Time now);
+    void recordMessage(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat, Time now);
+    void recordFencingToken(bookkeeping::Machine& machine, std::uint64_t token);
+    static void recordUndeliveredResponse(bookkeeping::Machine& machine, Time now);
     void reconcilePlacements(bookkeeping::Machine& machine, const protocol::Heartbeat& heartbeat,
                              StatusSource source, Time now);
     void applyTask(bookkeeping::Machine& machine, const protocol::TaskStatus& task, Time now);
@@ -65,10 +65,10 @@
                                   const bookkeeping::AttemptKey& key, bookkeeping::PlacementState state,
                                   Time now);
     void stopIfObsolete(bookkeeping::Machine& machine, bookkeeping::Placement& placement);
-    void noteProgress(bookkeeping::Machine& machine, bookkeeping::Placement& placement,
-                      bookkeeping::PlacementState state, Time now);
-    void noteTaskDone(bookkeeping::Job& job, std::uint32_t task, Time now);
-    static bool finish(bookkeeping::Job& job, std::uint32_t task);
+    void recordProgress(bookkeeping::Machine& machine, bookkeeping::Placement& placement,
+                        bookkeeping::PlacementState state, Time now);
+    void recordTaskDone(bookkeeping::Job& job, std::uint32_t task, Time now);
+    static bool markFinished(bookkeeping::Job& job, std::uint32_t task);
     void drainForInterruption(bookkeeping::Machine& machine, Time now);
     void stopForInterruption(bookkeeping::Machine& machine, bookkeeping::Placement& placement, Time now);
 
--- a/src/coordination/workers/isolation_detector.cpp
+++ b/src/coordination/workers/isolation_detector.cpp
@@ -8,12 +8,12 @@
 
 // A single suspected machine is no evidence against this controller.
 constexpr std::size_t kMinSuspected = 2;
-// Beyond the suspicion timeout: the time without any heartbeat, and the least age of a leadership, after
-// which this controller counts as cut off.
-constexpr auto kWithoutHeartbeat = 4s;
-constexpr auto kSinceLeadershipBegan = 6s;
-// Beyond the workers' leases: time to delete the lost machines and to get others in their place.
-constexpr auto kWithoutWorkersMargin = 20s;
+// A controller counts as cut off only after no worker has sent a heartbeat for the suspicion timeout plus the
+// first margin, and after it has led for the suspicion timeout plus the second margin.
+constexpr auto kHeartbeatMargin = 4s;
+constexpr auto kLeadershipAgeMargin = 6s;
+// Time to delete the lost machines and to obtain replacements, after the workers' leases have expired.
+constexpr auto kReplacementMargin = 20s;
 
 }  // namespace
 
@@ -21,34 +21,35 @@
 
 void IsolationDetector::noteHeartbeat(Time now) {
     lastHeartbeat_ = now;
-    anyHeartbeat_ = true;
+    heartbeatReceived_ = true;
 }
 
 void IsolationDetector::noteSuspension(Time now) { lastHeartbeat_ = now; }
 
-/// If every controller in turn finds itself cut off, the machines are really gone. Some leader has to stay
-/// then until their leases have expired, or the controllers would resign in favour of each other for ever.
-/// Such a leader resigns too if not even new machines reach it.
+/// If every controller in turn finds itself cut off, the machines are really gone. Some leader must then stay
+/// until the machines' leases have expired, or the controllers would resign in favour of each other for ever.
+/// Such a leader resigns as well if not even the replacement machines reach it.
 Isolation IsolationDetector::evaluate(std::size_t alive, std::size_t suspected, Time now) {
-    if (isUnreached(alive, suspected, now)) {
-        leadsWithoutWorkers_ = staysWithoutWorkers();
+    if (allWorkersSilent(alive, suspected, now)) {
+        leadsWithoutWorkers_ = mayLeadWithoutWorkers();
         if (!leadsWithoutWorkers_) return Isolation::lostWorkers;
     }
-    const bool waitedLongEnough = now - config_.began > config_.leaseBound + kWithoutWorkersMargin;
-    if (leadsWithoutWorkers_ && !anyHeartbeat_ && waitedLongEnough) return Isolation::neverReached;
+    const bool replacementsOverdue = now - config_.began > config_.leaseBound + kReplacementMargin;
+    if (leadsWithoutWorkers_ && !heartbeatReceived_ && replacementsOverdue) return Isolation::neverReached;
     return Isolation::none;
 }
 
-bool IsolationDetector::isUnreached(std::size_t alive, std::size_t suspected, Time now) const {
+bool IsolationDetector::allWorkersSilent(std::size_t alive, std::size_t suspected, Time now) const {
     return alive == 0 && suspected >= kMinSuspected &&
-           now - lastHeartbeat_ > config_.suspicionTimeout + kWithoutHeartbeat &&
-           now - config_.began > config_.suspicionTimeout + kSinceLeadershipBegan;
+           now - lastHeartbeat_ > config_.suspicionTimeout + kHeartbeatMargin &&
+           now - config_.began > config_.suspicionTimeout + kLeadershipAgeMargin;
 }
 
-/// Fencing tokens rise by one with each leadership, so one leadership in as many as there are controllers,
-/// and one more, stays. A leader that has heard workers and hears them no more never does.
-bool IsolationDetector::staysWithoutWorkers() const {
-    return !anyHeartbeat_ && config_.fencingToken % (config_.controllers + 1) == 0;
+/// True if this leader should stay although no worker reaches it. Fencing tokens increase by one with each
+/// leadership, so with n controllers one leadership in n + 1 stays. A leader that has received heartbeats
+/// before never stays.
+bool IsolationDetector::mayLeadWithoutWorkers() const {
+    return !heartbeatReceived_ && config_.fencingToken % (config_.controllers + 1) == 0;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/workers/isolation_detector.h
+++ b/src/coordination/workers/isolation_detector.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Decides whether a leader is cut off from the workers: if no machine sends heartbeats any more, the cause is
-// more likely this controller's network than a failure of all machines at once, and another controller should
-// lead. Owns what the leader remembers of being reached by workers at all. Used on the thread that owns the
-// leader.
+// Decides whether a leader is cut off from the workers. If no machine sends heartbeats any more, a fault of
+// this controller's network is more likely than a failure of all machines at once, so another controller
+// should lead. Owns the record of whether and when any worker last reached this leader. Used on the thread
+// that owns the leader.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,7 +16,7 @@
 enum class Isolation {
     none,
     lostWorkers,  // all machines are suspected, and another controller may reach them
-    neverReached  // it kept leading without workers, and no worker has reached it since
+    neverReached  // it kept leading without workers, and still no worker has reached it
 };
 
 class IsolationDetector {
@@ -25,27 +25,28 @@
         std::size_t controllers;     // in the cluster, this one included
         std::uint64_t fencingToken;  // of the leadership
         Time began;                  // when the leadership began
-        Clock::duration leaseBound;  // the longest that a worker's lease may last
+        Clock::duration leaseBound;  // the longest time that a worker's lease can last
         Clock::duration suspicionTimeout;
     };
 
     explicit IsolationDetector(const Config& config);
 
-    /// A heartbeat arrived that was newer than all before it from the same worker.
+    /// Records the arrival of a heartbeat that is newer than all previous ones of the same worker.
     void noteHeartbeat(Time now);
-    /// This controller was suspended until now, so that it missed the heartbeats itself.
+    /// Records that this controller was suspended until `now` and could not receive heartbeats.
     void noteSuspension(Time now);
 
-    /// `alive` and `suspected` are numbers of machines at this moment.
+    /// Evaluates the isolation of this controller from the numbers of machines `alive` and `suspected` at
+    /// `now`.
     Isolation evaluate(std::size_t alive, std::size_t suspected, Time now);
 
   private:
-    bool isUnreached(std::size_t alive, std::size_t suspected, Time now) const;
-    bool staysWithoutWorkers() const;
+    bool allWorkersSilent(std::size_t alive, std::size_t suspected, Time now) const;
+    bool mayLeadWithoutWorkers() const;
 
     const Config config_;
-    Time lastHeartbeat_;         // of any worker, or the end of this controller's suspension
-    bool anyHeartbeat_ = false;  // a worker has reached this leader
+    Time lastHeartbeat_;              // of any worker, or the end of this controller's suspension
+    bool heartbeatReceived_ = false;  // a worker has reached this leader
     bool leadsWithoutWorkers_ = false;
 };
 
--- a/src/coordination/workers/machine_tombstones.cpp
+++ b/src/coordination/workers/machine_tombstones.cpp
@@ -10,32 +10,32 @@
 
 namespace {
 
-/// Not older than any heartbeat.
+/// A version that is not older than any heartbeat.
 constexpr HeartbeatVersion kDeleted{std::numeric_limits<std::uint64_t>::max(),
                                     std::numeric_limits<std::uint64_t>::max()};
 
 }  // namespace
 
 void MachineTombstones::add(const Machine& machine) {
-    auto& newest = newest_[machine.id];
-    newest = std::max(newest, machine.agent.latestVersion());
+    auto& newestVersion = newestVersions_[machine.id];
+    newestVersion = std::max(newestVersion, machine.agent.latestVersion());
 }
 
-void MachineTombstones::addDeleted(const std::string& id) { newest_[id] = kDeleted; }
+void MachineTombstones::addDeleted(const std::string& id) { newestVersions_[id] = kDeleted; }
 
 bool MachineTombstones::isDeleted(const std::string& id) const {
-    const auto found = newest_.find(id);
-    return found != newest_.end() && found->second == kDeleted;
+    const auto found = newestVersions_.find(id);
+    return found != newestVersions_.end() && found->second == kDeleted;
 }
 
 bool MachineTombstones::isLateCopy(const protocol::Heartbeat& heartbeat) const {
-    const auto found = newest_.find(heartbeat.machine);
-    return found != newest_.end() && bookkeeping::heartbeatVersionOf(heartbeat) <= found->second;
+    const auto found = newestVersions_.find(heartbeat.machine);
+    return found != newestVersions_.end() && bookkeeping::heartbeatVersionOf(heartbeat) <= found->second;
 }
 
 void MachineTombstones::restoreCounters(Machine& machine) const {
-    const auto found = newest_.find(machine.id);
-    if (found == newest_.end()) return;
+    const auto found = newestVersions_.find(machine.id);
+    if (found == newestVersions_.end()) return;
     machine.agent.incarnation = found->second.incarnation;
     machine.agent.sequence = found->second.sequence;
 }
--- a/src/coordination/workers/worker_commands.cpp
+++ b/src/coordination/workers/worker_commands.cpp
@@ -16,18 +16,19 @@
 
 namespace {
 
-/// The task belongs to no known job.
+/// True if the task belongs to no known job.
 bool isUnknown(const TaskStatus& task, const Job* job) {
     return !job || task.attempt.task >= job->spec.tasks;
 }
 
-/// May the worker forget the exited task? Until a result is stored, the heartbeat is its only record.
+/// True if the worker may forget the exited task. Until its result is stored, the heartbeat is the only
+/// record of it.
 bool mayAcknowledge(const TaskStatus& task, const Job& job) {
     return task.why != ExitReason::done || job.terminalState != TerminalState::none ||
            job.isDone(task.attempt.task) || job.spec.kind == protocol::JobKind::service;
 }
 
-/// The worker's status shows that it has received the stop and is saving the task's progress.
+/// True if the worker's status shows that it has received the stop and is saving the task's progress.
 bool isStopReceived(const Placement& placement) {
     return placement.state == PlacementState::saving && placement.grace > Seconds(0);
 }
@@ -52,8 +53,9 @@
 
 std::vector<WorkerCommand> stopsOfTerminatedJobs(const protocol::Heartbeat& heartbeat,
                                                  bookkeeping::StateReplica& replica) {
-    // The response renews the worker's lease. Without these stops, cancelled tasks would run on for another
-    // lease with each change of leader. Stopping a task of a terminated job is right however old the list is.
+    // The response renews the worker's lease. Without these stops, each change of leader would let cancelled
+    // tasks run for another lease period. Stopping a task of a terminated job is correct however outdated the
+    // task list is.
     std::vector<WorkerCommand> commands;
     for (const auto& task : heartbeat.tasks) {
         if (commands.size() >= kMaxCommands) break;
--- a/src/coordination/workers/worker_commands.h
+++ b/src/coordination/workers/worker_commands.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Commands to a worker that follow from its heartbeat and from what is on its machine, without any scheduling
-// decision: stops, and acknowledgements of exited tasks. Starts are up to the scheduler. These functions own
-// and change no state.
+// Derives commands to a worker from its heartbeat and from the placements on its machine, without any
+// scheduling decision: stops, and acknowledgements of exited tasks. Starts are decided by the scheduler. The
+// functions own and change no state.
 
 #include <cstddef>
 #include <vector>
@@ -15,21 +15,22 @@
 
 inline constexpr std::size_t kMaxCommands = 300;  // keeps a response well below 64 KiB
 
-/// Did all commands fit into the response?
+/// Whether all commands fit into the response.
 enum class CommandFit { complete, truncated };
 
-/// Stops for all tasks on the machine that are marked as stopping, at most kMaxCommands. They are repeated
-/// with every message until the worker's status shows that it has received them.
+/// Returns stops for the tasks on the machine that are marked as stopping, at most kMaxCommands. Each stop is
+/// repeated in every message until the worker's status shows that it has received it.
 std::vector<protocol::WorkerCommand> stopCommands(const bookkeeping::Machine& machine);
 
-/// Stops for tasks in the heartbeat whose jobs are in a terminal state, at most kMaxCommands. A worker that
-/// has not shown this leader's fencing token may be sent nothing else, as its list of tasks may be old.
+/// Returns stops for the tasks in the heartbeat whose jobs are in a terminal state, at most kMaxCommands. No
+/// other commands may be sent to a worker that has not shown this leader's fencing token, since its task list
+/// may be outdated.
 std::vector<protocol::WorkerCommand> stopsOfTerminatedJobs(const protocol::Heartbeat& heartbeat,
                                                            bookkeeping::StateReplica& replica);
 
-/// Adds stops for running tasks that belong to no known job, and acknowledgements of exited tasks whose
-/// result need not be kept by the worker any more. After CommandFit::truncated the response takes no more
-/// commands.
+/// Appends stops for running tasks that belong to no known job, and acknowledgements of exited tasks whose
+/// result the worker need not keep any longer. If it returns CommandFit::truncated, the response is full and
+/// takes no further commands.
 CommandFit addCleanupCommands(const protocol::Heartbeat& heartbeat, bookkeeping::StateReplica& replica,
                               std::vector<protocol::WorkerCommand>& commands);
 
--- a/tests/api/readiness_test.cpp
+++ b/tests/api/readiness_test.cpp
@@ -14,7 +14,7 @@
     EXPECT_FALSE(readiness.ready());
 }
 
-// A moment of ill health during the hold-down starts it anew.
+// A brief unhealthy period during the hold-down restarts it.
 TEST(Readiness, InterruptedHoldDownStartsAnew) {
     coordination::Readiness readiness;
     Time now{1000s};
@@ -35,8 +35,8 @@
     coordination::Readiness readiness;
     Time now{1000s};
     readiness.update(true, now);
-    EXPECT_TRUE(readiness.ready());  // the first time at once
-    const auto lostFor = [&] {
+    EXPECT_TRUE(readiness.ready());  // the first time without a hold-down
+    const auto timeUntilReadyAgain = [&] {
         readiness.update(false, now);
         EXPECT_FALSE(readiness.ready());
         const auto from = now;
@@ -44,7 +44,7 @@
         while (!readiness.ready());
         return now - from;
     };
-    const auto first = lostFor(), second = lostFor(), third = lostFor();
+    const auto first = timeUntilReadyAgain(), second = timeUntilReadyAgain(), third = timeUntilReadyAgain();
     EXPECT_GE(first, 3s);
     EXPECT_GT(second, first);
     EXPECT_GT(third, second);
--- a/tests/api/submission_queue_test.cpp
+++ b/tests/api/submission_queue_test.cpp
@@ -13,7 +13,7 @@
 
 const Time kStart{1000s};
 
-/// A write budget of 30 a second for submissions, so 30 at once and 36 within the longest wait.
+/// Settings with a write budget of 30 submissions per second: a burst of 30, and 36 within the longest wait.
 protocol::Settings settings() {
     protocol::Settings s;
     s.storeWritesPerSecond = 100;
@@ -65,7 +65,7 @@
         queue.writeCompleted();
         ++taken;
     }
-    EXPECT_EQ(taken, 30);  // a second's worth
+    EXPECT_EQ(taken, 30);  // the budget of one second
     EXPECT_TRUE(queue.takeNext(kStart + 100ms));
 }
 
@@ -99,7 +99,7 @@
     SubmissionQueue queue(settings(), kStart);
     int added = 0;
     while (!queue.retryAfterIfFull(kStart)) queue.add(submission("wk-" + std::to_string(added++)));
-    EXPECT_EQ(added, 37);  // 36 are stored within kMaxWait, and one more may wait behind them
+    EXPECT_EQ(added, 37);  // 36 are stored within kMaxWait, and one more is queued behind them
     EXPECT_EQ(queue.retryAfterIfFull(kStart), 2s);
     auto slow = settings();
     slow.storeWritesPerSecond = 0.1;
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -1,4 +1,4 @@
-// The responses that users get.
+// Tests of the responses to users' requests.
 #include <gtest/gtest.h>
 
 #include "coordination/api/submission_validation.h"
@@ -41,7 +41,7 @@
     EXPECT_EQ(node.ask("GET", "/elsewhere").status, 599);
 }
 
-// Users' tools read these texts, so they stay as they are.
+// Users' tools depend on these texts, so they must not change.
 TEST_F(UserApiTest, EachErrorHasItsText) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
@@ -82,7 +82,7 @@
     EXPECT_EQ(node.ask("POST", "/submissions/wk-1/cancel").status, 503);
 }
 
-// Each controller sees at once what another has acknowledged.
+// A controller must report a state at once after another controller has acknowledged it.
 TEST_F(UserApiTest, ControllersNeverReplyWithOlderStates) {
     ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
@@ -97,7 +97,8 @@
     }
 }
 
-// A write that was carried out without an answer is found when the user submits again.
+// Guards against a lost response: a write that was carried out but not answered is found when the user
+// submits again.
 TEST_F(UserApiTest, ResubmissionAfterUnansweredWriteFindsTheJob) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
@@ -126,7 +127,7 @@
     EXPECT_EQ(reader.replica.jobs().size(), 25u);
 }
 
-// The controller that acknowledged a cancellation knows it at once, even if no read succeeds any more.
+// The controller that acknowledged a cancellation must report it at once, even if all later reads fail.
 TEST_F(UserApiTest, AcknowledgedCancellationIsKnownToItsControllerDuringAnOutage) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
@@ -141,7 +142,8 @@
     EXPECT_EQ(node.replica.cancelled()[0]->version, stub.store.revision);
 }
 
-// Dependencies are looked up in the store: another controller may have accepted them a moment ago.
+// A dependency that the replica lacks is looked up by a read of the store, since another controller may have
+// accepted it a moment ago.
 TEST_F(UserApiTest, DependencyThatWasNeverAcceptedIsRejected) {
     ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
@@ -151,7 +153,7 @@
         const auto first = "wk-" + std::to_string(10 + 2 * i), next = "wk-" + std::to_string(11 + 2 * i);
         EXPECT_EQ(a.ask("POST", "/submissions", submission(first)).status, 201);
         EXPECT_EQ(b.ask("POST", "/submissions", submissionAfter(next, {first})).status, 201);
-        EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter(next, {"wk-9"})).status, 200);  // a repeat
+        EXPECT_EQ(a.ask("POST", "/submissions", submissionAfter(next, {"wk-9"})).status, 200);  // resubmitted
         EXPECT_EQ(a.bearing(next), "pending");
     }
     stub.outage = true;
@@ -160,7 +162,8 @@
     EXPECT_GE(answer.retryAfter, 1s);
 }
 
-// One record cancels all dependents: on every controller, for jobs submitted later, and after restarts.
+// A single cancelled record cancels all dependents: on every controller, for dependents submitted later, and
+// on controllers that start later.
 TEST_F(UserApiTest, DependentsOfACancelledJobAreCancelled) {
     ServiceController a(io, stub), b(io, stub, "two");
     a.until([&] { return a.watcher.synced() && b.watcher.synced(); });
@@ -182,7 +185,7 @@
     EXPECT_EQ(b.ask("POST", "/submissions", submissionAfter("wk-5", {"wk-3"})).status, 201);
     EXPECT_EQ(a.bearing("wk-5"), "cancelled");
     EXPECT_EQ(a.ask("POST", "/submissions/wk-5/cancel").status, 200);
-    // A job that is done is not cancelled, and its dependents go on.
+    // A job that is done is not cancelled, and its dependents can still run.
     auto record =
         storage::decodeJob(protocol::unpackBody(stub.store.values.at(storage::keys::job("wk-9")).data).get());
     record.terminalState = storage::TerminalState::done;
@@ -193,7 +196,7 @@
     EXPECT_EQ(b.bearing("wk-9"), "done");
     EXPECT_EQ(b.bearing("wk-4"), "pending");
     EXPECT_TRUE(b.replica.find("wk-4")->ready());
-    // In an outage a controller still tells the terminal states that it knows.
+    // During an outage a controller still reports the terminal states that it knows.
     stub.outage = true;
     EXPECT_EQ(b.bearing("wk-3"), "cancelled");
 }
--- a/tests/autoscaling/autoscaler_test.cpp
+++ b/tests/autoscaling/autoscaler_test.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-/// An autoscaler over a hand-made fleet. There are no waiting jobs unless a test adds some.
+/// An autoscaler with a fleet that the tests build. There are no waiting jobs unless a test adds some.
 struct AutoscalerTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
@@ -43,9 +43,9 @@
         policy.minimumKeep = Seconds(55);
         types["plain"] = {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"z"}};
         types["slow"] = {"slow", 8, 0, 32, 50, 1, 9, 3, Seconds(100), {"z"}};
-        begin();
+        createAutoscaler();
     }
-    void begin() { autoscaler = std::make_unique<Autoscaler>(settings, policy, replica, 7, now); }
+    void createAutoscaler() { autoscaler = std::make_unique<Autoscaler>(settings, policy, replica, 7, now); }
     Machine& machine(const std::string& id, const std::string& type = "plain") {
         auto& added = fleet.add(id, now);
         added.type = type;
@@ -58,8 +58,8 @@
         fleet.setReconciled(added, true);
         return added;
     }
-    /// Makes the job a service whose replicas fill a machine each.
-    void prepare(Job& job, std::string id, std::uint32_t tasks) const {
+    /// Makes the job a service whose replicas each fill a whole machine.
+    void makeService(Job& job, std::string id, std::uint32_t tasks) const {
         job.spec.id = std::move(id);
         job.spec.kind = protocol::JobKind::service;
         job.spec.cpus = 8;
@@ -71,7 +71,7 @@
         const auto due = [](const Job&) { return Time{}; };
         return autoscaler->decide(fleet, types, {order, due}, now);
     }
-    /// The machines of the scale-in requested after `step`; its outcome is accepted.
+    /// The machines in the scale-in request made after `step`, which is reported as carried out.
     Names scaleIn(Clock::duration step = 1s) {
         auto requests = decide(step);
         if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(ScaleInOutcome::deleted, now);
@@ -86,7 +86,7 @@
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
     EXPECT_TRUE(fleet.find("m1")->cloud.deletionRequested);
     fleet.erase("m1");
-    EXPECT_EQ(scaleIn(24s), Names{});  // 80 s after its last task
+    EXPECT_EQ(scaleIn(24s), Names{});  // m2 is kept for 80 s, 0.8 boot times, after its last task
     EXPECT_EQ(scaleIn(1s), Names{"m2"});
 }
 
@@ -98,7 +98,7 @@
 
 TEST_F(AutoscalerTest, NeededOrReservedMachineIsKept) {
     Job job;
-    prepare(job, "wk-1", 1);
+    makeService(job, "wk-1", 1);
     order = {&job};
     machine("m1");
     auto& reserved = machine("m2");
@@ -107,7 +107,7 @@
     EXPECT_EQ(scaleIn(80s), Names{});
     EXPECT_EQ(scaleIn(10s), Names{"m2"});
     order.clear();
-    EXPECT_EQ(scaleIn(), (Names{"m1", "m2"}));  // m2 is requested again, as it is still there
+    EXPECT_EQ(scaleIn(), (Names{"m1", "m2"}));  // m2 is requested again, as it is still in the fleet
 }
 
 TEST_F(AutoscalerTest, FaultyDrainingAndFailedMachinesAreDeletedAtOnce) {
@@ -123,7 +123,7 @@
     fleet.setReconciled(*fleet.find("m1"), false);
     EXPECT_EQ(scaleIn(200s), Names{});
     Job job;
-    prepare(job, "wk-1", 1);
+    makeService(job, "wk-1", 1);
     auto& busy = machine("m2");
     busy.cloud.draining = true;
     fleet.place(busy, job, 0, 1, bookkeeping::PlacementState::running, now);
@@ -148,7 +148,7 @@
     }
     replica.registeredMachines["m2"] = {{"address", "plain", "z", false}, 1};  // up under an earlier leader
     fleet.find("m2")->history.lastBusyAt = now + 200s;
-    EXPECT_EQ(scaleIn(50s), Names{});  // three and a half boot times and 15 s
+    EXPECT_EQ(scaleIn(50s), Names{});  // 3.5 boot times of 10 s plus 15 s
     EXPECT_EQ(scaleIn(1ms), Names{"m1"});
 }
 
@@ -192,10 +192,10 @@
 }
 
 TEST_F(AutoscalerTest, RequestBudgetIsKeptAndScaleOutGoesFirst) {
-    settings.cloudRequestsPerSecond = 2.5;  // four fifths of them are used
-    begin();
+    settings.cloudRequestsPerSecond = 2.5;  // 80 % of the limit is used
+    createAutoscaler();
     Job job;
-    prepare(job, "wk-1", 120);
+    makeService(job, "wk-1", 120);
     order = {&job};
     machine("m1").cloud.draining = true;
     const auto first = decide(0s);
@@ -212,7 +212,7 @@
     Job job;
 
     ScaleOutOutcomeTest() {
-        prepare(job, "wk-1", 3);
+        makeService(job, "wk-1", 3);
         order = {&job};
     }
     /// The machine count of the only instance request that is due now.
@@ -257,7 +257,7 @@
 TEST_F(AutoscalerTest, MachineHasVanishedOnceEveryListingWouldShowIt) {
     machine("m1").lease.active = false;
     machine("m2").lease.active = false;
-    machine("m3");  // it sends heartbeats
+    machine("m3");  // it still sends heartbeats
     auto& leaving = machine("m4");
     leaving.lease.active = false;
     leaving.cloud.deletionRequested = true;
@@ -270,7 +270,7 @@
             names.push_back(machine->id);
         return names;
     };
-    EXPECT_EQ(gone(25s), Names{});  // two and a half times the lag
+    EXPECT_EQ(gone(25s), Names{});  // 2.5 times the list lag of 10 s
     EXPECT_EQ(gone(25001ms), Names{"m1"});
 }
 
--- a/tests/autoscaling/capacity_plan_test.cpp
+++ b/tests/autoscaling/capacity_plan_test.cpp
@@ -23,7 +23,7 @@
 
 using Names = std::set<std::string>;
 
-JobSpec make(const std::string& id, std::uint32_t tasks, double cpus, JobKind kind = JobKind::service) {
+JobSpec makeSpec(const std::string& id, std::uint32_t tasks, double cpus, JobKind kind = JobKind::service) {
     JobSpec spec;
     spec.id = id;
     spec.team = "free";
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-/// Plans over a hand-made fleet. Plain machines have the lowest price per processor.
+/// Plans for a fleet that the tests build. Plain machines have the lowest price per processor.
 struct CapacityPlanTest : testing::Test {
     protocol::Settings settings;
     protocol::Policy policy;
@@ -72,12 +72,12 @@
         jobs.push_back(std::move(added));
         return *jobs.back();
     }
-    /// A plan of all jobs in the order in which they were made.
+    /// A plan of all jobs, in the order of their creation.
     CapacityPlan plan() {
         const auto due = [](const Job& job) { return Time(std::chrono::milliseconds(*job.dueAtMs)); };
-        CapacityPlan out({settings, policy, replica, fleet, types, pending, capacityErrors, due, now});
-        for (const auto& added : jobs) out.add(*added);
-        return out;
+        CapacityPlan result({settings, policy, replica, fleet, types, pending, capacityErrors, due, now});
+        for (const auto& added : jobs) result.add(*added);
+        return result;
     }
     static Offering plain(const std::string& zone = "z", bool spot = false) { return {"plain", zone, spot}; }
 };
@@ -86,22 +86,22 @@
     machine("m1");
     machine("m2");
     machine("m3");
-    job(make("wk-1", 4, 4));
+    job(makeSpec("wk-1", 4, 4));
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     EXPECT_EQ(plan().neededMachines(), (Names{"m1", "m2"}));
 }
 
 TEST_F(CapacityPlanTest, RemainingTasksGetTheCheapestOfferingPerTask) {
     machine("m1");
-    job(make("wk-1", 5, 4));  // two on m1
+    job(makeSpec("wk-1", 5, 4));  // two of the tasks fit on m1
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 2}}));
     types["large"].price = 2;
-    job(make("wk-2", 8, 4));
+    job(makeSpec("wk-2", 8, 4));
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 2}, {{"large", "z", false}, 1}}));
 }
 
 TEST_F(CapacityPlanTest, SpotMachinesAreRequestedOnlyForJobsThatAllowThem) {
-    auto spec = make("wk-1", 1, 4);
+    auto spec = makeSpec("wk-1", 1, 4);
     job(spec);
     spec.spot = true;
     spec.id = "wk-2";
@@ -113,7 +113,7 @@
 TEST_F(CapacityPlanTest, PendingMachinesAreNotRequestedAgain) {
     pending.enqueue(plain(), 2, now);
     pending.enqueue({"unknown", "z", false}, 5, now);
-    job(make("wk-1", 6, 4));
+    job(makeSpec("wk-1", 6, 4));
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
 }
 
@@ -124,9 +124,9 @@
     machine("m4").cloud.interruptionAt = now + 30s;
     machine("m5").agent.unreachableSince = now;
     machine("m6").history.failedJobs = {"wk-8", "wk-9"};
-    machine("m7").lease.active = false;  // lost, as it was up before
+    machine("m7").lease.active = false;  // lost, since it was up before
     machine("m8").typeInfo = nullptr;
-    job(make("wk-1", 1, 8));
+    job(makeSpec("wk-1", 1, 8));
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
     auto& booting = machine("m9");
@@ -141,18 +141,18 @@
 
 TEST_F(CapacityPlanTest, ReservedRoomIsUsedByItsJobOnly) {
     auto& reserved = machine("m1");
-    auto& first = job(make("wk-1", 1, 8));
-    auto& second = job(make("wk-2", 1, 8));
+    auto& first = job(makeSpec("wk-1", 1, 8));
+    auto& second = job(makeSpec("wk-2", 1, 8));
     fleet.reserve(reserved, second, now + 10s);
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{"m1"});
-    fleet.reserve(reserved, first, now);  // over
+    fleet.reserve(reserved, first, now);  // a reservation that has expired
     second.run->waiting = 0;
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
 }
 
 TEST_F(CapacityPlanTest, TeamQuotaCountsUsedAndPlannedResources) {
-    auto spec = make("wk-1", 10, 1);
+    auto spec = makeSpec("wk-1", 10, 1);
     spec.team = "limited";
     auto& running = job(spec);
     fleet.place(machine("m1"), running, 0, 1, bookkeeping::PlacementState::running, now);
@@ -160,29 +160,29 @@
     running.run->waiting = 2;
     spec.id = "wk-2";
     spec.cpus = 4;
-    job(spec);  // of 8 processors 2 are used and 2 planned
+    job(spec);  // of the quota of 8 processors, 2 are used and 2 planned
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     spec.id = "wk-3";
     job(spec);
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
     running.run->waiting = 0;
-    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // wk-2 has its one task on m1
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // the quota admits one task of wk-2, on m1
     settings.teams[1].maxCpus = 10;
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
 }
 
 TEST_F(CapacityPlanTest, ArrayConcurrencyFollowsItsCompletionTarget) {
     policy.backlogHorizon = Seconds(45);
-    auto spec = make("wk-1", 30, 8, JobKind::array);
+    auto spec = makeSpec("wk-1", 30, 8, JobKind::array);
     spec.estimatedRunTime = Seconds(15);
     auto& array = job(spec);
-    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 10}}));  // three rounds
-    array.dueAtMs = 1'060'000;  // due in 60 s: two rounds in half of that
+    EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 10}}));  // three rounds of 15 s in 45 s
+    array.dueAtMs = 1'060'000;  // due in 60 s: two rounds in half of that time
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 15}}));
     array.dueAtMs.reset();
     array.spec.deadline = Seconds(300);
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 3}}));
-    array.run->waitingSince = now - 135s;  // time for one round is left
+    array.run->waitingSince = now - 135s;  // only time for one round is left
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 30}}));
     array.spec.kind = JobKind::service;
     array.run->waitingSince = now;
@@ -192,7 +192,7 @@
 TEST_F(CapacityPlanTest, GangGoesToTheZoneWithMostRoomWhereTheRestIsObtainable) {
     types["plain"].zones = {"y", "z"};
     machine("m1", "plain", "z");
-    auto spec = make("wk-1", 3, 8, JobKind::gang);
+    auto spec = makeSpec("wk-1", 3, 8, JobKind::gang);
     spec.singleZone = true;
     job(spec);
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 2}}));
@@ -207,7 +207,7 @@
 
 TEST_F(CapacityPlanTest, GangsWithoutRoomAreSpreadOverZones) {
     types["plain"].zones = {"y", "z"};
-    auto spec = make("wk-1", 2, 8, JobKind::gang);
+    auto spec = makeSpec("wk-1", 2, 8, JobKind::gang);
     spec.singleZone = true;
     job(spec);
     spec.id = "wk-2";
@@ -217,7 +217,7 @@
 
 TEST_F(CapacityPlanTest, PartlyRunningGangStaysInItsZone) {
     types["plain"].zones = {"y", "z"};
-    auto spec = make("wk-1", 3, 8, JobKind::gang);
+    auto spec = makeSpec("wk-1", 3, 8, JobKind::gang);
     spec.singleZone = true;
     auto& gang = job(spec);
     fleet.place(machine("m1", "plain", "z"), gang, 0, 1, bookkeeping::PlacementState::running, now);
@@ -227,7 +227,7 @@
 }
 
 TEST_F(CapacityPlanTest, SpreadServiceHasAtMostHalfOfItsReplicasInAZone) {
-    auto spec = make("wk-1", 5, 8);
+    auto spec = makeSpec("wk-1", 5, 8);
     spec.spreadZones = true;
     job(spec);
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}}));  // no other zone offers machines
@@ -237,10 +237,10 @@
 
 TEST_F(CapacityPlanTest, PlainWorkNeitherKeepsNorRequestsAcceleratorMachines) {
     machine("m1", "gpu");
-    job(make("wk-1", 3, 8));
+    job(makeSpec("wk-1", 3, 8));
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     EXPECT_EQ(plan().neededMachines(), Names{});
-    auto spec = make("wk-2", 1, 8);
+    auto spec = makeSpec("wk-2", 1, 8);
     spec.types = {"gpu"};
     job(spec);
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}, {{"gpu", "z", false}, 1}}));
@@ -251,10 +251,10 @@
 TEST_F(CapacityPlanTest, ArrayGetsAcceleratorMachineOnlyUpToTwiceThePlainPrice) {
     types.erase("large");
     capacityErrors.record(plain(), now);
-    auto spec = make("wk-1", 1, 8, JobKind::array);
+    auto spec = makeSpec("wk-1", 1, 8, JobKind::array);
     spec.estimatedRunTime = Seconds(100);
     job(spec);
-    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // four times the price of a plain processor
+    EXPECT_EQ(plan().missingMachines(), MissingMachines{});  // 4 times the plain price per processor
     types["gpu"].price = 4;
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{{"gpu", "z", false}, 1}}));
     types["gpu"].price = 4.1;
@@ -266,14 +266,14 @@
 TEST_F(CapacityPlanTest, OfferingWithRecentErrorIsProbedWithAFewMachines) {
     types["plain"].zones = {"z", "y"};
     capacityErrors.record(plain("z"), now);
-    job(make("wk-1", 10, 8));
+    job(makeSpec("wk-1", 10, 8));
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("y"), 10}}));
     now += 4s;  // the back-off is over
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain("z"), 3}, {plain("y"), 7}}));
 }
 
 TEST_F(CapacityPlanTest, NothingIsRequestedForTerminatedOrRepeatedlyFailingJobs) {
-    auto& job1 = job(make("wk-1", 1, 8));
+    auto& job1 = job(makeSpec("wk-1", 1, 8));
     for (const auto* id : {"m1", "m2"}) job1.run->errorMachines[id] = now;
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
     job1.run->errorMachines["m3"] = now;
@@ -285,7 +285,7 @@
 }
 
 TEST_F(CapacityPlanTest, NoMachineIsRequestedThatIsTooSmall) {
-    job(make("wk-1", 1, 64));
+    job(makeSpec("wk-1", 1, 64));
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
 }
 
--- a/tests/autoscaling/instance_requests_test.cpp
+++ b/tests/autoscaling/instance_requests_test.cpp
@@ -17,18 +17,19 @@
 const Offering kOnDemand{"m-small", "z1", false};
 const Offering kSpot{"m-small", "z1", true};
 
-/// The requests' names and counts, as "name*count".
-std::vector<std::string> described(const std::vector<InstanceRequest>& requests) {
-    std::vector<std::string> out;
-    out.reserve(requests.size());
-    for (const auto& request : requests) out.push_back(request.name + "*" + std::to_string(request.count));
-    return out;
+/// The names and machine counts of the requests, as "name*count".
+std::vector<std::string> describe(const std::vector<InstanceRequest>& requests) {
+    std::vector<std::string> descriptions;
+    descriptions.reserve(requests.size());
+    for (const auto& request : requests)
+        descriptions.push_back(request.name + "*" + std::to_string(request.count));
+    return descriptions;
 }
 
 std::vector<std::string> pending(const InstanceRequestQueue& requests) {
     std::vector<InstanceRequest> all;
     requests.forEachPending([&](const InstanceRequest& request) { all.push_back(request); });
-    return described(all);
+    return describe(all);
 }
 
 using Names = std::vector<std::string>;
@@ -69,7 +70,7 @@
     capacityErrors.clear(kOnDemand);
     EXPECT_FALSE(capacityErrors.hasRecentError(kOnDemand));
     EXPECT_FALSE(capacityErrors.isUnavailable(kOnDemand, now));
-    capacityErrors.record(kOnDemand, now);  // the back-off starts anew
+    capacityErrors.record(kOnDemand, now);  // the back-off starts again at 4 s
     EXPECT_FALSE(capacityErrors.isUnavailable(kOnDemand, now + 4s));
 }
 
@@ -80,7 +81,7 @@
     type.name = "m-small";
     type.zones = {"z1", "z2"};
     capacityErrors.record({"m-small", "z1", false}, now);
-    capacityErrors.record({"m-small", "z2", true}, now);  // spot machines alone
+    capacityErrors.record({"m-small", "z2", true}, now);  // spot machines only
     EXPECT_FALSE(capacityErrors.unavailableEverywhere(type, now));
     capacityErrors.record({"m-small", "z2", false}, now + 1s);
     EXPECT_TRUE(capacityErrors.unavailableEverywhere(type, now + 1s));
@@ -99,7 +100,7 @@
     requests.enqueue(kSpot, 0, now);
     EXPECT_EQ(pending(requests), (Names{"r-7-1*50", "r-7-2*50", "r-7-3*20", "r-7-4*50"}));
     const auto due = requests.takeDue(ample, now);
-    EXPECT_EQ(described(due), pending(requests));
+    EXPECT_EQ(describe(due), pending(requests));
     EXPECT_EQ(coordination::offeringOf(due[2]), kOnDemand);
     EXPECT_EQ(coordination::offeringOf(due[3]), kSpot);
 }
@@ -108,7 +109,7 @@
     requests.enqueue(kOnDemand, 1, now);
     EXPECT_EQ(requests.takeDue(ample, now).size(), 1u);
     EXPECT_TRUE(requests.takeDue(ample, now + 1h).empty());
-    EXPECT_EQ(pending(requests), Names{"r-7-1*1"});  // its machines are still expected
+    EXPECT_EQ(pending(requests), Names{"r-7-1*1"});  // it stays pending, as its machines are still expected
 }
 
 TEST_F(InstanceRequestQueueTest, UnknownOutcomeIsRetriedUnderTheSameNameAfterAPause) {
@@ -116,8 +117,8 @@
     requests.takeDue(ample, now);
     requests.scheduleRetry("r-7-1", now);
     EXPECT_TRUE(requests.takeDue(ample, now + 1999ms).empty());
-    EXPECT_EQ(described(requests.takeDue(ample, now + 2s)), Names{"r-7-1*3"});
-    requests.scheduleRetry("r-7-9", now);  // no such request: ignored
+    EXPECT_EQ(describe(requests.takeDue(ample, now + 2s)), Names{"r-7-1*3"});
+    requests.scheduleRetry("r-7-9", now);  // unknown names are ignored
     EXPECT_EQ(pending(requests), Names{"r-7-1*3"});
 }
 
@@ -126,9 +127,9 @@
     requests.takeDue(ample, now);
     const auto completed = requests.complete("r-7-1");
     ASSERT_TRUE(completed);
-    EXPECT_EQ(described({*completed}), Names{"r-7-1*3"});
+    EXPECT_EQ(describe({*completed}), Names{"r-7-1*3"});
     EXPECT_EQ(coordination::offeringOf(*completed), kOnDemand);
-    EXPECT_FALSE(requests.complete("r-7-1"));  // a second answer
+    EXPECT_FALSE(requests.complete("r-7-1"));  // a duplicate answer
     requests.enqueue(kOnDemand, 3, now);
     EXPECT_EQ(pending(requests), Names{"r-7-2*3"});
 }
@@ -137,7 +138,7 @@
     requests.enqueue(kOnDemand, 1, now);
     requests.enqueue(kOnDemand, 2, now);
     requests.takeDue(ample, now);
-    requests.scheduleRetry("r-7-2", now);  // of unknown outcome: the cloud may have carried it out
+    requests.scheduleRetry("r-7-2", now);  // outcome unknown: the cloud may have carried it out
     requests.enqueue(kOnDemand, 3, now);
     requests.enqueue(kSpot, 4, now);
     requests.cancelUnsent(kOnDemand);
@@ -147,9 +148,9 @@
 TEST_F(InstanceRequestQueueTest, BudgetLimitsRequestsOldestFirst) {
     storage::TokenBucket two(2, now);
     for (std::uint32_t count = 1; count <= 5; ++count) requests.enqueue(kOnDemand, count, now);
-    EXPECT_EQ(described(requests.takeDue(two, now)), (Names{"r-7-1*1", "r-7-2*2"}));
+    EXPECT_EQ(describe(requests.takeDue(two, now)), (Names{"r-7-1*1", "r-7-2*2"}));
     EXPECT_TRUE(requests.takeDue(two, now).empty());
-    EXPECT_EQ(described(requests.takeDue(two, now + 1s)), (Names{"r-7-3*3", "r-7-4*4"}));
+    EXPECT_EQ(describe(requests.takeDue(two, now + 1s)), (Names{"r-7-3*3", "r-7-4*4"}));
 }
 
 }  // namespace burlpoint::tests
--- a/tests/workers/failure_detector_test.cpp
+++ b/tests/workers/failure_detector_test.cpp
@@ -16,8 +16,8 @@
 
 struct FailureDetectorTest : testing::Test {
     FailureDetectorTest() {
-        settings.heartbeatInterval = Seconds(2);  // suspected after 4.5 s
-        settings.workerLease = Seconds(30);       // failed after 12 s
+        settings.heartbeatInterval = Seconds(2);  // a machine is suspected after 4.5 s
+        settings.workerLease = Seconds(30);       // a machine has failed after 12 s
         settings.peers.resize(2);                 // three controllers
     }
 
@@ -28,21 +28,21 @@
     std::uint64_t fencingToken = 5;
     std::optional<FailureDetector> created;
 
-    /// Created on first use, so that a test can choose the fencing token before.
+    /// The detector is created on first use, so that a test can set the fencing token before.
     FailureDetector& detector() {
         if (!created) created.emplace(settings, fleet, fencingToken, began, 31s);
         return *created;
     }
-    /// Its last heartbeat came now.
-    Machine& sendingHeartbeats(const std::string& id) {
+    /// Adds a reconciled machine whose last heartbeat arrived at `now`.
+    Machine& addSendingMachine(const std::string& id) {
         auto& machine = fleet.add(id, now);
         machine.registry.reconciled = true;
         machine.lease.active = true;
         machine.lease.lastHeartbeat = now;
         return machine;
     }
-    /// An earlier leader's tasks may be on it.
-    Machine& unreconciled(const std::string& id) {
+    /// Adds a machine that may hold tasks of an earlier leader.
+    Machine& addUnreconciledMachine(const std::string& id) {
         auto& machine = fleet.add(id, now);
         machine.registry.reconciled = false;
         machine.lease.lastHeartbeat = began;
@@ -64,16 +64,16 @@
 }
 
 TEST_F(FailureDetectorTest, MachineSuspectedThenOnlyItIsProbed) {
-    auto& suspected = sendingHeartbeats("suspected");
+    auto& suspected = addSendingMachine("suspected");
     now += 4600ms;
-    sendingHeartbeats("alive");
+    addSendingMachine("alive");
     EXPECT_EQ(findings().toProbe, Machines{&suspected});
     suspected.agent.probing = true;
-    EXPECT_TRUE(findings().toProbe.empty()) << "one probe at a time";
+    EXPECT_TRUE(findings().toProbe.empty()) << "only one probe is in flight per machine";
 }
 
 TEST_F(FailureDetectorTest, LeadershipBeginsThenProbesWaitForHeartbeats) {
-    auto& machine = unreconciled("m1");
+    auto& machine = addUnreconciledMachine("m1");
     now = began + 1500ms;
     EXPECT_TRUE(findings().toProbe.empty());
     now = began + 1501ms;
@@ -81,29 +81,29 @@
 }
 
 TEST_F(FailureDetectorTest, MachineAnswersNoProbeThenItHasFailed) {
-    auto& machine = unreconciled("m1");
+    auto& machine = addUnreconciledMachine("m1");
     now = began + 12s;
     EXPECT_TRUE(findings().failedMachines.empty());
     now = began + 12001ms;
     EXPECT_EQ(findings().failedMachines, Machines{&machine});
     machine.agent.probedAt = now - 1s;
-    EXPECT_TRUE(findings().failedMachines.empty()) << "it answers";
+    EXPECT_TRUE(findings().failedMachines.empty()) << "it has answered a probe";
     machine.agent.probedAt = {};
     machine.cloud.deletionRequested = true;
     EXPECT_TRUE(findings().failedMachines.empty()) << "its deletion was requested before";
 }
 
 TEST_F(FailureDetectorTest, SuspectedMachineWithoutTasksThenItIsOnlyProbed) {
-    sendingHeartbeats("m1");
+    addSendingMachine("m1");
     now += 20s;
     const auto found = findings();
     EXPECT_EQ(found.toProbe.size(), 1u);
     EXPECT_TRUE(found.failedMachines.empty());
 }
 
-// Heartbeats of such a machine arrive, but it does not receive what it is sent.
+// An unreachable machine sends heartbeats, but does not receive the responses and commands sent to it.
 TEST_F(FailureDetectorTest, UnreachableMachineSendsHeartbeatsThenItIsSuspectedAndFails) {
-    auto& unreachable = sendingHeartbeats("unreachable");
+    auto& unreachable = addSendingMachine("unreachable");
     unreachable.agent.unreachableSince = now;
     now += 13s;
     unreachable.lease.lastHeartbeat = now;
@@ -113,39 +113,39 @@
 }
 
 TEST_F(FailureDetectorTest, ManyMachinesSuspectedThenNoneHasFailed) {
-    for (const auto* id : {"m1", "m2", "m3"}) unreconciled(id);
+    for (const auto* id : {"m1", "m2", "m3"}) addUnreconciledMachine(id);
     now = began + 13s;
-    for (int i = 0; i < 8; ++i) sendingHeartbeats("up" + std::to_string(i));
+    for (int i = 0; i < 8; ++i) addSendingMachine("up" + std::to_string(i));
     EXPECT_TRUE(findings().failedMachines.empty()) << "three of eleven";
-    sendingHeartbeats("up8");
+    addSendingMachine("up8");
     EXPECT_EQ(findings().failedMachines.size(), 3u) << "three of twelve";
 }
 
 TEST_F(FailureDetectorTest, LeaseExpiresThenItIsFoundUntilCleared) {
-    auto& machine = sendingHeartbeats("m1");
+    auto& machine = addSendingMachine("m1");
     machine.lease.until = now + 30s;
     now += 30s;
     EXPECT_TRUE(detector().takeCensus(now).expired.empty());
     now += 1ms;
     EXPECT_EQ(detector().takeCensus(now).expired, Machines{&machine});
-    machine.lease.active = false;  // as the leader clears it
+    machine.lease.active = false;  // as the leader does for an expired lease
     EXPECT_TRUE(detector().takeCensus(now).expired.empty());
 }
 
 TEST_F(FailureDetectorTest, NoWorkerReachesTheLeaderThenItIsIsolated) {
-    unreconciled("m1");
-    unreconciled("m2");
-    now = began + 10500ms;  // the suspicion timeout of 4.5 s and 6 s
+    addUnreconciledMachine("m1");
+    addUnreconciledMachine("m2");
+    now = began + 10500ms;  // the suspicion timeout of 4.5 s plus 6 s
     EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
     EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
 }
 
 TEST_F(FailureDetectorTest, LeaderStaysWithoutWorkersThenItIsIsolatedAfterTheLeases) {
-    fencingToken = 8;  // one leadership in four stays, with three controllers
-    unreconciled("m1");
-    unreconciled("m2");
-    now = began + 51s;  // the leases and 20 s
+    fencingToken = 8;  // with three controllers, one leadership in four stays: 8 is a multiple of 4
+    addUnreconciledMachine("m1");
+    addUnreconciledMachine("m2");
+    now = began + 51s;  // the lease bound of 31 s plus 20 s
     EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
     EXPECT_EQ(findings().isolation, Isolation::neverReached);
@@ -155,16 +155,16 @@
 
 TEST_F(FailureDetectorTest, LeaderLosesItsWorkersThenItDoesNotStay) {
     fencingToken = 8;
-    sendingHeartbeats("m1");
-    sendingHeartbeats("m2");
+    addSendingMachine("m1");
+    addSendingMachine("m2");
     detector().noteHeartbeat(now);
     now += 10501ms;
     EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
 }
 
 TEST_F(FailureDetectorTest, ControllerWasSuspendedThenNoMachineIsSuspected) {
-    auto& first = sendingHeartbeats("m1");
-    sendingHeartbeats("m2");
+    auto& first = addSendingMachine("m1");
+    addSendingMachine("m2");
     detector().noteHeartbeat(now);
     detector().noteTick(now);
     now += 20s;
--- a/tests/workers/heartbeat_reconciler_test.cpp
+++ b/tests/workers/heartbeat_reconciler_test.cpp
@@ -22,15 +22,15 @@
 
 class HeartbeatReconcilerTest : public PlacementFixture {
   protected:
-    /// A status of the machine's current incarnation, newer than those before.
-    Heartbeat status(const Machine& from, std::vector<TaskStatus> tasks = {}) const {
-        return {from.id,
-                from.id,
-                from.type,
-                from.zone,
-                from.spot,
-                from.agent.incarnation,
-                from.agent.sequence + 1,
+    /// A status of the machine's current incarnation, newer than all previous ones.
+    Heartbeat status(const Machine& sender, std::vector<TaskStatus> tasks = {}) const {
+        return {sender.id,
+                sender.id,
+                sender.type,
+                sender.zone,
+                sender.spot,
+                sender.agent.incarnation,
+                sender.agent.sequence + 1,
                 kToken,
                 {},
                 std::move(tasks)};
@@ -39,13 +39,13 @@
                            ExitReason why = ExitReason::none) {
         return {{placement.job->spec.id, placement.task, placement.attempt}, state, why, false};
     }
-    void apply(Machine& from, const Heartbeat& heartbeat, StatusSource source = StatusSource::heartbeat) {
+    void apply(Machine& sender, const Heartbeat& heartbeat, StatusSource source = StatusSource::heartbeat) {
         now += 1s;
-        reconciler.apply(from, heartbeat, source, now);
+        reconciler.apply(sender, heartbeat, source, now);
     }
-    bookkeeping::Placement& sent(Machine& on, Job& job, std::uint32_t number) {
-        auto& placement = place(on, job, number, PlacementState::sent);
-        placement.sentSequence = on.agent.sequence;
+    bookkeeping::Placement& sent(Machine& host, Job& job, std::uint32_t number) {
+        auto& placement = place(host, job, number, PlacementState::sent);
+        placement.sentSequence = host.agent.sequence;
         return placement;
     }
 };
@@ -54,63 +54,64 @@
 
 TEST_F(HeartbeatReconcilerTest, HeartbeatWithoutASentTaskThenItsPlacementEnds) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    sent(on, job, 0);
-    apply(on, status(on));
-    EXPECT_EQ(count(on, job), 0u);
+    auto& host = machine("m1");
+    sent(host, job, 0);
+    apply(host, status(host));
+    EXPECT_EQ(count(host, job), 0u);
     EXPECT_TRUE(job.isWaiting(0));
 }
 
-// The start may still be on its way in the response to a heartbeat.
+// The start may still be in flight in the response to a heartbeat, so a command answer that lacks the task
+// does not show that the start was lost.
 TEST_F(HeartbeatReconcilerTest, CommandAnswerWithoutASentTaskThenItsPlacementStays) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    sent(on, job, 0);
-    apply(on, status(on), StatusSource::answer);
-    EXPECT_EQ(count(on, job), 1u);
+    auto& host = machine("m1");
+    sent(host, job, 0);
+    apply(host, status(host), StatusSource::answer);
+    EXPECT_EQ(count(host, job), 1u);
 }
 
 TEST_F(HeartbeatReconcilerTest, HeartbeatListsAnUnknownAttemptThenItIsAdopted) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    apply(on, status(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}}));
-    ASSERT_EQ(count(on, job), 1u);
-    EXPECT_EQ(on.placements.begin()->second.attempt, 77u);
+    auto& host = machine("m1");
+    apply(host, status(host, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}}));
+    ASSERT_EQ(count(host, job), 1u);
+    EXPECT_EQ(host.placements.begin()->second.attempt, 77u);
     EXPECT_EQ(job.run->running, 1u);
-    EXPECT_TRUE(on.hasImage("class"));
+    EXPECT_TRUE(host.hasImage("class"));
 }
 
 TEST_F(HeartbeatReconcilerTest, HeartbeatWithAnOlderTokenThenItsTasksAreNotAdopted) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    on.agent.acknowledged = false;
-    auto heartbeat = status(on, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
+    auto& host = machine("m1");
+    host.agent.acknowledged = false;
+    auto heartbeat = status(host, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}});
     heartbeat.fencingToken = kToken - 1;
-    apply(on, heartbeat);
-    EXPECT_EQ(count(on, job), 0u);
-    EXPECT_FALSE(on.agent.acknowledged);
+    apply(host, heartbeat);
+    EXPECT_EQ(count(host, job), 0u);
+    EXPECT_FALSE(host.agent.acknowledged);
 }
 
 TEST_F(HeartbeatReconcilerTest, NewIncarnationThenAllButPlannedPlacementsEnd) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    place(on, job, 0);
-    place(on, job, 1, PlacementState::planned);
-    auto heartbeat = status(on);
+    auto& host = machine("m1");
+    place(host, job, 0);
+    place(host, job, 1, PlacementState::planned);
+    auto heartbeat = status(host);
     heartbeat.incarnation = 2;
     heartbeat.sequence = 1;
-    apply(on, heartbeat);
-    EXPECT_EQ(count(on, job), 1u);  // the planned one was never sent
-    EXPECT_EQ(on.agent.incarnation, 2u);
+    apply(host, heartbeat);
+    EXPECT_EQ(count(host, job), 1u);  // the planned placement was never sent
+    EXPECT_EQ(host.agent.incarnation, 2u);
 }
 
 TEST_F(HeartbeatReconcilerTest, TasksExitThenDoneIsFinishedAndStoppedWaitsAgain) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    const auto done = task(place(on, job, 0), TaskState::exited, ExitReason::done);
-    const auto stopped = task(place(on, job, 1), TaskState::exited, ExitReason::stopped);
-    apply(on, status(on, {done, stopped}));
-    EXPECT_EQ(count(on, job), 0u);
+    auto& host = machine("m1");
+    const auto done = task(place(host, job, 0), TaskState::exited, ExitReason::done);
+    const auto stopped = task(place(host, job, 1), TaskState::exited, ExitReason::stopped);
+    apply(host, status(host, {done, stopped}));
+    EXPECT_EQ(count(host, job), 0u);
     EXPECT_TRUE(job.isFinished(0));
     EXPECT_FALSE(job.isDone(0));
     EXPECT_TRUE(job.isWaiting(1));
@@ -118,60 +119,60 @@
 
 TEST_F(HeartbeatReconcilerTest, OneGangTaskDoneThenAllAreFinished) {
     auto& job = accept(spec("wk-1", JobKind::gang));
-    auto& on = machine("m1");
-    apply(on, status(on, {task(place(on, job, 0), TaskState::exited, ExitReason::done)}));
+    auto& host = machine("m1");
+    apply(host, status(host, {task(place(host, job, 0), TaskState::exited, ExitReason::done)}));
     for (std::uint32_t each = 0; each < job.spec.tasks; ++each) EXPECT_TRUE(job.isFinished(each));
 }
 
 TEST_F(HeartbeatReconcilerTest, RunningTaskAlreadyFinishedThenItIsStopped) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    const auto running = task(place(on, job, 0), TaskState::running);
+    auto& host = machine("m1");
+    const auto running = task(place(host, job, 0), TaskState::running);
     job.finish(0);
-    apply(on, status(on, {running}));
-    EXPECT_EQ(countStopping(on), 1u);
+    apply(host, status(host, {running}));
+    EXPECT_EQ(countStopping(host), 1u);
 }
 
 TEST_F(HeartbeatReconcilerTest, RunningTaskOfACancelledJobThenItIsStoppedAtOnce) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    const auto running = task(place(on, job, 0), TaskState::running);
+    auto& host = machine("m1");
+    const auto running = task(place(host, job, 0), TaskState::running);
     job.terminalState = storage::TerminalState::cancelled;
-    apply(on, status(on, {running}));
-    EXPECT_EQ(countStopping(on), 1u);
+    apply(host, status(host, {running}));
+    EXPECT_EQ(countStopping(host), 1u);
     EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
 }
 
 TEST_F(HeartbeatReconcilerTest, StartsDoNotArriveThenTheMachineIsUnreachableUntilOneDoes) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     for (std::uint32_t i = 0; i < coordination::kMaxUndeliveredResponses; ++i) {
-        EXPECT_FALSE(on.agent.unreachableSince);
-        sent(on, job, 0);
-        apply(on, status(on));
+        EXPECT_FALSE(host.agent.unreachableSince);
+        sent(host, job, 0);
+        apply(host, status(host));
     }
-    EXPECT_TRUE(on.agent.unreachableSince);
-    apply(on, status(on, {task(sent(on, job, 0), TaskState::fetching)}));
-    EXPECT_FALSE(on.agent.unreachableSince);
+    EXPECT_TRUE(host.agent.unreachableSince);
+    apply(host, status(host, {task(sent(host, job, 0), TaskState::fetching)}));
+    EXPECT_FALSE(host.agent.unreachableSince);
 }
 
 TEST_F(HeartbeatReconcilerTest, TaskOfABegunGangLostThenTheWholeGangIsStopped) {
     auto& job = accept(spec("wk-1", JobKind::gang));
-    auto& on = machine("m1");
+    auto& host = machine("m1");
     auto& other = machine("m2");
-    for (std::uint32_t each = 0; each < 2; ++each) place(on, job, each);
+    for (std::uint32_t each = 0; each < 2; ++each) place(host, job, each);
     for (std::uint32_t each = 2; each < 4; ++each) place(other, job, each);
-    apply(on, status(on));
-    EXPECT_EQ(count(on, job), 0u);
+    apply(host, status(host));
+    EXPECT_EQ(count(host, job), 0u);
     EXPECT_EQ(countStopping(other), 2u);
-    EXPECT_EQ(other.reservation.job, &job);  // for its next attempt
+    EXPECT_EQ(other.reservation.job, &job);  // reserved for the next attempt of the gang
 }
 
 TEST_F(HeartbeatReconcilerTest, FailuresOnManyMachinesThenTheJobBacksOff) {
     auto& job = accept(spec("wk-1"));
     for (const char* id : {"m1", "m2", "m3"}) {
-        auto& on = machine(id);
-        apply(on, status(on, {task(place(on, job, 0), TaskState::exited, ExitReason::error)}));
+        auto& host = machine(id);
+        apply(host, status(host, {task(place(host, job, 0), TaskState::exited, ExitReason::error)}));
     }
     EXPECT_EQ(fleet.find("m1")->history.failedJobs.size(), 1u);
     EXPECT_EQ(fleet.find("m2")->history.failedJobs.size(), 1u);
@@ -188,25 +189,25 @@
         other.id = "wk-2";
         return other;
     }());
-    auto& on = machine("m1");
-    const auto old = task(place(on, nearlyDone, 0), TaskState::running);
+    auto& host = machine("m1");
+    const auto nearlyDoneTask = task(place(host, nearlyDone, 0), TaskState::running);
     now += 60s;
-    const auto fresh = task(place(on, begun, 0), TaskState::running);
-    auto heartbeat = status(on, {old, fresh});
+    const auto begunTask = task(place(host, begun, 0), TaskState::running);
+    auto heartbeat = status(host, {nearlyDoneTask, begunTask});
     heartbeat.interruptionNotice = Seconds(15);
-    apply(on, heartbeat);
-    EXPECT_TRUE(on.cloud.draining);
-    for (const auto& [key, placement] : on.placements) EXPECT_EQ(placement.stopping, key.job == &begun);
+    apply(host, heartbeat);
+    EXPECT_TRUE(host.cloud.draining);
+    for (const auto& [key, placement] : host.placements) EXPECT_EQ(placement.stopping, key.job == &begun);
 }
 
 TEST_F(HeartbeatReconcilerTest, LeaseExpiredThenAllPlacementsEnd) {
     auto& job = accept(spec("wk-1"));
-    auto& on = machine("m1");
-    fleet.setReconciled(on, false);
-    place(on, job, 0);
-    ends.endAll(on, now);
-    EXPECT_TRUE(on.placements.empty());
-    EXPECT_TRUE(on.registry.reconciled);
+    auto& host = machine("m1");
+    fleet.setReconciled(host, false);
+    place(host, job, 0);
+    ends.endAll(host, now);
+    EXPECT_TRUE(host.placements.empty());
+    EXPECT_TRUE(host.registry.reconciled);
     EXPECT_TRUE(job.isWaiting(0));
 }
 
@@ -247,7 +248,7 @@
     EXPECT_TRUE(tombstones.isDeleted("m1"));
     bookkeeping::Machine machine;
     machine.id = "m1";
-    tombstones.add(machine);  // it stays deleted
+    tombstones.add(machine);  // adding it again does not clear the deletion
     EXPECT_TRUE(tombstones.isDeleted("m1"));
 }
 
@@ -258,8 +259,8 @@
     machine.agent.incarnation = 2;
     machine.agent.sequence = 5;
     tombstones.add(machine);
-    bookkeeping::Machine back;
-    back.id = "m1";
-    tombstones.restoreCounters(back);
-    EXPECT_EQ(back.agent.latestVersion(), machine.agent.latestVersion());
+    bookkeeping::Machine returned;
+    returned.id = "m1";
+    tombstones.restoreCounters(returned);
+    EXPECT_EQ(returned.agent.latestVersion(), machine.agent.latestVersion());
 }
--- a/tests/workers/worker_commands_test.cpp
+++ b/tests/workers/worker_commands_test.cpp
@@ -38,14 +38,14 @@
         job.beginRun(bookkeeping::JobOrigin::accepted, Time{});
         return job;
     }
-    void list(const std::string& job, std::uint32_t task, TaskState state, ExitReason why) {
+    void addToHeartbeat(const std::string& job, std::uint32_t task, TaskState state, ExitReason why) {
         protocol::TaskStatus listed;
         listed.attempt = {job, task, 1};
         listed.state = state;
         listed.why = why;
         heartbeat.tasks.push_back(listed);
     }
-    std::vector<protocol::WorkerCommand> cleanup() {
+    std::vector<protocol::WorkerCommand> cleanupCommands() {
         std::vector<protocol::WorkerCommand> commands;
         EXPECT_EQ(coordination::addCleanupCommands(heartbeat, replica, commands),
                   coordination::CommandFit::complete);
@@ -57,22 +57,22 @@
 
 TEST_F(WorkerCommandsTest, TaskDoneThenItIsAcknowledgedOnlyOnceItsBitIsStored) {
     auto& job = accept("wk-1", TerminalState::none);
-    list("wk-1", 3, TaskState::exited, ExitReason::done);
+    addToHeartbeat("wk-1", 3, TaskState::exited, ExitReason::done);
     job.finish(3);
-    EXPECT_TRUE(cleanup().empty());
+    EXPECT_TRUE(cleanupCommands().empty());
     job.setDone(3);
-    ASSERT_EQ(cleanup().size(), 1u);
-    EXPECT_EQ(cleanup().front().kind, CommandKind::acknowledge);
+    ASSERT_EQ(cleanupCommands().size(), 1u);
+    EXPECT_EQ(cleanupCommands().front().kind, CommandKind::acknowledge);
 }
 
 TEST_F(WorkerCommandsTest, FailedOrUnknownTasksThenTheyAreAcknowledgedOrStopped) {
     accept("wk-1", TerminalState::none, 10);
-    list("wk-1", 0, TaskState::exited, ExitReason::error);
-    list("wk-1", 10, TaskState::running, ExitReason::none);  // the job has no such task
-    list("wk-2", 0, TaskState::running, ExitReason::none);
-    list("wk-2", 1, TaskState::exited, ExitReason::done);
-    list("wk-1", 1, TaskState::running, ExitReason::none);  // known and running
-    const auto commands = cleanup();
+    addToHeartbeat("wk-1", 0, TaskState::exited, ExitReason::error);
+    addToHeartbeat("wk-1", 10, TaskState::running, ExitReason::none);  // the job has no such task
+    addToHeartbeat("wk-2", 0, TaskState::running, ExitReason::none);
+    addToHeartbeat("wk-2", 1, TaskState::exited, ExitReason::done);
+    addToHeartbeat("wk-1", 1, TaskState::running, ExitReason::none);  // a known, running task gets no command
+    const auto commands = cleanupCommands();
     ASSERT_EQ(commands.size(), 4u);
     EXPECT_EQ(commands[0].kind, CommandKind::acknowledge);
     EXPECT_EQ(commands[1].kind, CommandKind::stop);
@@ -83,10 +83,10 @@
 TEST_F(WorkerCommandsTest, ListMayBeOldThenOnlyTasksOfTerminatedJobsAreStopped) {
     accept("wk-1", TerminalState::none);
     accept("wk-2", TerminalState::cancelled);
-    list("wk-1", 0, TaskState::running, ExitReason::none);
-    list("wk-3", 0, TaskState::running, ExitReason::none);
-    list("wk-2", 0, TaskState::exited, ExitReason::stopped);
-    list("wk-2", 1, TaskState::running, ExitReason::none);
+    addToHeartbeat("wk-1", 0, TaskState::running, ExitReason::none);
+    addToHeartbeat("wk-3", 0, TaskState::running, ExitReason::none);
+    addToHeartbeat("wk-2", 0, TaskState::exited, ExitReason::stopped);
+    addToHeartbeat("wk-2", 1, TaskState::running, ExitReason::none);
     const auto commands = coordination::stopsOfTerminatedJobs(heartbeat, replica);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands.front().kind, CommandKind::stop);
@@ -95,7 +95,7 @@
 
 TEST_F(WorkerCommandsTest, TooManyCommandsThenTheResponseIsTruncated) {
     for (std::uint32_t task = 0; task < 400; ++task)
-        list("unknown", task, TaskState::running, ExitReason::none);
+        addToHeartbeat("unknown", task, TaskState::running, ExitReason::none);
     std::vector<protocol::WorkerCommand> commands;
     EXPECT_EQ(coordination::addCleanupCommands(heartbeat, replica, commands),
               coordination::CommandFit::truncated);
@@ -117,6 +117,6 @@
     auto commands = coordination::stopCommands(machine);
     ASSERT_EQ(commands.size(), 1u);
     EXPECT_EQ(commands.front().attempt.task, 2u);
-    saving.grace = Seconds(0);  // its progress need not be saved any more
+    saving.grace = Seconds(0);  // a stop without grace is repeated, as progress need not be saved any longer
     EXPECT_EQ(coordination::stopCommands(machine).size(), 2u);
 }
