--- a/src/bookkeeping/bitmap_range.h
+++ b/src/bookkeeping/bitmap_range.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The values in which a job's bitmap of done tasks is stored: what each covers and its newest known version.
-// Plain values, owned by their Job.
+// The stored values that make up a job's bitmap of done tasks: the range of tasks that each covers and its
+// newest known version. Plain values, owned by their Job.
 
 #include <compare>
 #include <cstddef>
@@ -11,21 +11,21 @@
 
 namespace burlpoint::bookkeeping {
 
-/// The tasks that one stored value of a job's bitmap covers: a whole chunk, or a part of a chunk whose value
-/// would be too large for the key-value store.
+/// The range of tasks that one stored value of a job's bitmap covers: a whole chunk, or a part of a chunk if
+/// the value of the whole chunk would be too large for the key-value store.
 struct BitRange {
     std::size_t first = 0;
-    std::size_t end = 0;               // after the last task
-    std::optional<std::size_t> chunk;  // its number; none: a part
+    std::size_t end = 0;               // one past the last task
+    std::optional<std::size_t> chunk;  // the chunk's number; empty for a part of a chunk
     auto operator<=>(const BitRange&) const = default;
 };
 
-/// The newest known version of each value.
+/// The newest known version of each stored value of a job's bitmap.
 class BitRangeVersions {
   public:
-    /// 0 if no value of the range is known.
+    /// The newest known version of the range's value, 0 if no value is known.
     std::uint64_t of(const BitRange& range) const;
-    /// Does nothing if the known version is newer.
+    /// Records `version` for the range's value, unless the known version is newer.
     void raise(const BitRange& range, std::uint64_t version);
     void clear() { versions_.clear(); }
 
--- a/src/bookkeeping/fleet.cpp
+++ b/src/bookkeeping/fleet.cpp
@@ -40,13 +40,14 @@
     updateUnreconciled(machine);
 }
 
-/// Brings the machine's part in the numbers of unreconciled machines up to date.
+/// Updates whether the machine counts in the numbers of unreconciled machines.
 void Fleet::updateUnreconciled(Machine& machine) {
-    const bool counts = machine.registry.state == RegistrationState::stored && !machine.registry.reconciled;
-    if (counts == machine.registry.countedUnreconciled) return;
-    machine.registry.countedUnreconciled = counts;
+    const bool shouldCount =
+        machine.registry.state == RegistrationState::stored && !machine.registry.reconciled;
+    if (shouldCount == machine.registry.countedUnreconciled) return;
+    machine.registry.countedUnreconciled = shouldCount;
     const Offering offering{machine.type, machine.zone, machine.spot};
-    if (counts)
+    if (shouldCount)
         ++unreconciled_[offering];
     else if (const auto found = unreconciled_.find(offering); --found->second == 0)
         unreconciled_.erase(found);
@@ -62,17 +63,17 @@
     evictImages(machine, cacheGb);
 }
 
-/// Removes the least recently used images beyond `cacheGb`, but never the one in use.
+/// Evicts the least recently used images beyond `cacheGb`, but never the most recently used one.
 void Fleet::evictImages(Machine& machine, double cacheGb) {
     auto& images = machine.images;
     double total = 0;
-    auto keep = images.begin();
-    for (; keep != images.end(); ++keep) {
-        total += keep->gb;
-        if (total > cacheGb && keep != images.begin()) break;
+    auto firstEvicted = images.begin();
+    for (; firstEvicted != images.end(); ++firstEvicted) {
+        total += firstEvicted->gb;
+        if (total > cacheGb && firstEvicted != images.begin()) break;
     }
-    for (auto at = keep; at != images.end(); ++at) std::erase(byImage_[at->image], &machine);
-    images.erase(keep, images.end());
+    for (auto at = firstEvicted; at != images.end(); ++at) std::erase(byImage_[at->image], &machine);
+    images.erase(firstEvicted, images.end());
 }
 
 const std::vector<Machine*>& Fleet::withImage(const Image& image) const {
@@ -109,7 +110,7 @@
                       [&](const auto* machine) { return machine->reservation.isActive(now); }));
 }
 
-/// Adds or subtracts one task of the job in all sums of what tasks use.
+/// Adds or subtracts one task of the job in all running sums of resource use.
 void Fleet::updateUse(Machine& machine, const Job& job, UseChange direction) {
     const auto& spec = job.spec;
     const auto need = needOf(spec);
@@ -128,14 +129,14 @@
     if (direction == UseChange::subtract && machine.placements.empty()) clearUse(machine);
 }
 
-/// Sets the sums of an empty machine to zero, so that rounding errors do not remain in them.
+/// Sets the sums of a machine without placements to zero, so that rounding errors do not accumulate in them.
 void Fleet::clearUse(Machine& machine) {
     machine.use.total = {};
     machine.use.plain = {};
     machine.use.preemptible = {};
 }
 
-/// Is what the job's tasks use counted in Machine::stoppable?
+/// True if the resources of the job's tasks count in ResourceUse::preemptible.
 bool Fleet::isPreemptible(const Job& job) {
     return job.spec.kind != protocol::JobKind::service && !isLargeGang(job.spec);
 }
@@ -150,8 +151,8 @@
     placement.since = now;
     placement.runningSince = now;
     placement.seen = true;
-    const auto [at, fresh] = machine.placements.emplace(AttemptKey{&job, task, attempt}, placement);
-    if (!fresh) return at->second;
+    const auto [at, inserted] = machine.placements.emplace(AttemptKey{&job, task, attempt}, placement);
+    if (!inserted) return at->second;
     updateUse(machine, job, UseChange::add);
     job.addPlaced(task, machine.id, machine.zone);
     if (state == PlacementState::running) ++job.run->running;
--- a/src/bookkeeping/fleet.h
+++ b/src/bookkeeping/fleet.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The machines that a leader knows, the placements that may be on them, and the sums and indexes kept over
-// both. Owns the machines and their placements; jobs belong to the StateReplica and have to outlive the
+// The machines that a leader knows, the placements that may be on them, and running sums and indexes over
+// both. Owns the machines and their placements. Jobs are owned by the StateReplica and must outlive the
 // fleet. Used on the thread that owns the leader.
 
 #include <cstddef>
@@ -26,60 +26,62 @@
 
 namespace burlpoint::bookkeeping {
 
-/// Why room on a machine is reserved.
+/// How the capacity for a reservation on a machine becomes free.
 enum class ReservationKind {
     preempting,  // tasks were stopped to free it
-    waiting      // nothing was stopped: only room that becomes free by itself is kept
+    waiting      // no task was stopped: the reservation waits for tasks to end by themselves
 };
 
-/// All machines and placements of a leader. What the handling of a heartbeat asks for is kept as an index or
-/// a running sum, so that its cost does not grow with the number of machines.
+/// All machines and placements of a leader. Everything that the handling of a heartbeat looks up is
+/// maintained as an index or a running sum, so that the cost of a heartbeat does not grow with the number of
+/// machines.
 class Fleet {
   public:
     std::map<std::string, std::unique_ptr<Machine>>& machines() { return machines_; }
     const std::map<std::string, std::unique_ptr<Machine>>& machines() const { return machines_; }
     /// Null if there is no such machine.
     Machine* find(const std::string& id);
-    /// The machine of that id, a new one if there is none.
+    /// Returns the machine with that id, and adds it first if there is none.
     Machine& add(const std::string& id, Time now);
     /// Removes the machine, which must have no placements.
     void erase(const std::string& id);
 
-    /// Adds a placement, unless the attempt is on the machine already. Returns that of the attempt. The job
-    /// must have a run.
+    /// Adds a placement, unless the attempt is on the machine already. Returns the attempt's placement. The
+    /// job must have a run.
     Placement& place(Machine& machine, Job& job, std::uint32_t task, std::uint64_t attempt,
                      PlacementState state, Time now);
-    /// Removes a placement, once it is certain that the attempt is not on the machine. Returns the next one.
+    /// Removes a placement. Must only be called once it is certain that the attempt is not on the machine.
+    /// Returns the next placement.
     std::map<AttemptKey, Placement>::iterator remove(Machine& machine,
                                                      std::map<AttemptKey, Placement>::iterator at);
     /// Removes all placements of the machine and calls `removed` after each.
     void removeAll(Machine& machine, const std::function<void(const Placement&)>& removed);
     void setState(Placement& placement, PlacementState state, Time now);
 
-    /// What the team's tasks use on all machines.
+    /// The resources that the team's tasks use on all machines.
     Resources teamUse(const std::string& team) const;
     /// All placements of the job's tasks, with their machines.
     std::vector<std::pair<Machine*, Placement*>> placementsOf(const Job& job);
 
-    /// Sets the priority of the job's run and moves what its tasks use to it.
+    /// Sets the priority of the job's run and accounts the resources of its tasks under that priority.
     void setPriority(Job& job, protocol::Priority priority);
 
     void setReconciled(Machine& machine, bool reconciled);
     void setRegistration(Machine& machine, RegistrationState registration);
-    /// How many registered machines of each offering may hold tasks of an earlier leader.
+    /// The number of registered machines, by offering, on which tasks of an earlier leader may still run.
     const std::map<Offering, std::uint32_t>& unreconciled() const { return unreconciled_; }
 
-    /// The machine used the image: it becomes the most recently used in its cache, and the least recently
-    /// used beyond `cacheGb` are evicted.
+    /// Records that the machine used the image: makes it the most recently used one in the machine's cache,
+    /// and evicts the least recently used images while the cache exceeds `cacheGb`.
     void useImage(Machine& machine, const Image& image, double gb, double cacheGb);
     /// The machines that have the image in their cache.
     const std::vector<Machine*>& withImage(const Image& image) const;
 
-    /// Reserves room on the machine for `tasks` of the job's tasks, in place of an earlier reservation.
+    /// Reserves capacity on the machine for `tasks` of the job's tasks. Replaces an earlier reservation.
     void reserve(Machine& machine, const Job& job, Time until,
                  ReservationKind kind = ReservationKind::preempting, std::uint32_t tasks = 1);
     void cancelReservation(Machine& machine);
-    /// The number of machines that are reserved for the job now.
+    /// The number of machines with a reservation for the job that has not expired at `now`.
     std::size_t reservations(const Job& job, Time now) const;
 
   private:
--- a/src/bookkeeping/heartbeat_version.h
+++ b/src/bookkeeping/heartbeat_version.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The order of a worker's messages, by which late and duplicated ones are recognised. Plain values.
+// The order of a worker's messages, by which late and duplicate messages are recognised. Plain values.
 
 #include <compare>
 #include <cstdint>
@@ -9,10 +9,11 @@
 
 namespace burlpoint::bookkeeping {
 
-/// Of two versions of the same worker, the lesser was sent first.
+/// The position of a message in the order in which a worker sent its messages. Of two messages of the same
+/// worker, the one with the lesser version was sent first.
 struct HeartbeatVersion {
-    std::uint64_t incarnation = 0;  // rises with each start of the worker
-    std::uint64_t sequence = 0;     // rises with each message of an incarnation
+    std::uint64_t incarnation = 0;  // increases with each start of the worker
+    std::uint64_t sequence = 0;     // increases with each message of an incarnation
     auto operator<=>(const HeartbeatVersion&) const = default;
 };
 
--- a/src/bookkeeping/image.h
+++ b/src/bookkeeping/image.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Names of task images and the images in a machine's cache. Owns one copy of each name for the life of the
-// process. Used only on the thread that owns the process's state, as the names are not guarded by a lock.
+// Interned names of task images, and the images in a machine's cache. Owns one copy of each name until the
+// process ends. Used only on the thread that owns the process's state, as the names are not guarded by a
+// lock.
 
 #include <cstddef>
 #include <functional>
@@ -9,7 +10,7 @@
 
 namespace burlpoint::bookkeeping {
 
-/// A task image, by its name. Images are compared and hashed by the address of the one copy of their name,
+/// A task image, identified by its interned name. Images are compared and hashed by the address of that name,
 /// because each heartbeat compares the images of a machine with those of all waiting jobs.
 class Image {
   public:
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The bytes of `bits` bits as JSON: four to a hexadecimal digit, in quotes.
+/// The size in bytes of `bits` bits as a JSON string of hexadecimal digits, with its quotes.
 std::size_t encodedBytes(std::size_t bits) { return (bits + 3) / 4 + 2; }
 
 }  // namespace
--- a/src/bookkeeping/job_dependencies.cpp
+++ b/src/bookkeeping/job_dependencies.cpp
@@ -18,7 +18,7 @@
     return static_cast<std::uint64_t>(time.count() * kPerSecond);
 }
 
-/// When the job is due by its own deadline, if it has one.
+/// The wall-clock time at which the job is due by its own deadline, if it has one.
 std::optional<std::uint64_t> ownDueAtMs(const Job& job) {
     if (!job.spec.deadline) return std::nullopt;
     return job.acceptedMs + milliseconds(*job.spec.deadline);
@@ -72,7 +72,8 @@
     dependents_.erase(job.spec.id);
 }
 
-/// Goes along the dependents without recursion, as chains of dependencies may be long.
+/// Cancels all direct and indirect dependents of the job. Iterative, as chains of dependencies may be so long
+/// that recursion would overflow the stack.
 void JobDependencies::cancelDependents(Job& job, std::vector<Change>& changes) {
     std::vector<Job*> cancelled{&job};
     while (!cancelled.empty()) {
@@ -99,7 +100,8 @@
     job.cancelledByDependency = true;
 }
 
-/// To be called when the job, or its priority, no longer counts for its dependencies as it did.
+/// Marks the priorities of the job's dependencies for an update. Must be called when the job ends, or its
+/// effective priority or due time changes.
 void JobDependencies::markDependenciesStale(const Job& job) {
     for (const auto& id : job.spec.dependencies)
         if (auto* dependency = jobs_.find(id); dependency && isOpen(*dependency))
@@ -133,14 +135,14 @@
     return found == dependents_.end() ? kNone : found->second;
 }
 
-/// When the job is due so that its own deadline can be met and those of its dependents, less the time that
-/// these take after it.
+/// The wall-clock time by which the job should be done: the earliest of its own deadline and of the due times
+/// of its dependents, each less the dependent's estimated run time.
 std::optional<std::uint64_t> JobDependencies::dueAtMs(const Job& job, const std::vector<Job*>& dependents) {
     auto due = ownDueAtMs(job);
     for (const auto* dependent : dependents) {
         if (!isOpen(*dependent) || !dependent->dueAtMs) continue;
-        const auto work = std::min(milliseconds(dependent->spec.estimatedRunTime), *dependent->dueAtMs);
-        due = std::min(due.value_or(*dependent->dueAtMs), *dependent->dueAtMs - work);
+        const auto runTime = std::min(milliseconds(dependent->spec.estimatedRunTime), *dependent->dueAtMs);
+        due = std::min(due.value_or(*dependent->dueAtMs), *dependent->dueAtMs - runTime);
     }
     return due;
 }
--- a/src/bookkeeping/job_dependencies.h
+++ b/src/bookkeeping/job_dependencies.h
@@ -2,8 +2,8 @@
 
 // Job dependencies: which jobs are ready, which are cancelled with a dependency, and which priority and due
 // time a job inherits from its dependents. All of it is derived from the stored records, so each controller
-// works it out for itself and nothing of it is stored. Owns which open jobs depend on which others; the
-// results are in the jobs. Used on the thread that owns the StateReplica.
+// computes it for itself and none of it is stored. Owns the index of the open jobs that depend on each job.
+// The results are kept in the jobs. Used on the thread that owns the StateReplica.
 
 #include <cstdint>
 #include <optional>
@@ -20,21 +20,23 @@
 
 class JobDependencies {
   public:
-    /// The table is kept by reference and has to outlive this.
+    /// `jobs` must outlive this.
     explicit JobDependencies(JobTable& jobs);
 
-    /// Takes in an open job that was not known before. It is cancelled if one of its dependencies is. Records
-    /// may be read in any order, so its dependencies may be unknown and its dependents known.
+    /// Adds an open job that was not known before. Cancels it if one of its dependencies is cancelled.
+    /// Records may be read in any order, so its dependencies may not be known yet and its dependents may be
+    /// known.
     void add(Job& job, std::vector<Change>& changes);
-    /// An open job has been terminated by its own record. If it is done, its dependents may become ready;
-    /// if not, all that depend on it, directly or not, are cancelled with it.
+    /// Handles the termination of an open job by its own record. If the job is done, its dependents may
+    /// become ready. If it is cancelled, all jobs that depend on it, directly or indirectly, are cancelled
+    /// with it.
     void noteTerminated(Job& job, std::vector<Change>& changes);
-    /// Brings the effective priorities and due times of all jobs up to date.
+    /// Updates the effective priorities and due times of all jobs.
     void updateEffectivePriorities();
 
   private:
-    /// Jobs are accepted after their dependencies, so in this order each job is updated once, after all its
-    /// dependents.
+    /// Orders jobs by descending revision of acceptance. Jobs are accepted after their dependencies, so in
+    /// this order each job is updated once, after all its dependents.
     struct NewestFirst {
         bool operator()(const Job* a, const Job* b) const;
     };
@@ -47,9 +49,9 @@
     static std::optional<std::uint64_t> dueAtMs(const Job& job, const std::vector<Job*>& dependents);
 
     JobTable& jobs_;
-    /// By the id of a job that is not done, which may be unknown.
+    /// The jobs that depend on a job, by that job's id. The job is not done, and may not be known yet.
     std::unordered_map<std::string, std::vector<Job*>> dependents_;
-    /// Open jobs whose effective priority may have changed.
+    /// Open jobs whose effective priority or due time may be outdated.
     std::set<Job*, NewestFirst> stalePriorities_;
 };
 
--- a/src/bookkeeping/job_table.h
+++ b/src/bookkeeping/job_table.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// All jobs that this controller knows, and which of them are open. Owns the jobs; none is ever removed, so
+// All jobs that this controller knows, and which of them are open. Owns the jobs. Jobs are never removed, so
 // references to them stay valid. Used on the thread that owns the StateReplica.
 
 #include <cstdint>
@@ -24,11 +24,11 @@
     /// The open jobs in order of arrival.
     std::vector<Job*> openJobs() const;
 
-    /// Adds a job whose id is not in the table. `revision` is the one at which its record was first seen. The
-    /// job is not among the open ones yet.
+    /// Adds a job whose id is not in the table. `revision` is that at which its record was first read. The
+    /// job does not count as open until markOpen().
     Job& add(protocol::JobSpec spec, std::uint64_t revision);
     void markOpen(Job& job) { open_.insert(&job); }
-    /// Sets the job's terminal state and drops what only open jobs need.
+    /// Sets the job's terminal state and discards the state that only open jobs need.
     void terminate(Job& job, storage::TerminalState terminalState, std::uint32_t doneCount);
 
   private:
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// A machine as the leader knows it: its worker's messages and lease, its placements and what they add up to,
-// its image cache and its failures. Machines are owned by the Fleet, which keeps indexes over some of the
-// fields; these are changed through its functions only.
+// A machine as the leader knows it: its worker's messages and lease, its placements and the sum of the
+// resources that they use, its image cache and its failures. Machines are owned by the Fleet, which maintains
+// indexes over some of the fields. These fields must only be changed through the Fleet's functions.
 
 #include <array>
 #include <cstddef>
@@ -25,97 +25,99 @@
 
 /// The number of values of protocol::Priority.
 inline constexpr std::size_t kPriorities = 4;
-/// The place in Machine::plainUse after the priorities, for service replicas of any priority.
+/// The index in ResourceUse::plain, after those of the priorities, for service replicas of any priority.
 inline constexpr std::size_t kReplicaUse = kPriorities;
 
-/// Is the machine's entry in the stored machine registry?
+/// Whether the machine's entry is in the stored machine registry.
 enum class RegistrationState { absent, writing, stored };
 
-/// What the worker's agent has shown by its messages, and what this leader concludes from them about reaching
-/// it. Written by the reconciliation of heartbeats and by the modules that send commands and take their
-/// answers.
+/// What the messages of the worker's agent have shown, and what this leader concludes from them about whether
+/// the worker can be reached. Written by the reconciliation of heartbeats and by the modules that send
+/// commands and handle the responses to them.
 struct AgentState {
     std::uint64_t incarnation = 0;  // of the newest message
     std::uint64_t sequence = 0;     // of the newest message
     Time lastMessageAt{};           // when the newest message arrived
-    /// It showed this leader's fencing token: nothing that an earlier leader sent can start any more, and its
-    /// list of tasks is complete.
+    /// The worker has reported this leader's fencing token: no command of an earlier leader can start a task
+    /// any more, and the worker's list of tasks is complete.
     bool acknowledged = false;
-    /// Consecutive responses that did not reach the worker, as its next heartbeat showed.
+    /// Number of consecutive responses that did not reach the worker, as its next heartbeats showed.
     std::uint32_t undeliveredResponses = 0;
-    /// Consecutive heartbeats that were older than the newest message.
+    /// Number of consecutive heartbeats that were older than the newest message.
     std::uint32_t staleHeartbeats = 0;
-    /// The worker's counters began anew, so late copies can't be told from new messages: none of them is
-    /// believed any more, and the machine is replaced.
+    /// The worker's message counters restarted, so delayed copies cannot be told from new messages. All its
+    /// messages are ignored, and the machine is replaced.
     bool quarantined = false;
-    std::optional<Time> unreachableSince;  // neither responses nor commands seem to reach it
-    bool probing = false;                  // a probe is under way
+    std::optional<Time> unreachableSince;  // since when neither responses nor commands seem to reach it
+    bool probing = false;                  // a probe is in progress
     Time probedAt{};                       // when a probe was last answered
 
     HeartbeatVersion latestVersion() const { return {incarnation, sequence}; }
 };
 
-/// The worker's lease as the leader must count it. Written by the modules that answer heartbeats and find
+/// The worker's lease as the leader must assume it. Written by the modules that answer heartbeats and detect
 /// expired leases.
 struct WorkerLease {
     bool active = false;  // a heartbeat was answered, and the lease has not expired since
     Time lastHeartbeat{};
-    Time until = Time::max();  // by then the worker has dropped its tasks unless the lease is renewed
+    Time until = Time::max();  // by then the worker has stopped its tasks unless the lease is renewed
 };
 
-/// The machine as the cloud has it. Written by the modules that handle the cloud's lists, interruption
-/// notices and deletions.
+/// The state of the machine in the cloud. Written by the modules that handle the cloud's lists of machines,
+/// interruption notices and deletions.
 struct CloudState {
-    Time firstSeenAt{};                  // requested from the cloud, or first listed or heard from
-    std::optional<Time> interruptionAt;  // when the cloud takes the spot machine back
-    bool draining = false;               // takes no more tasks
+    Time firstSeenAt{};                  // when it was requested, or first listed or heard from
+    std::optional<Time> interruptionAt;  // when the cloud reclaims the spot machine
+    bool draining = false;               // no more tasks are started on it
     bool deletionRequested = false;
-    bool failed = false;  // it stopped by itself, as the cloud lists it
+    bool failed = false;  // the cloud lists it as stopped by itself
 };
 
-/// What became of the tasks started on the machine. Written where tasks start and end.
+/// The history of the tasks on the machine. Written where tasks start and end.
 struct TaskHistory {
     Time lastBusyAt{};                 // when it last had a task
-    Time startBackoffUntil{};          // no task starts before, as the worker refused one
+    Time startBackoffUntil{};          // no task is started before this time, as the worker refused one
     std::set<std::string> failedJobs;  // jobs whose tasks failed on it since a task last succeeded
 };
 
-/// Room that is kept for one job. Written by Fleet::reserve and Fleet::cancelReservation only.
+/// Capacity that is reserved for one job. Written by Fleet::reserve and Fleet::cancelReservation only.
 struct MachineReservation {
-    const Job* job = nullptr;  // null: none
+    const Job* job = nullptr;  // null if there is no reservation
     Time until{};
-    bool withoutPreemption = false;  // only room that becomes free by itself is kept
-    std::uint32_t tasks = 1;         // for which room is kept
+    bool withoutPreemption = false;  // no task is stopped for it: it waits for tasks to end by themselves
+    std::uint32_t tasks = 1;         // number of tasks for which capacity is reserved
 
     bool isActive(Time now) const { return job && until > now; }
 };
 
-/// Sums over the machine's placements. Written by the Fleet only.
+/// Sums of the resources that the machine's placements use. Written by the Fleet only.
 struct ResourceUse {
     Resources total;
-    /// Of tasks without accelerators, by priority; at kReplicaUse that of service replicas.
+    /// Use by tasks without accelerators, by priority. Use by service replicas is at the index kReplicaUse.
     std::array<Resources, kPriorities + 1> plain;
-    /// Of tasks that may be preempted, by priority: neither service replicas nor tasks of larger gangs.
+    /// Use by tasks that may be preempted, by priority. Service replicas and tasks of gangs of at least two
+    /// tasks may not.
     std::array<Resources, kPriorities> preemptible;
 };
 
-/// Whether the next leader knows of the machine. Written by Fleet::setRegistration and Fleet::setReconciled
-/// only.
+/// The machine's entry in the registry from which the next leader will know it, and whether it has been
+/// reconciled with this leader. Written by Fleet::setRegistration and Fleet::setReconciled only.
 struct RegistryStatus {
     RegistrationState state = RegistrationState::absent;
-    /// No task of an earlier leader can be on it: it was heard, or its lease has expired.
+    /// No task of an earlier leader that is unknown to this one can be on it: it has sent a heartbeat, or its
+    /// lease has expired.
     bool reconciled = false;
-    bool countedUnreconciled = false;  // among Fleet::unreconciled
+    bool countedUnreconciled = false;  // it is counted in Fleet::unreconciled
 };
 
-/// A machine and what this leader knows of it and of its worker, grouped by who writes it.
+/// A machine and what this leader knows of it and of its worker, grouped by the modules that write it.
 struct Machine {
     std::string id;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    const protocol::MachineType* typeInfo = nullptr;  // its type's description, once that is known
+    const protocol::MachineType* typeInfo = nullptr;  // null until its type's description is known
 
     AgentState agent;
     WorkerLease lease;
@@ -125,13 +127,13 @@
     RegistryStatus registry;
     MachineReservation reservation;
     ResourceUse use;
-    /// Attempts that may be on the machine. Added and removed by the Fleet only.
+    /// The attempts that may be on the machine. Added and removed by the Fleet only.
     std::map<AttemptKey, Placement> placements;
-    /// The inferred image cache, most recently used first. Changed by Fleet::useImage only.
+    /// The presumed content of its image cache, most recently used first. Changed by Fleet::useImage only.
     std::vector<CachedImage> images;
 
     bool hasImage(const Image& image) const;
-    /// Does a task on the machine fetch the image, or will it as soon as its start arrives?
+    /// True if a task on the machine fetches the image, or will do so as soon as its start command arrives.
     bool isFetching(const Image& image) const;
 };
 
--- a/src/bookkeeping/machine_status.h
+++ b/src/bookkeeping/machine_status.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What is known of a machine's past from the records of all leaders: whether it was ever up, whether it is
-// faulty. Pure functions.
+// Conclusions from a machine's history under this and earlier leaders: whether it was ever up, and whether it
+// is faulty. Pure functions.
 
 #include <cstddef>
 #include <string>
@@ -11,23 +11,23 @@
 
 namespace burlpoint::bookkeeping {
 
-/// May an earlier leader have started a task on the machine? No task is started on a machine before it has
-/// sent a heartbeat, and until then its entry in the machine registry has no address.
+/// True if an earlier leader may have started a task on the machine. No task is started on a machine before
+/// it has sent a heartbeat, and until then its entry in the machine registry has no address.
 inline bool mayHoldTasks(const StateReplica& replica, const std::string& machine) {
     const auto stored = replica.registeredMachines.find(machine);
     return stored != replica.registeredMachines.end() && !stored->second.record.address.empty();
 }
 
-/// Has the machine sent a heartbeat, to this or an earlier leader? If so and it sends none any more, it is
-/// not booting but lost.
+/// True if the machine has sent a heartbeat to this or an earlier leader. If such a machine sends none any
+/// more, it is not booting but lost.
 inline bool wasUp(const Machine& machine, const StateReplica& replica) {
     return machine.agent.incarnation > 0 || mayHoldTasks(replica, machine.id);
 }
 
-/// Have tasks of several jobs failed on the machine since one was last done? Then the machine is the likely
-/// cause.
+/// True if tasks of several jobs have failed on the machine since a task last succeeded on it. Then the
+/// machine is the likely cause.
 inline bool isFaulty(const Machine& machine) {
-    constexpr std::size_t kFaultyAfter = 2;  // jobs; one alone may be at fault itself
+    constexpr std::size_t kFaultyAfter = 2;  // jobs; a single one may itself be the cause
     return machine.history.failedJobs.size() >= kFaultyAfter;
 }
 
--- a/src/bookkeeping/machine_types.h
+++ b/src/bookkeeping/machine_types.h
@@ -13,10 +13,10 @@
 /// The cloud's machine types by name.
 using MachineTypes = std::map<std::string, protocol::MachineType>;
 
-/// Null if the cloud has not listed a type of that name so far.
+/// Null if the cloud has not listed a type of that name.
 const protocol::MachineType* findType(const MachineTypes& types, const std::string& name);
 
-/// Does the job's owner allow it on such a machine? Whether the machine is large enough is not checked.
+/// True if the job's owner allows it on such a machine. Does not check whether the machine is large enough.
 bool ownerAllows(const protocol::JobSpec& spec, const std::string& type, const std::string& zone, bool spot);
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/offering.h
+++ b/src/bookkeeping/offering.h
@@ -7,7 +7,7 @@
 
 namespace burlpoint::bookkeeping {
 
-/// What the cloud offers at one price: a machine type in a zone, as a spot machine or not.
+/// What the cloud offers at one price: a machine type in a zone, as a spot or an on-demand machine.
 struct Offering {
     std::string type;
     std::string zone;
--- a/src/bookkeeping/placement.h
+++ b/src/bookkeeping/placement.h
@@ -12,32 +12,32 @@
 
 namespace burlpoint::bookkeeping {
 
-/// How far an attempt has come, as far as the leader knows.
+/// The progress of an attempt, as far as the leader knows.
 enum class PlacementState {
-    planned,  // room is kept for it, nothing has been sent
-    sent,     // the start left in a heartbeat response; no status of the worker has shown it yet
+    planned,  // capacity is reserved for it, and no start command has been sent
+    sent,     // the start command was sent in a heartbeat response, and no status has listed the attempt yet
     fetching,
     waiting,
     running,
     saving
 };
 
-/// One attempt that may be on a machine.
+/// One attempt of a task that may be on a machine.
 struct Placement {
     Job* job = nullptr;
     std::uint32_t task = 0;
     std::uint64_t attempt = 0;
     PlacementState state = PlacementState::planned;
-    std::uint64_t sentSequence = 0;  // of the heartbeat whose response carried the start
+    std::uint64_t sentSequence = 0;  // of the heartbeat whose response contained the start command
     Time since{};                    // when it entered its state
     Time runningSince{};
     bool stopping = false;
-    Seconds grace{0};   // while stopping: the time to save in
-    bool seen = false;  // listed by the status that is being reconciled
+    Seconds grace{0};   // while stopping: the time it has to save its state
+    bool seen = false;  // the status that is being reconciled lists it
 };
 
 /// The key of an attempt among the placements of a machine. Ordered by the job's id, so that decisions do not
-/// depend on where jobs lie in memory.
+/// depend on the addresses of jobs.
 struct AttemptKey {
     const Job* job;
     std::uint32_t task;
--- a/src/bookkeeping/replica_change.h
+++ b/src/bookkeeping/replica_change.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Notices of what has changed in the StateReplica. Plain values.
+// Notifications of changes in the StateReplica. Plain values.
 
 #include <string>
 
@@ -10,7 +10,7 @@
 
 struct Change {
     ChangeKind kind;
-    std::string id;  // of the job or the machine; otherwise empty
+    std::string id;  // of the job or the machine, empty for other kinds
 };
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/resources.h
+++ b/src/bookkeeping/resources.h
@@ -15,7 +15,7 @@
     double gpus = 0;
     double memoryGb = 0;
 
-    /// Of each resource, for the rounding in sums of decimal fractions.
+    /// Tolerance for each resource, as sums of decimal fractions have rounding errors.
     static constexpr double kSlack = 1e-6;
 
     Resources& operator+=(const Resources& other) {
@@ -33,21 +33,21 @@
     friend Resources operator+(Resources a, const Resources& b) { return a += b; }
     friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
 
-    /// Is `need` available, within kSlack?
+    /// True if `need` fits into this amount, within kSlack.
     bool covers(const Resources& need) const {
         return need.cpus <= cpus + kSlack && need.gpus <= gpus + kSlack && need.memoryGb <= memoryGb + kSlack;
     }
-    /// How often `need` is available, at most protocol::kMaxTasks.
+    /// How many times `need` fits into this amount, at most protocol::kMaxTasks.
     std::uint32_t times(const Resources& need) const;
 };
 
-/// What one task of the job needs.
+/// The resources that one task of the job needs.
 inline Resources needOf(const protocol::JobSpec& spec) { return {spec.cpus, spec.gpus, spec.memoryGb}; }
-/// What `tasks` tasks of the job need.
+/// The resources that `tasks` tasks of the job need.
 inline Resources needOf(const protocol::JobSpec& spec, std::uint32_t tasks) {
     return {spec.cpus * tasks, spec.gpus * tasks, spec.memoryGb * tasks};
 }
-/// What an empty machine of the type has.
+/// The resources of an empty machine of the type.
 inline Resources sizeOf(const protocol::MachineType& type) { return {type.cpus, type.gpus, type.memoryGb}; }
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/state_replica.cpp
+++ b/src/bookkeeping/state_replica.cpp
@@ -58,7 +58,8 @@
     changes.push_back({ChangeKind::machine, id});
 }
 
-/// A transaction may write and delete a key at one revision; the deletion is the later of the two.
+/// True if the change is not newer than the known entry. One revision may both write and delete a key; the
+/// deletion is then the later of the two.
 bool StateReplica::isOutdated(const std::string& machine, const protocol::KeyChange& change) const {
     const auto known = registeredMachines.find(machine);
     if (known == registeredMachines.end()) return false;
@@ -66,7 +67,8 @@
     return change.value ? change.version <= version : change.version < version;
 }
 
-/// A job's record or a value of its bitmap. Records are never deleted, and bits only after the job has ended.
+/// Applies a change of a job's record or of a value of its bitmap. Deletions are ignored: records are never
+/// deleted, and values of the bitmap only after the job has ended.
 void StateReplica::applyJobKey(const protocol::KeyChange& change, std::vector<Change>& changes) {
     if (!change.value) return;
     const auto rest = change.key.substr(sizeof keys::kJobs - 1);
@@ -87,7 +89,7 @@
     auto* job = find(id);
     if (job && job->version >= version) return;
     auto record = storage::decodeJob(value);
-    if (record.spec.id != id) throw protocol::MalformedMessage("a job under another's key");
+    if (record.spec.id != id) throw protocol::MalformedMessage("job id in the record differs from its key");
     const bool isNew = !job;
     if (isNew) job = &jobs_.add(std::move(record.spec), version);
     job->acceptedMs = record.acceptedMs;
@@ -99,29 +101,30 @@
     if (isNew) addOpenJob(*job, changes);
 }
 
-/// A new job, which may have been cancelled after its record was written.
+/// Adds a new open job, or terminates it at once if its cancellation is already known.
 void StateReplica::addOpenJob(Job& job, std::vector<Change>& changes) {
     jobs_.markOpen(job);
-    if (const auto ahead = cancelledAhead_.find(job.spec.id); ahead != cancelledAhead_.end())
-        terminate(job, TerminalState::cancelled, 0, ahead->second, changes);
+    if (const auto early = earlyCancellations_.find(job.spec.id); early != earlyCancellations_.end())
+        terminate(job, TerminalState::cancelled, 0, early->second, changes);
     else
         dependencies_.add(job, changes);
 }
 
-/// The job's record says so, or will say so once it is read.
+/// Terminates a job as its record says, or will say once it is read.
 void StateReplica::terminate(Job& job, TerminalState terminalState, std::uint32_t doneCount,
                              std::uint64_t version, std::vector<Change>& changes) {
     const auto before = job.terminalState;
     const bool cancelledByUser = before == TerminalState::cancelled && !job.cancelledByDependency;
     if (terminalState == TerminalState::cancelled && !cancelledByUser) cancelled_.push_back(&job);
     job.cancelledByDependency = false;
-    cancelledAhead_.erase(job.spec.id);
+    earlyCancellations_.erase(job.spec.id);
     job.version = version;
     jobs_.terminate(job, terminalState, doneCount);
     if (before == TerminalState::none) dependencies_.noteTerminated(job, changes);
 }
 
-/// False: the key is none of the job's bitmap, or its value is not new.
+/// Applies a value of the job's bitmap. False if the job has ended, the key denotes no range of its bitmap,
+/// or the value is not newer than the known one.
 bool StateReplica::applyBits(Job& job, std::string_view rangeText, const msgpack::object& value,
                              std::uint64_t version) {
     if (job.terminalState != TerminalState::none) return false;
@@ -160,8 +163,8 @@
 void StateReplica::noteCancelled(const std::string& id, std::uint64_t version, std::vector<Change>& changes) {
     auto* job = find(id);
     if (!job) {
-        // Its record will be read later, perhaps as it was before the cancellation.
-        cancelledAhead_[id] = version;
+        // The job's record will be read later, perhaps in the version before the cancellation.
+        earlyCancellations_[id] = version;
         return;
     }
     if (job->terminalState != TerminalState::none) return;
--- a/src/bookkeeping/state_replica.h
+++ b/src/bookkeeping/state_replica.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// This controller's copy of what is stored in the key-value store: jobs, the leader, the fencing token, the
-// machine registry and the machine types. Changes of keys may arrive late or twice; each value has the
-// version of the transaction that wrote it, and older values never replace newer ones. Owns all of it, jobs
-// included. Used on the controller's event loop thread.
+// This controller's copy of the state in the key-value store: jobs, the leader, the fencing token, the
+// machine registry and the machine types. Changes of keys may arrive out of order or twice. Each value has
+// the version of the transaction that wrote it, and an older value never replaces a newer one. Owns all of
+// this state, jobs included. Used on the controller's event loop thread.
 
 #include <cstdint>
 #include <map>
@@ -34,27 +34,28 @@
 class StateReplica {
   public:
     StateReplica() = default;
-    // Its parts refer to each other.
+    // Not copyable, as its members refer to each other.
     StateReplica(const StateReplica&) = delete;
     StateReplica& operator=(const StateReplica&) = delete;
 
-    // Each function that takes `changes` appends what it has changed.
+    // Each function with a parameter `changes` appends the changes that it has made to it.
 
-    /// Applies a change of a key, unless it is older than what is known. False: its value is malformed, and
-    /// nothing has changed.
+    /// Applies a change of a key, unless it is older than the known value. False if its value is malformed,
+    /// in which case nothing has changed.
     bool apply(const protocol::KeyChange& change, std::vector<Change>& changes);
-    /// Removes the leader and the machines whose keys are not in `read`, after all keys were read anew.
+    /// Removes the leader and the machines whose keys are not in `read`, after a read of all keys.
     void dropUnread(const std::set<std::string>& read, std::vector<Change>& changes);
-    /// This controller has stored the job's end as done, at `version`.
+    /// Records that this controller has stored the job as done, at `version`.
     void noteDone(Job& job, std::uint64_t version, std::uint64_t endedMs, std::vector<Change>& changes);
-    /// A job's cancellation is confirmed, and no read has shown it yet. `version` is that of the job's record
-    /// with the cancellation.
+    /// Records the confirmed cancellation of a job before a read shows it. `version` is that of the job's
+    /// record with the cancellation.
     void noteCancelled(const std::string& id, std::uint64_t version, std::vector<Change>& changes);
-    /// Brings effective priorities and due times up to date, after changes of jobs with dependencies.
+    /// Updates effective priorities and due times. Must be called after changes of jobs with dependencies.
     void updateEffectivePriorities() { dependencies_.updateEffectivePriorities(); }
 
-    /// Jobs cancelled by their users, in the order in which this controller learned of it; it only grows.
-    /// Jobs cancelled with a dependency are not among them, as each controller works these out for itself.
+    /// The jobs cancelled by their users, in the order in which this controller learned of the cancellations.
+    /// Append-only. Jobs cancelled with a dependency are not included, as each controller derives these
+    /// itself.
     const std::vector<const Job*>& cancelled() const { return cancelled_; }
     /// Null if there is no such job.
     Job* find(const std::string& id) { return jobs_.find(id); }
@@ -89,8 +90,8 @@
     JobTable jobs_;
     JobDependencies dependencies_{jobs_};
     std::vector<const Job*> cancelled_;
-    /// Versions of confirmed cancellations of jobs that are not known yet.
-    std::map<std::string, std::uint64_t> cancelledAhead_;
+    /// Versions of confirmed cancellations, by the ids of jobs whose records have not been read yet.
+    std::map<std::string, std::uint64_t> earlyCancellations_;
 };
 
 }  // namespace burlpoint::bookkeeping
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -1,9 +1,9 @@
 #pragma once
 
 // Leader election. A controller becomes leader by writing the leader's key to the key-value store under a
-// lease, together with a raised fencing token. Owns this controller's role, its lease, its fencing token, its
-// leader lease, and the votes that extend a leader's lease in an outage of the key-value store. Used on the
-// event loop's thread.
+// lease, together with an incremented fencing token. Owns this controller's role, its lease, its fencing
+// token, its leader lease, and the votes that extend a leader's lease in an outage of the key-value store.
+// Used on the event loop's thread.
 
 #include <cstdint>
 #include <functional>
@@ -21,120 +21,126 @@
 
 namespace burlpoint::coordination {
 
-/// This controller's part in the election. An attempt to become leader has three steps: make a lease, acquire
-/// the leader's key under it, and confirm by a read that the key is held.
+/// This controller's participation in the election. An attempt to become leader has three steps: create a
+/// lease, acquire the leader's key under it, and confirm by a read that this controller holds the key.
 class Election {
   public:
-    /// This controller is leader with `fencingToken`, and the replica is up to date and shows that.
+    /// Called when this controller has become leader with `fencingToken` and the replica shows it.
     using LeadershipGained = std::function<void(std::uint64_t fencingToken)>;
-    /// This controller leads no more, and will not act with that fencing token again.
+    /// Called when this controller has stopped leading. It never acts with that fencing token again.
     using LeadershipLost = std::function<void()>;
 
-    /// What a leader that resigns does next.
+    /// What a leader does after it has resigned.
     enum class Resignation {
-        mayTryAgain,  // it is a candidate like the others
-        deferToPeers  // it is badly placed to lead, so it leaves the next attempts to its peers
+        mayTryAgain,  // it may become a candidate again at once
+        deferToPeers  // it is in a bad position to lead, so it starts no attempt for 20 s
     };
 
-    /// All references must outlive this. The two callbacks are called in turn, from inside `tick` and
-    /// `resign` or when an answer of the key-value store arrives.
+    /// All referenced objects must outlive this one. The two callbacks are called alternately, from `tick`
+    /// and `resign` or when a response of the key-value store arrives.
     Election(const protocol::Settings& settings, const protocol::Policy& policy,
              storage::KeyValueClient& state, bookkeeping::StateReplica& replica, StateWatcher& watcher,
              LeadershipGained leadershipGained, LeadershipLost leadershipLost);
 
-    /// Takes the next step if one is due: renews the lease, or tries to become leader if there is none. To be
-    /// called a few times a second.
+    /// Performs the action that is due, if any: renews the lease of a leader, or starts an attempt to become
+    /// leader if there is none. Must be called a few times a second.
     void tick(Time now);
 
     /// Ends this controller's leadership at once. Does nothing if it does not lead.
     void resign(Time now, Resignation resignation);
 
-    /// May this controller act as leader at this moment?
+    /// True if this controller may act as leader at `now`.
     bool valid(Time now) const {
         return leading() && ((leaderLease_.valid(now) && now - watcher_.asOf() < maxTimeWithoutRead_) ||
                              extendedByVotes(now));
     }
 
-    /// Does this leader know all cancellations up to a moment ago? If not, it must not start anything.
+    /// True if this leader knows all cancellations that were confirmed until shortly before `now`. If not, it
+    /// must not start any task.
     bool cancellationsCurrent(Time now) const {
         return now - watcher_.asOf() < kCancellationFreshness || extendedByVotes(now);
     }
 
-    /// How long a leader may act while the key-value store answers nothing but the renewal of its lease. The
-    /// workers' leases are then over within the time that a cancellation may take.
+    /// How long a leader may act without a successful read of the key-value store while only the renewals of
+    /// its lease succeed. With this limit, the workers' leases expire within the cancel timeout.
     static Duration maxTimeWithoutRead(const protocol::Settings& settings);
 
-    /// In an outage, a leader asks for this controller's vote. Returns for how long this controller promises
-    /// not to become leader. Zero, no vote, unless the leader's key was there when the key-value store last
-    /// answered, and that was a while ago. The message that carries the vote must also carry all
-    /// cancellations that are known here and may not be known to the leader.
+    /// Handles a leader's request for a vote during an outage of the key-value store. Returns for how long
+    /// this controller promises not to become leader. Returns zero, which means no vote, unless the leader's
+    /// key existed when the key-value store last answered and that answer is at least 1.2 s old. The message
+    /// that carries the vote must also carry all cancellations that are known here and may be unknown to the
+    /// leader.
     Duration voteForExtension(const std::string& leader, std::uint64_t fencingToken, Time now);
 
-    /// A peer voted, in answer to a request sent at `sent`, for `life`. To be called once the cancellations
-    /// in the same message are taken in. Votes of all peers replace the lease in an outage.
-    void noteVote(const std::string& peer, Duration life, Time sent) {
-        votes_.noteReceived(peer, life, sent);
+    /// Records a peer's vote for `duration`, given in response to a request sent at `sent`. Must be called
+    /// after the cancellations in the same message have been applied. In an outage, votes of all peers stand
+    /// in for the renewal of the lease.
+    void noteVote(const std::string& peer, Duration duration, Time sent) {
+        votes_.noteReceived(peer, duration, sent);
     }
 
-    /// Is this controller the leader? That alone doesn't entitle it to act, see `valid`.
+    /// True if this controller has the leader role. To act it also needs an unexpired lease, see `valid`.
     bool leading() const { return role_ == Role::leader; }
 
-    /// A leader told its peers that it resigned, as one does that the key-value store refuses. Its key may be
-    /// replaced although its lease has not ended.
+    /// Records that a leader has resigned and told its peers so, as a leader does that the key-value store
+    /// refuses. Its key may then be replaced although its lease has not expired.
     void noteResignation(std::uint64_t fencingToken) {
         resignedTokens_ = std::max(resignedTokens_, fencingToken);
     }
 
-    /// The fencing token that this controller led with last and resigned, 0: none.
+    /// The fencing token of this controller's last leadership that has ended, 0 if it has led none.
     std::uint64_t resignedToken() const { return resignedToken_; }
 
   private:
     enum class Role {
-        follower,   // another controller leads, or it is not known yet that none does
-        vacancy,    // nobody leads, and `notBefore_` was drawn for this vacancy
-        candidate,  // an attempt is under way, or the read after one that failed
+        follower,   // another controller leads, or this one does not know yet that there is no leader
+        vacancy,    // there is no leader, and `earliestAttempt_` has been set for this vacancy
+        candidate,  // an attempt is in progress, or the read that follows a failed one
         leader
     };
 
-    /// A read that is no older than this tells a leader what was cancelled: see docs/safety.md, "What a
-    /// leader may not know".
+    /// The maximum age of the last read at which a leader may rely on its knowledge of cancellations: see
+    /// docs/safety.md, "What a leader may not know".
     static constexpr Duration kCancellationFreshness{1500};
 
-    /// Do the votes of all peers extend the leader lease?
+    /// True if the votes of all peers extend the leader lease.
     bool extendedByVotes(Time now) const { return votes_.allInForce(settings_.peers, now); }
-    /// Is there no leader whose key this controller must respect? When it first sees that, it draws the time
-    /// before which it doesn't try.
-    bool seesVacancy(Time now);
-    /// Is this controller bound by its vote, or perhaps by one that it gave before it was restarted?
+    /// True if there is no leader whose key this controller must respect. Updates the role, and at the start
+    /// of a vacancy sets the earliest time of the next attempt.
+    bool detectVacancy(Time now);
+    /// True if this controller is bound by its vote or may be bound by one from before its restart.
     bool isBoundByVote(Time now) const;
-    /// Does the leader's key name this controller?
+    /// True if the leader's key names this controller.
     bool isNamedLeader() const { return replica_.leader && replica_.leader->node == settings_.name; }
-    /// Has that leader resigned?
+    /// True if that leader is known to have resigned.
     bool hasResigned(const storage::LeaderRecord& leader) const {
         return leader.fencingToken <= resignedTokens_;
     }
 
-    /// First step of an attempt: makes a lease.
-    void attempt(Time now);
-    /// Second step: writes the leader's key under `lease`, which was requested at `sent`, and raises the
+    /// First step of an attempt: creates a lease.
+    void startAttempt(Time now);
+    /// Second step: writes the leader's key under `lease`, which was requested at `sent`, and increments the
     /// fencing token.
-    void acquire(std::uint64_t lease, Time sent);
-    /// Third step: reads until the replica shows whether this controller is leader with `fencingToken`.
-    void confirm(std::uint64_t fencingToken);
-    /// Does the replica show this controller's key and `fencingToken`?
+    void acquireLeaderKey(std::uint64_t lease, Time sent);
+    /// Third step: repeats a read until the replica shows whether this controller is leader with
+    /// `fencingToken`.
+    void confirmLeadership(std::uint64_t fencingToken);
+    /// True if the replica shows `fencingToken` both as the current one and in the leader's key.
     bool isConfirmed(std::uint64_t fencingToken) const;
-    /// The attempt succeeded.
-    void lead(std::uint64_t fencingToken);
-    /// The attempt failed. Ends its lease unless that is 0. The next attempt comes after a read and a pause.
-    void fail(std::uint64_t lease);
+    /// Completes a successful attempt.
+    void becomeLeader(std::uint64_t fencingToken);
+    /// Ends a failed attempt and revokes its lease unless `lease` is 0. The next attempt may start after a
+    /// read and a randomized backoff.
+    void failAttempt(std::uint64_t lease);
 
-    /// Renews the lease. The leadership is lost only if the lease has ended.
-    void renew(Time now);
-    /// Stops leading: drops everything that entitled this controller and tells the owner.
-    void lose();
+    /// Renews the lease. A failed renewal ends the leadership only if the key-value store reports the lease
+    /// as expired.
+    void renewLease(Time now);
+    /// Stops leading: ends the leader lease, discards the received votes and calls the owner's callback.
+    void stopLeading();
 
-    /// At most `bound`, by chance.
-    Duration drawUpTo(Duration bound);
+    /// A uniformly distributed random duration from zero to `bound`.
+    Duration randomUpTo(Duration bound);
 
     const protocol::Settings& settings_;
     storage::KeyValueClient& state_;
@@ -142,21 +148,21 @@
     StateWatcher& watcher_;
     LeadershipGained onGained_;
     LeadershipLost onLost_;
-    Duration life_;                // of the lease
-    Duration maxTimeWithoutRead_;  // of a leader with a valid leader lease
+    Duration leaseDuration_;       // time to live of the lease in the key-value store
+    Duration maxTimeWithoutRead_;  // how long a leader with a valid leader lease may act without a read
     std::mt19937 random_;
     LeaderLease leaderLease_;
     LeaseVotes votes_;
     Role role_ = Role::follower;
-    std::uint64_t lease_ = 0;           // of the leadership or of the attempt under way
-    std::uint64_t fencingToken_ = 0;    // that this controller leads with or led with last
-    std::uint64_t resignedTokens_ = 0;  // all fencing tokens up to here were resigned by the peers that led
-    std::uint64_t resignedToken_ = 0;   // and this one by this controller
-    std::uint64_t round_ = 0;           // answers to requests of earlier rounds are ignored
-    bool renewalUnderWay_ = false;      // of a leader
-    Time notBefore_{};                  // the next attempt
-    Time nextRenewal_{};                // of the lease
-    const Time started_;                // this process
+    std::uint64_t lease_ = 0;           // id of the lease of the leadership or of the current attempt
+    std::uint64_t fencingToken_ = 0;    // of the current or the last leadership of this controller
+    std::uint64_t resignedTokens_ = 0;  // leaders with fencing tokens up to this one have resigned
+    std::uint64_t resignedToken_ = 0;   // fencing token of this controller's last ended leadership
+    std::uint64_t round_ = 0;           // responses to requests of earlier rounds are ignored
+    bool renewalPending_ = false;       // a renewal of the lease has been sent and not answered
+    Time earliestAttempt_{};            // earliest start of the next attempt
+    Time nextRenewal_{};                // when the next renewal of the lease is due
+    const Time processStartedAt_;       // when this process started
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/leadership/leader_lease.h
+++ b/src/coordination/leadership/leader_lease.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The leader lease: until when this controller may act on a lease that another process counts. Owns that
+// The leader lease: until when this controller may act on a lease that another process granted. Owns that
 // time. It does no I/O and is used on the event loop's thread.
 
 #include <algorithm>
@@ -10,32 +10,33 @@
 
 namespace burlpoint::coordination {
 
-/// A lease as its holder counts it. The time starts when the last successful request was sent, not when it
-/// was answered, so that it is over here before it is over for whoever granted it.
+/// A lease as seen by its holder. Its time runs from when the last successful request was sent, not from when
+/// it was answered, so that the lease expires for the holder before it expires for the process that granted
+/// it.
 class LeaderLease {
   public:
-    /// Starts a new lease of `life` that was requested at `sent`.
-    void begin(Time sent, Duration life) {
-        until_ = safeEnd(sent, life);
-        life_ = life;
+    /// Starts a new lease that lasts for `duration` and was requested at `sent`.
+    void begin(Time sent, Duration duration) {
+        until_ = conservativeEnd(sent, duration);
+        duration_ = duration;
     }
-    /// A renewal for the same life, requested at `sent`, succeeded. Answers may come out of order: an earlier
-    /// request never shortens the lease.
-    void renewed(Time sent) { until_ = std::max(until_, safeEnd(sent, life_)); }
+    /// Extends the lease after a successful renewal, requested at `sent`, for the same duration. Responses
+    /// may arrive out of order: that to an earlier request never shortens the lease.
+    void extend(Time sent) { until_ = std::max(until_, conservativeEnd(sent, duration_)); }
     /// Ends the lease at once.
     void end() { until_ = Time::min(); }
-    /// Does the lease still last at `now`?
+    /// True if the lease has not expired at `now`.
     bool valid(Time now) const { return now < until_; }
 
   private:
-    static Time safeEnd(Time sent, Duration life) {
-        // 0.1% covers two clocks drifting apart. The rest is for an answer of this controller that is on its
-        // way as the lease ends.
-        return sent + life - life / 1000 - std::chrono::milliseconds(150);
+    static Time conservativeEnd(Time sent, Duration duration) {
+        // The 0.1% covers the drift between two clocks. The 150 ms cover a response of this controller that
+        // is in transit when the lease expires.
+        return sent + duration - duration / 1000 - std::chrono::milliseconds(150);
     }
 
     Time until_ = Time::min();
-    Duration life_{0};
+    Duration duration_{0};
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/leadership/lease_votes.cpp
+++ b/src/coordination/leadership/lease_votes.cpp
@@ -5,26 +5,26 @@
 namespace burlpoint::coordination {
 
 Duration LeaseVotes::giveVote(std::uint64_t fencingToken, Time now) {
-    givenUntil_ = now + kVoteLife + kVoteLife / 1000;  // 0.1% covers two clocks drifting apart
-    givenTo_ = fencingToken;
-    return kVoteLife;
+    givenVoteEnd_ = now + kVoteDuration + kVoteDuration / 1000;  // 0.1% for the drift between two clocks
+    givenVoteToken_ = fencingToken;
+    return kVoteDuration;
 }
 
 bool LeaseVotes::isBound(Time now, std::uint64_t resignedTokens) const {
-    return now < givenUntil_ && givenTo_ > resignedTokens;
+    return now < givenVoteEnd_ && givenVoteToken_ > resignedTokens;
 }
 
-void LeaseVotes::noteReceived(const std::string& peer, Duration life, Time sent) {
-    if (life.count() <= 0) return;
+void LeaseVotes::noteReceived(const std::string& peer, Duration duration, Time sent) {
+    if (duration.count() <= 0) return;
     LeaderLease vote;
-    vote.begin(sent, std::min(life, kVoteLife));
-    received_[peer] = vote;
+    vote.begin(sent, std::min(duration, kVoteDuration));
+    receivedVotes_[peer] = vote;
 }
 
 bool LeaseVotes::allInForce(const std::vector<protocol::Peer>& peers, Time now) const {
     return !peers.empty() && std::all_of(peers.begin(), peers.end(), [&](const auto& peer) {
-        const auto vote = received_.find(peer.name);
-        return vote != received_.end() && vote->second.valid(now);
+        const auto vote = receivedVotes_.find(peer.name);
+        return vote != receivedVotes_.end() && vote->second.valid(now);
     });
 }
 
--- a/src/coordination/leadership/overload_monitor.cpp
+++ b/src/coordination/leadership/overload_monitor.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-constexpr auto kLateTick = 200ms;          // more than one long batch of work delays a tick
-constexpr auto kOverloadedAfter = 1200ms;  // of ticks that were all late
-// After a failover the new leader reads, reconciles and answers everything at once, and is late for some
-// seconds on any machine.
-constexpr auto kFailoverTime = 8s;
-constexpr Clock::duration kFirstPause = 60s;
-constexpr Clock::duration kLongestPause = 960s;
-// A resignation longer ago than this no longer lengthens the pause.
-constexpr auto kForgottenAfter = 3600s;
+// A tick with at least this delay counts as late. One long batch of work delays a tick by less.
+constexpr auto kLateTickThreshold = 200ms;
+// The process counts as overloaded once all ticks have been late for this long.
+constexpr auto kOverloadedAfter = 1200ms;
+// A new leader is not judged for this long: after a failover it reads the state, reconciles heartbeats and
+// answers all workers at once, which makes it late for some seconds on any machine.
+constexpr auto kFailoverGracePeriod = 8s;
+constexpr Clock::duration kInitialPause = 60s;
+constexpr Clock::duration kMaxPause = 960s;
+// A resignation longer ago than this no longer doubles the pause.
+constexpr auto kPauseResetAfter = 3600s;
 
 }  // namespace
 
 void OverloadMonitor::noteTick(Time due, Time now) {
-    if (now - due < kLateTick)
+    if (now - due < kLateTickThreshold)
         lateSince_.reset();
     else if (!lateSince_)
         lateSince_ = due;
@@ -36,13 +38,13 @@
 }
 
 bool OverloadMonitor::shouldResign(Time now) const {
-    if (now - leadingSince_ < kFailoverTime || !isOverloaded(now)) return false;
-    return pause_ == Clock::duration::zero() || now - resignedAt_ >= pause_;
+    if (now - leadingSince_ < kFailoverGracePeriod || !isOverloaded(now)) return false;
+    return resignationPause_ == Clock::duration::zero() || now - resignedAt_ >= resignationPause_;
 }
 
 void OverloadMonitor::noteResigned(Time now) {
-    const bool first = pause_ == Clock::duration::zero() || now - resignedAt_ >= kForgottenAfter;
-    pause_ = first ? kFirstPause : std::min(pause_ * 2, kLongestPause);
+    const bool first = resignationPause_ == Clock::duration::zero() || now - resignedAt_ >= kPauseResetAfter;
+    resignationPause_ = first ? kInitialPause : std::min(resignationPause_ * 2, kMaxPause);
     resignedAt_ = now;
 }
 
--- a/src/coordination/leadership/overload_monitor.h
+++ b/src/coordination/leadership/overload_monitor.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Detects that this process falls behind with its work. Owns how late the event loop has been and when this
-// leader last resigned for that reason. Used on the event loop's thread.
+// Detects that this process falls behind with its work. Owns since when the event loop's ticks have been late
+// and when this controller last resigned for that reason. Used on the event loop's thread.
 
 #include <optional>
 
@@ -9,26 +9,27 @@
 
 namespace burlpoint::coordination {
 
-/// Tells a leader whose event loop falls behind to resign, as its processor may be slower than its peers' for
-/// a while. The peers may be no faster, so the pause until this controller resigns again doubles each time.
+/// Decides when a leader whose event loop falls behind should resign, because its processor may be slower
+/// than its peers' for a while. As the peers may be no faster, the minimum time until this controller resigns
+/// again doubles with each resignation, up to 960 s.
 class OverloadMonitor {
   public:
-    /// A tick that was due at `due` runs at `now`. All ticks must be noted.
+    /// Records that a tick that was due at `due` runs at `now`. Must be called for every tick.
     void noteTick(Time due, Time now);
-    /// This controller became leader at `now`. Earlier late ticks no longer count.
+    /// Records that this controller became leader at `now`. Earlier late ticks no longer count.
     void noteLeading(Time now);
-    /// Have all ticks been late for so long that workers would not be answered in time?
+    /// True if all ticks have been late for so long that workers would not be answered in time.
     bool isOverloaded(Time now) const;
-    /// Should the leader resign now? Only to be asked while this controller leads.
+    /// True if the leader should resign now. Must only be called while this controller leads.
     bool shouldResign(Time now) const;
-    /// The leader resigned because of the overload.
+    /// Records that the leader resigned at `now` because of the overload.
     void noteResigned(Time now);
 
   private:
-    std::optional<Time> lateSince_;  // when the first of the late ticks without a break was due
+    std::optional<Time> lateSince_;  // when the first tick of the current run of late ticks was due
     Time leadingSince_{};
     Time resignedAt_{};
-    Clock::duration pause_{};  // after a resignation, before the next; 0: it never resigned
+    Clock::duration resignationPause_{};  // minimum time between two resignations, 0 before the first
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -11,16 +11,24 @@
 
 namespace {
 
-constexpr auto kPeerTimeout = 2500ms;        // peers are asked every second, so two questions went unanswered
-constexpr auto kRefusedAloneAfter = 2500ms;  // since the key-value store last answered this controller
-constexpr auto kPeerServedLonger = 2000ms;   // a peer's last answer came at least so long after this one's
-constexpr auto kPeerServedWithin = 2000ms;   // and is no longer ago than this
-constexpr std::size_t kMaxCancellationsPerMessage = 500;  // a message has 64 KiB at most
-constexpr std::uint64_t kMaxStateAgeMs = 1u << 30;        // 12 days; a peer's number must not overflow a time
-
-std::uint64_t drawLogId() {
+// A peer is in touch if its last status is more recent than this. Peers are asked every second, so after this
+// time two questions have gone unanswered.
+constexpr auto kPeerTimeout = 2500ms;
+// The minimum time since the key-value store last answered this controller.
+constexpr auto kIsolatedAfter = 2500ms;
+// The minimum time by which the key-value store's last answer to a peer is later than that to this
+// controller.
+constexpr auto kMinAnswerGap = 2000ms;
+// The maximum age of the key-value store's last answer to that peer.
+constexpr auto kMaxPeerAnswerAge = 2000ms;
+// Keeps a message below its limit of 64 KiB.
+constexpr std::size_t kMaxCancellationsPerMessage = 500;
+// Upper limit, 12 days, for the age that a peer reports, so that it cannot overflow a time point.
+constexpr std::uint64_t kMaxStateAgeMs = 1u << 30;
+
+std::uint64_t generateLogId() {
     std::random_device device;
-    return std::uniform_int_distribution<std::uint64_t>(1)(device);  // 0 is no id
+    return std::uniform_int_distribution<std::uint64_t>(1)(device);  // 0 means that the id is unknown
 }
 
 }  // namespace
@@ -30,7 +38,7 @@
     : settings_(settings),
       replica_(replica),
       noteCancelled_(std::move(noteCancelled)),
-      cancellationLogId_(drawLogId()) {}
+      cancellationLogId_(generateLogId()) {}
 
 bool PeerExchange::noteStatus(const PeerStatus& status, Time now) {
     const bool known = std::any_of(settings_.peers.begin(), settings_.peers.end(),
@@ -39,7 +47,7 @@
     auto& view = peers_[status.node];
     view.heardAt = now;
     view.storeAnsweredAt = now - std::chrono::milliseconds(std::min(status.stateAgeMs, kMaxStateAgeMs));
-    view.leadingWith = status.fencingToken;
+    view.ownFencingToken = status.fencingToken;
     view.leaderToken = status.leaderToken;
     return true;
 }
@@ -49,14 +57,14 @@
     return view != peers_.end() && now - view->second.heardAt < kPeerTimeout;
 }
 
-// A follower that the key-value store refuses can't read a new leader's record. In a simulation it was the
-// only controller that both the new leader and the workers behind a network partition could reach, and it had
-// no leader to name to them.
+// Peers' reports count because a follower that the key-value store refuses cannot read a new leader's record.
+// In a simulation, such a follower was the only controller that could be reached both by the new leader and
+// by the workers behind a network partition, and it knew no leader to refer them to.
 std::optional<storage::LeaderRecord> PeerExchange::knownLeader(Time now) const {
     auto leader = replica_.leader;
     for (const auto& [name, view] : peers_)
-        if (inTouch(name, now) && view.leadingWith > (leader ? leader->fencingToken : 0))
-            leader = storage::LeaderRecord{name, view.leadingWith};
+        if (inTouch(name, now) && view.ownFencingToken > (leader ? leader->fencingToken : 0))
+            leader = storage::LeaderRecord{name, view.ownFencingToken};
     return leader;
 }
 
@@ -69,15 +77,16 @@
     return "";
 }
 
-// In an outage that all controllers share, resigning would help nobody: nobody could become leader, and every
-// task would be lost. So a peer must have been served for a while after this controller was last: a refusal
-// that is followed by an outage at once is no reason to resign, as the votes of its peers extend its lease.
+// In an outage that affects all controllers, a resignation would be harmful: no controller could become
+// leader, and all tasks would be lost. Therefore the key-value store must have answered a peer for a while
+// after its last answer to this controller. A refusal that is directly followed by an outage is no reason to
+// resign, as the peers' votes extend the leader's lease.
 bool PeerExchange::refusedAlone(Time lastAnswer, Time now) const {
-    if (now - lastAnswer < kRefusedAloneAfter) return false;
+    if (now - lastAnswer < kIsolatedAfter) return false;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
         const auto& view = entry.second;
-        return now - view.heardAt < kPeerTimeout && now - view.storeAnsweredAt < kPeerServedWithin &&
-               view.storeAnsweredAt - lastAnswer >= kPeerServedLonger;
+        return now - view.heardAt < kPeerTimeout && now - view.storeAnsweredAt < kMaxPeerAnswerAge &&
+               view.storeAnsweredAt - lastAnswer >= kMinAnswerGap;
     });
 }
 
@@ -92,7 +101,7 @@
 void PeerExchange::appendCancellations(const PeerStatus& asking, PeerStatus& answer) const {
     const auto& known = replica_.cancelled();
     answer.log = cancellationLogId_;
-    // A position in the log of an earlier process of this controller means nothing in this one.
+    // A position in the log of an earlier process of this controller is not valid in the log of this process.
     const bool sameLog = asking.log == cancellationLogId_;
     auto position = sameLog ? std::min<std::uint64_t>(asking.logAt, known.size()) : 0;
     for (; position < known.size() && answer.cancelled.size() < kMaxCancellationsPerMessage; ++position) {
--- a/src/coordination/leadership/peer_exchange.h
+++ b/src/coordination/leadership/peer_exchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// What controllers tell each other: which leader each is in touch with, when the key-value store last
-// answered each, and the cancellations that a leader may not know. Owns what this controller heard from each
-// peer and the id of its own cancellation log. It does no I/O: the controller sends and answers the messages,
-// on the event loop's thread.
+// The status that controllers exchange: the leader that each is in touch with, when the key-value store last
+// answered each, and the cancellations that a leader may not know. Owns the last status of each peer and the
+// id of this controller's own cancellation log. It does no I/O: the controller sends and answers the
+// messages, on the event loop's thread.
 
 #include <cstdint>
 #include <functional>
@@ -21,54 +21,55 @@
 /// This controller's side of the exchange with its peers.
 class PeerExchange {
   public:
-    /// Takes in a cancellation that a peer has confirmed. It may be known already.
+    /// Applies a cancellation that a peer has confirmed. It may be known already.
     using NoteCancelled = std::function<void(const protocol::Cancellation&)>;
 
-    /// Draws the id of this process's cancellation log. `settings` and `replica`, this controller's copy of
-    /// what is stored, must outlive this.
+    /// Generates the id of this process's cancellation log. `settings` and `replica`, this controller's copy
+    /// of the stored state, must outlive this.
     PeerExchange(const protocol::Settings& settings, const bookkeeping::StateReplica& replica,
                  NoteCancelled noteCancelled);
 
-    /// Notes what a peer says of itself, received at `now`. False: the settings know no such peer, and
-    /// nothing of the message may be used.
+    /// Records a peer's status, received at `now`. False if the settings list no such peer, in which case no
+    /// part of the message may be used.
     bool noteStatus(const protocol::PeerStatus& status, Time now);
 
-    /// Was the peer heard within the last 2.5 s?
+    /// True if a status of the peer arrived within the last 2.5 s.
     bool inTouch(const std::string& peer, Time now) const;
 
-    /// The leader as far as this controller knows: the stored one, or a peer that is in touch and says that
-    /// it leads with a higher fencing token. Use it only to find the leader. It never entitles to act.
+    /// The leader as far as this controller knows: the stored one, or a peer that is in touch and reports
+    /// that it leads with a higher fencing token. Only for locating the leader, never a permission to act.
     std::optional<storage::LeaderRecord> knownLeader(Time now) const;
 
-    /// A peer that is in touch with the leader, to name to a worker that this controller cannot serve; empty
-    /// if there is none. A worker that tried all controllers in turn could use up its lease on those behind
-    /// the same network partition.
+    /// The name of a peer that is in touch with the leader, empty if there is none. A worker that this
+    /// controller cannot serve is referred to that peer. If it tried all controllers in turn instead, its
+    /// lease could expire while it tries those that are cut off by the same network partition.
     std::string peerInTouchWithLeader(Time now) const;
 
-    /// Does the key-value store answer peers and not this controller, whose last answer came at `lastAnswer`?
-    /// False if it answers nobody: that is an outage which all controllers share.
+    /// True if the key-value store answers at least one peer but not this controller, which received its last
+    /// answer at `lastAnswer`. False if it answers no controller, as in an outage that affects all of them.
     bool refusedAlone(Time lastAnswer, Time now) const;
 
-    /// Fills in, for a leader's question to `peer`, what is known here, so that the peer answers with the
-    /// cancellations that are not. Overwrites what an earlier call filled in.
+    /// Sets the fields of a leader's question to `peer` that describe which cancellations are known here, so
+    /// that the peer answers with the others. Overwrites the values that an earlier call set.
     void describeKnownState(const std::string& peer, protocol::PeerStatus& question) const;
 
-    /// Adds to the answer to a leader's question the cancellations that the leader may not know, as many as a
-    /// message may hold. `answer.complete` says whether these are the last.
+    /// Adds to the answer to a leader's question the cancellations that the leader may not know, up to the
+    /// maximum for one message. Sets `answer.complete` to whether there are no more.
     void appendCancellations(const protocol::PeerStatus& asking, protocol::PeerStatus& answer) const;
 
-    /// Takes in the cancellations in a peer's answer, and how far the peer's log is known now. True: the peer
-    /// has more to tell and should be asked again at once. `answer.node` must be one of the peers.
+    /// Applies the cancellations in a peer's answer and records the position reached in the peer's log. True
+    /// if the peer has more of them and should be asked again at once. `answer.node` must be one of the
+    /// peers.
     bool applyCancellations(const protocol::PeerStatus& answer);
 
   private:
     struct PeerView {
-        Time heardAt{};
-        Time storeAnsweredAt{};               // when the key-value store last answered it, by its own account
-        std::uint64_t leadingWith = 0;        // the fencing token that it leads with, 0: it does not lead
+        Time heardAt{};                       // when its last status arrived
+        Time storeAnsweredAt{};               // when the key-value store last answered it, as it reports
+        std::uint64_t ownFencingToken = 0;    // the fencing token that it leads with, 0: it does not lead
         std::uint64_t leaderToken = 0;        // the fencing token of the leader that it is in touch with
         std::uint64_t cancellationLogId = 0;  // 0: not known
-        std::uint64_t cancellationLogPosition = 0;  // up to where its log is known here
+        std::uint64_t cancellationLogPosition = 0;  // entries of its log before this position are known here
     };
 
     const protocol::Settings& settings_;
--- a/tests/bookkeeping/fleet_recount.h
+++ b/tests/bookkeeping/fleet_recount.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Compares the indexes and running sums of the fleet with a recount of the placements on its machines.
+// Compares the indexes and running sums of the fleet with values recomputed from the placements on its
+// machines.
 
 #include <algorithm>
 #include <cmath>
@@ -17,8 +18,8 @@
     return std::abs(a.cpus - b.cpus) + std::abs(a.gpus - b.gpus) + std::abs(a.memoryGb - b.memoryGb) > kSlack;
 }
 
-/// Describes where a machine's running sums and its image index entries differ from a recount. Empty:
-/// nowhere.
+/// Describes where a machine's running sums and its entries in the image index differ from a recount. Empty
+/// if there is no difference.
 inline std::string recountMachine(const bookkeeping::Fleet& fleet, const bookkeeping::Machine& machine) {
     bookkeeping::Machine expected;
     for (const auto& [key, placement] : machine.placements) {
@@ -30,26 +31,27 @@
         if (spec.gpus <= 0) expected.use.plain[service ? bookkeeping::kReplicaUse : priority] += need;
         if (!service && !bookkeeping::isLargeGang(spec)) expected.use.preemptible[priority] += need;
     }
-    std::string wrong;
-    if (differs(expected.use.total, machine.use.total)) wrong += "use of " + machine.id + "; ";
+    std::string differences;
+    if (differs(expected.use.total, machine.use.total)) differences += "use of " + machine.id + "; ";
     for (std::size_t i = 0; i < machine.use.plain.size(); ++i)
         if (differs(expected.use.plain[i], machine.use.plain[i]))
-            wrong += "plain use of " + machine.id + "; ";
+            differences += "plain use of " + machine.id + "; ";
     for (std::size_t i = 0; i < machine.use.preemptible.size(); ++i)
         if (differs(expected.use.preemptible[i], machine.use.preemptible[i]))
-            wrong += "stoppable on " + machine.id + "; ";
+            differences += "preemptible use of " + machine.id + "; ";
     for (const auto& [image, gb] : machine.images) {
         const auto& with = fleet.withImage(image);
-        if (std::count(with.begin(), with.end(), &machine) != 1) wrong += "image on " + machine.id + "; ";
+        if (std::count(with.begin(), with.end(), &machine) != 1)
+            differences += "image on " + machine.id + "; ";
     }
-    return wrong;
+    return differences;
 }
 
 /// Describes where the indexes and running sums of the fleet and of the jobs' runs differ from a recount.
-/// Empty: nowhere.
+/// Empty if there is no difference.
 inline std::string recount(const bookkeeping::Fleet& fleet, const bookkeeping::StateReplica& replica) {
     using bookkeeping::Job;
-    std::string wrong;
+    std::string differences;
     std::map<std::string, bookkeeping::Resources> teams;
     std::map<const Job*, std::map<std::string, std::uint32_t>> machines;
     std::map<const Job*, std::map<std::string, std::uint32_t>> zones;
@@ -60,20 +62,20 @@
             ++machines[placement.job][id];
             ++zones[placement.job][machine->zone];
         }
-        wrong += recountMachine(fleet, *machine);
+        differences += recountMachine(fleet, *machine);
         if (machine->registry.state == bookkeeping::RegistrationState::stored &&
             !machine->registry.reconciled)
             ++unreconciled[{machine->type, machine->zone, machine->spot}];
     }
     for (const auto& [team, use] : teams)
-        if (differs(use, fleet.teamUse(team))) wrong += "use of team " + team + "; ";
-    if (unreconciled != fleet.unreconciled()) wrong += "unreconciled machines; ";
+        if (differs(use, fleet.teamUse(team))) differences += "use of team " + team + "; ";
+    if (unreconciled != fleet.unreconciled()) differences += "unreconciled machines; ";
     for (const auto& [id, job] : replica.jobs()) {
         const bool agrees =
             !job->run || (job->run->machines == machines[job.get()] && job->run->zones == zones[job.get()]);
-        if (!agrees) wrong += "machines of " + id + "; ";
+        if (!agrees) differences += "machines of " + id + "; ";
     }
-    return wrong;
+    return differences;
 }
 
 }  // namespace burlpoint::tests
--- a/tests/bookkeeping/jobs_test.cpp
+++ b/tests/bookkeeping/jobs_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-protocol::JobSpec arrayOf(std::uint32_t tasks) {
+protocol::JobSpec arrayJob(std::uint32_t tasks) {
     protocol::JobSpec spec;
     spec.id = "wk-1";
     spec.team = "t";
@@ -24,8 +24,9 @@
     return spec;
 }
 
-/// Applies a packed value as a stored change.
-bool store(StateReplica& replica, const std::string& key, const std::string& value, std::uint64_t version) {
+/// Applies a change of a key to a packed value. False if the value is malformed.
+bool applyStored(StateReplica& replica, const std::string& key, const std::string& value,
+                 std::uint64_t version) {
     const auto handle = protocol::unpackBody(value);
     std::vector<Change> changes;
     return replica.apply({key, &handle.get(), version}, changes);
@@ -37,10 +38,10 @@
 
 }  // namespace
 
-// The counters of a run are updated with each change; here they are compared with a recount after each.
+// The counters of a run are updated incrementally. Compares them with a recount after each change.
 RC_GTEST_PROP(JobRun, CountersMatchARecountAfterEachChange, ()) {
     Job job;
-    job.spec = arrayOf(*rc::gen::inRange<std::uint32_t>(1, 30));
+    job.spec = arrayJob(*rc::gen::inRange<std::uint32_t>(1, 30));
     job.beginRun(JobOrigin::accepted, Time{});
     Fleet fleet;
     auto& a = fleet.add("a", Time{});
@@ -66,58 +67,59 @@
             default:
                 job.setDone(task);
         }
-        std::uint32_t waiting = 0, live = 0;
+        std::uint32_t waiting = 0, placed = 0;
         for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
             waiting += job.isWaiting(t);
-            live += job.run->placedCount[t];
+            placed += job.run->placedCount[t];
         }
         RC_ASSERT(job.run->waiting == waiting);
-        RC_ASSERT(job.run->placedTotal == live);
-        RC_ASSERT(live == a.placements.size() + b.placements.size());
-        RC_ASSERT(job.run->running == live);
-        RC_ASSERT(std::abs(fleet.teamUse("t").cpus - 0.1 * live) < 1e-6);
+        RC_ASSERT(job.run->placedTotal == placed);
+        RC_ASSERT(placed == a.placements.size() + b.placements.size());
+        RC_ASSERT(job.run->running == placed);
+        RC_ASSERT(std::abs(fleet.teamUse("t").cpus - 0.1 * placed) < 1e-6);
         const auto first = job.firstWaiting();
         RC_ASSERT(first.has_value() == (waiting > 0));
         if (first) RC_ASSERT(job.isWaiting(*first));
     }
 }
 
-// Reads that overtake each other must not bring an older value back.
+// Results of reads may arrive out of order. An older value must not replace a newer one.
 TEST(StateReplica, OlderValueArrivesLateThenTheNewestIsKept) {
     StateReplica replica;
-    const auto spec = arrayOf(20);
+    const auto spec = arrayJob(20);
     const auto key = storage::keys::job(spec.id);
-    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::none), 5));
-    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::cancelled, 3), 9));
-    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::none), 5));
+    EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::none), 5));
+    EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::cancelled, 3), 9));
+    EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::none), 5));
     ASSERT_NE(replica.find(spec.id), nullptr);
     EXPECT_EQ(replica.find(spec.id)->terminalState, TerminalState::cancelled);
     EXPECT_EQ(replica.find(spec.id)->accepted, 5u);
     EXPECT_TRUE(replica.openJobs().empty());
 }
 
-// A cancellation that a peer has confirmed, of a known job and of one whose record is read only afterwards,
-// perhaps as it was before the cancellation.
+// A cancellation that a peer has confirmed must not be undone by a later read. Covers a known job and one
+// whose record is read only afterwards, in the version before the cancellation.
 TEST(StateReplica, CancellationConfirmedByAPeerThenItStays) {
     StateReplica replica;
-    const auto spec = arrayOf(20);
+    const auto spec = arrayJob(20);
     const auto key = storage::keys::job(spec.id);
     std::vector<Change> changes;
     replica.noteCancelled(spec.id, 9, changes);
     EXPECT_TRUE(changes.empty());
-    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::none), 5));
+    EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::none), 5));
     EXPECT_EQ(replica.find(spec.id)->terminalState, TerminalState::cancelled);
-    EXPECT_TRUE(store(replica, storage::keys::doneChunk(spec.id, 0), storage::encodeBits({true}, 0, 8), 6));
-    EXPECT_TRUE(store(replica, key, record(spec, TerminalState::cancelled, 3), 9));
+    EXPECT_TRUE(
+        applyStored(replica, storage::keys::doneChunk(spec.id, 0), storage::encodeBits({true}, 0, 8), 6));
+    EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::cancelled, 3), 9));
     replica.noteCancelled(spec.id, 9, changes);
     EXPECT_TRUE(changes.empty());
     ASSERT_EQ(replica.cancelled().size(), 1u);
     EXPECT_EQ(replica.cancelled()[0]->version, 9u);
     EXPECT_TRUE(replica.openJobs().empty());
 
-    auto other = arrayOf(3);
+    auto other = arrayJob(3);
     other.id = "wk-2";
-    EXPECT_TRUE(store(replica, storage::keys::job(other.id), record(other, TerminalState::none), 11));
+    EXPECT_TRUE(applyStored(replica, storage::keys::job(other.id), record(other, TerminalState::none), 11));
     replica.noteCancelled(other.id, 12, changes);
     ASSERT_EQ(changes.size(), 1u);
     EXPECT_EQ(changes[0].id, other.id);
@@ -127,12 +129,14 @@
 
 TEST(StateReplica, BitmapChunksReadThenTheirTasksAreDone) {
     StateReplica replica;
-    const auto spec = arrayOf(20);
-    EXPECT_TRUE(store(replica, storage::keys::job(spec.id), record(spec, TerminalState::none), 1));
+    const auto spec = arrayJob(20);
+    EXPECT_TRUE(applyStored(replica, storage::keys::job(spec.id), record(spec, TerminalState::none), 1));
     std::vector<bool> bits(20);
     bits[9] = bits[17] = true;
-    EXPECT_TRUE(store(replica, storage::keys::doneChunk(spec.id, 1), storage::encodeBits(bits, 8, 8), 2));
-    EXPECT_TRUE(store(replica, storage::keys::doneChunk(spec.id, 2), storage::encodeBits(bits, 16, 8), 3));
+    EXPECT_TRUE(
+        applyStored(replica, storage::keys::doneChunk(spec.id, 1), storage::encodeBits(bits, 8, 8), 2));
+    EXPECT_TRUE(
+        applyStored(replica, storage::keys::doneChunk(spec.id, 2), storage::encodeBits(bits, 16, 8), 3));
     const auto* job = replica.find(spec.id);
     EXPECT_EQ(job->doneCount, 2u);
     EXPECT_TRUE(job->isDone(9) && job->isDone(17) && !job->isDone(8));
@@ -141,10 +145,10 @@
 
 TEST(StateReplica, MalformedValueThenNothingChanges) {
     StateReplica replica;
-    const auto spec = arrayOf(3);
-    EXPECT_FALSE(store(replica, storage::keys::job("wk-2"), record(spec, TerminalState::none),
-                       1));  // under another job's key
-    EXPECT_FALSE(store(replica, storage::keys::kToken, protocol::MessagePacker().value(7).take(), 1));
+    const auto spec = arrayJob(3);
+    EXPECT_FALSE(applyStored(replica, storage::keys::job("wk-2"), record(spec, TerminalState::none),
+                             1));  // under another job's key
+    EXPECT_FALSE(applyStored(replica, storage::keys::kToken, protocol::MessagePacker().value(7).take(), 1));
     EXPECT_EQ(replica.find("wk-2"), nullptr);
     EXPECT_EQ(replica.tokenVersion, 0u);
 }
@@ -155,10 +159,10 @@
     EXPECT_FALSE(lease.valid(start));
     lease.begin(start, 8000ms);
     EXPECT_TRUE(lease.valid(start + 7800ms));
-    EXPECT_FALSE(lease.valid(start + 7900ms));  // before the key-value store's 8 s are over
-    lease.renewed(start + 5s);
+    EXPECT_FALSE(lease.valid(start + 7900ms));  // before the lease of 8 s expires in the key-value store
+    lease.extend(start + 5s);
     EXPECT_TRUE(lease.valid(start + 12s));
-    lease.renewed(start + 2s);  // an answer that was overtaken shortens nothing
+    lease.extend(start + 2s);  // a response that arrives out of order does not shorten it
     EXPECT_TRUE(lease.valid(start + 12s));
     lease.end();
     EXPECT_FALSE(lease.valid(start));
--- a/tests/bookkeeping/pipeline_test.cpp
+++ b/tests/bookkeeping/pipeline_test.cpp
@@ -20,7 +20,7 @@
 
 std::string idOf(std::size_t n) { return "wk-" + std::to_string(100 + n); }
 
-/// A stored change of one key.
+/// A change of one key in the key-value store.
 struct StoredChange {
     std::string key, value;
     std::uint64_t version = 0;
@@ -47,7 +47,7 @@
             version};
 }
 
-/// A record as the previous version wrote it, with its fields and no others.
+/// A job's record as the previous version of this program wrote it, with exactly its fields.
 std::string recordOfPreviousVersion(const std::string& id, unsigned terminalState) {
     MessagePacker p;
     p.map(24).field("uid", id).field("berth", "c").field("crew", "t").field("rig", "sweep");
@@ -58,16 +58,16 @@
     return p.field("accepted_ms", 7000u).field("tasks_done", 0u).field("chunk_tasks", 16384u).take();
 }
 
-/// Jobs with dependencies, and the definition of what follows from them: each result is computed from all
-/// jobs anew.
-struct Graph {
-    std::vector<protocol::JobSpec> specs;       // each depends only on some before it
-    std::vector<TerminalState> terminalStates;  // as recorded
-    std::vector<std::uint64_t> ended;           // ms, of those done
-    std::vector<Priority> effectivePriority;    // of the open ones, by prioritize()
+/// A reference model of jobs with dependencies. Computes each result from all jobs, without any incremental
+/// state.
+struct DependencyModel {
+    std::vector<protocol::JobSpec> specs;       // jobs depend only on jobs before them
+    std::vector<TerminalState> terminalStates;  // as in the jobs' records
+    std::vector<std::uint64_t> ended;           // ms since 1970, for jobs that are done
+    std::vector<Priority> effectivePriority;    // of open jobs, set by prioritize()
     std::vector<std::optional<std::uint64_t>> due;
 
-    explicit Graph(std::size_t count)
+    explicit DependencyModel(std::size_t count)
         : terminalStates(count, TerminalState::none), ended(count, 0), effectivePriority(count), due(count) {}
 
     std::size_t count() const { return terminalStates.size(); }
@@ -75,7 +75,7 @@
         const auto& ids = specs[n].dependencies;
         return std::find(ids.begin(), ids.end(), idOf(other)) != ids.end();
     }
-    /// Cancelled by itself or with a dependency.
+    /// True if the job is cancelled by itself or with a dependency.
     bool cancelled(std::size_t n) const {
         std::vector<bool> out(count());
         for (std::size_t k = 0; k <= n; ++k) {
@@ -95,7 +95,7 @@
             if (dependsOn(n, m)) latest = std::max(latest, ended[m]);
         return latest;
     }
-    /// Sets the effective priority and due time of an open job, after those of its dependents.
+    /// Sets the effective priority and due time of an open job. Those of its dependents must have been set.
     void prioritize(std::size_t n, std::uint64_t acceptedMs) {
         effectivePriority[n] = specs[n].priority;
         if (specs[n].deadline) due[n] = acceptedMs + milliseconds(*specs[n].deadline);
@@ -103,8 +103,8 @@
             if (!dependsOn(k, n) || cancelled(k) || terminalStates[k] == TerminalState::done) continue;
             effectivePriority[n] = std::max(effectivePriority[n], effectivePriority[k]);
             if (!due[k]) continue;
-            const auto work = std::min(milliseconds(specs[k].estimatedRunTime), *due[k]);
-            due[n] = std::min(due[n].value_or(*due[k]), *due[k] - work);
+            const auto runTime = std::min(milliseconds(specs[k].estimatedRunTime), *due[k]);
+            due[n] = std::min(due[n].value_or(*due[k]), *due[k] - runTime);
         }
     }
 
@@ -114,9 +114,9 @@
     }
 };
 
-Graph anyGraph() {
-    Graph graph(*rc::gen::inRange<std::size_t>(1, 14));
-    for (std::size_t n = 0; n < graph.count(); ++n) {
+DependencyModel randomModel() {
+    DependencyModel model(*rc::gen::inRange<std::size_t>(1, 14));
+    for (std::size_t n = 0; n < model.count(); ++n) {
         std::vector<std::string> dependencies;
         for (std::size_t m = 0; m < n; ++m)
             if (*rc::gen::inRange(0, 3) == 0) dependencies.push_back(idOf(m));
@@ -124,100 +124,102 @@
         s.priority = *rc::gen::element(Priority::low, Priority::normal, Priority::high);
         s.estimatedRunTime = Seconds(*rc::gen::inRange(0, 50));
         if (*rc::gen::inRange(0, 3) == 0) s.deadline = Seconds(*rc::gen::inRange(1, 500));
-        graph.specs.push_back(s);
+        model.specs.push_back(s);
     }
-    return graph;
+    return model;
 }
 
-/// The replica agrees with the definition.
-void checkAgrees(Graph graph, StateReplica& replica) {
+/// Checks that the replica matches the reference model.
+void checkMatchesModel(DependencyModel model, StateReplica& replica) {
     replica.updateEffectivePriorities();
-    for (std::size_t n = graph.count(); n-- > 0;) {
+    for (std::size_t n = model.count(); n-- > 0;) {
         auto* job = replica.find(idOf(n));
-        RC_ASSERT((job->terminalState == TerminalState::cancelled) == graph.cancelled(n));
+        RC_ASSERT((job->terminalState == TerminalState::cancelled) == model.cancelled(n));
         RC_ASSERT((job->terminalState == TerminalState::done) ==
-                  (graph.terminalStates[n] == TerminalState::done));
+                  (model.terminalStates[n] == TerminalState::done));
         if (job->terminalState != TerminalState::none) continue;
-        RC_ASSERT(job->ready() == graph.ready(n));
-        if (job->ready()) RC_ASSERT(job->readyMs == graph.readyMs(n, job->acceptedMs));
-        graph.prioritize(n, job->acceptedMs);
-        RC_ASSERT(job->effectivePriority == graph.effectivePriority[n]);
-        RC_ASSERT(job->dueAtMs == graph.due[n]);
+        RC_ASSERT(job->ready() == model.ready(n));
+        if (job->ready()) RC_ASSERT(job->readyMs == model.readyMs(n, job->acceptedMs));
+        model.prioritize(n, job->acceptedMs);
+        RC_ASSERT(job->effectivePriority == model.effectivePriority[n]);
+        RC_ASSERT(job->dueAtMs == model.due[n]);
     }
 }
 
-/// A controller that starts now and reads all keys, in any order, agrees with the definition.
-void checkLateReader(const Graph& graph) {
-    StateReplica late;
-    std::vector<std::size_t> order(graph.count());
+/// Checks that the replica of a controller that starts now and reads all keys, in any order, matches the
+/// reference model.
+void checkReadInAnyOrder(const DependencyModel& model) {
+    StateReplica reader;
+    std::vector<std::size_t> order(model.count());
     for (std::size_t k = 0; k < order.size(); ++k) order[k] = k;
     for (std::size_t k = order.size(); k > 1; --k)
         std::swap(order[k - 1], order[*rc::gen::inRange<std::size_t>(0, k)]);
     for (const auto k : order) {
-        const auto version = graph.terminalStates[k] == TerminalState::none ? k + 1 : 101 + k;
-        record(graph.specs[k], graph.terminalStates[k], version, graph.ended[k]).applyTo(late);
+        const auto version = model.terminalStates[k] == TerminalState::none ? k + 1 : 101 + k;
+        record(model.specs[k], model.terminalStates[k], version, model.ended[k]).applyTo(reader);
     }
-    checkAgrees(graph, late);
+    checkMatchesModel(model, reader);
 }
 
 }  // namespace
 
-// A graph of jobs whose records are read in any order and whose ends come in between, compared with the
-// definition: a job is ready when all its dependencies are done, cancelled when one of them is, and has at
-// least the priority of its dependents.
+// Compares the replica with a reference model while jobs with random dependencies end one after the other,
+// for a replica that reads each change and for one that reads all records in random order. A job is ready
+// when all its dependencies are done, cancelled when one of them is cancelled, and has at least the priority
+// of its dependents.
 RC_GTEST_PROP(JobDependencies, RecordsReadInAnyOrderThenTheReplicaMatchesTheDefinition, ()) {
-    auto graph = anyGraph();
+    auto model = randomModel();
     std::uint64_t version = 100;
-    StateReplica live;  // reads each change as it comes
-    for (std::size_t n = 0; n < graph.count(); ++n) {
-        record(graph.specs[n], TerminalState::none, n + 1).applyTo(live);
+    StateReplica live;  // reads each change when it is made
+    for (std::size_t n = 0; n < model.count(); ++n) {
+        record(model.specs[n], TerminalState::none, n + 1).applyTo(live);
         if (*rc::gen::inRange(0, 2) == 0) live.updateEffectivePriorities();
     }
-    for (std::size_t step = 0; step < 2 * graph.count(); ++step) {
-        const auto n = *rc::gen::inRange<std::size_t>(0, graph.count());
-        if (graph.terminalStates[n] != TerminalState::none || graph.cancelled(n)) continue;
-        const bool ends = graph.ready(n) && *rc::gen::inRange(0, 4) != 0;
-        graph.terminalStates[n] = ends ? TerminalState::done : TerminalState::cancelled;
-        graph.ended[n] = ends ? 500'000 + step : 0;
-        record(graph.specs[n], graph.terminalStates[n], ++version, graph.ended[n]).applyTo(live);
-        checkAgrees(graph, live);
-        checkLateReader(graph);
+    for (std::size_t step = 0; step < 2 * model.count(); ++step) {
+        const auto n = *rc::gen::inRange<std::size_t>(0, model.count());
+        if (model.terminalStates[n] != TerminalState::none || model.cancelled(n)) continue;
+        const bool ends = model.ready(n) && *rc::gen::inRange(0, 4) != 0;
+        model.terminalStates[n] = ends ? TerminalState::done : TerminalState::cancelled;
+        model.ended[n] = ends ? 500'000 + step : 0;
+        record(model.specs[n], model.terminalStates[n], ++version, model.ended[n]).applyTo(live);
+        checkMatchesModel(model, live);
+        checkReadInAnyOrder(model);
     }
 }
 
-// A chain that would overflow the stack if it were followed by recursion, and a job with many dependents.
+// Covers a chain so long that recursion along it would overflow the stack, and a job with many dependents.
 TEST(JobDependencies, LongChainsAndWideFansThenPrioritiesAndCancellationsPropagate) {
-    constexpr std::size_t kLong = 200'000;
+    constexpr std::size_t kChainLength = 200'000;
     StateReplica replica;
-    for (std::size_t n = 0; n < kLong; ++n)
+    for (std::size_t n = 0; n < kChainLength; ++n)
         record(spec(n, n ? std::vector{idOf(n - 1)} : std::vector<std::string>{}), TerminalState::none, n + 1)
             .applyTo(replica);
-    auto last = spec(kLong, {idOf(kLong - 1)});
+    auto last = spec(kChainLength, {idOf(kChainLength - 1)});
     last.priority = Priority::high;
-    record(last, TerminalState::none, kLong + 1).applyTo(replica);
+    record(last, TerminalState::none, kChainLength + 1).applyTo(replica);
     replica.updateEffectivePriorities();
     EXPECT_EQ(replica.find(idOf(0))->effectivePriority, Priority::high);
-    record(spec(0), TerminalState::cancelled, kLong + 2).applyTo(replica);
-    EXPECT_EQ(replica.find(idOf(kLong))->terminalState, TerminalState::cancelled);
-    EXPECT_EQ(replica.cancelled().size(), 1u);  // one record stands for them all
+    record(spec(0), TerminalState::cancelled, kChainLength + 2).applyTo(replica);
+    EXPECT_EQ(replica.find(idOf(kChainLength))->terminalState, TerminalState::cancelled);
+    EXPECT_EQ(replica.cancelled().size(), 1u);  // only the job that a user cancelled
 
-    StateReplica fan;
-    record(spec(0), TerminalState::none, 1).applyTo(fan);
+    StateReplica wideReplica;
+    record(spec(0), TerminalState::none, 1).applyTo(wideReplica);
     for (std::size_t n = 1; n < 20'000; ++n)
-        record(spec(n, {idOf(0)}), TerminalState::none, n + 1).applyTo(fan);
+        record(spec(n, {idOf(0)}), TerminalState::none, n + 1).applyTo(wideReplica);
     auto urgent = spec(20'000, {idOf(0)});
     urgent.priority = Priority::high;
-    record(urgent, TerminalState::none, 20'001).applyTo(fan);
-    fan.updateEffectivePriorities();
-    EXPECT_EQ(fan.find(idOf(0))->effectivePriority, Priority::high);
-    record(urgent, TerminalState::cancelled, 20'002).applyTo(fan);
-    fan.updateEffectivePriorities();
-    EXPECT_EQ(fan.find(idOf(0))->effectivePriority, Priority::normal);
-    record(spec(0), TerminalState::done, 20'003, 5).applyTo(fan);
-    EXPECT_TRUE(fan.find(idOf(19'999))->ready());
+    record(urgent, TerminalState::none, 20'001).applyTo(wideReplica);
+    wideReplica.updateEffectivePriorities();
+    EXPECT_EQ(wideReplica.find(idOf(0))->effectivePriority, Priority::high);
+    record(urgent, TerminalState::cancelled, 20'002).applyTo(wideReplica);
+    wideReplica.updateEffectivePriorities();
+    EXPECT_EQ(wideReplica.find(idOf(0))->effectivePriority, Priority::normal);
+    record(spec(0), TerminalState::done, 20'003, 5).applyTo(wideReplica);
+    EXPECT_TRUE(wideReplica.find(idOf(19'999))->ready());
 }
 
-// The forms of the dependencies field: none in three ways, a list of ids, and anything else.
+// The dependencies field may be nil, an empty list or a list of job ids. Anything else is malformed.
 TEST(JobDependencies, DependenciesFieldThenOnlyListsOfIdsAreAccepted) {
     const auto decoded = [](const std::function<void(MessagePacker&)>& field) {
         MessagePacker p;
@@ -240,7 +242,7 @@
     EXPECT_THROW(decoded([](MessagePacker& p) { p.map(0); }), protocol::MalformedMessage);
 }
 
-// Each version reads what the other wrote.
+// During an upgrade, the previous version and this one must each read the records that the other wrote.
 TEST(JobDependencies, RecordsOfEitherVersionThenTheOtherReadsThem) {
     const auto old = recordOfPreviousVersion("wk-1", 1);
     const auto read = storage::decodeJob(protocol::unpackBody(old).get());
@@ -251,7 +253,7 @@
     StoredChange{storage::keys::job("wk-1"), old, 5}.applyTo(replica);
     auto next = spec(0, {"wk-1"});
     record(next, TerminalState::none, 6).applyTo(replica);
-    EXPECT_TRUE(replica.find(next.id)->ready());  // since it was accepted, as the end of the other is unknown
+    EXPECT_TRUE(replica.find(next.id)->ready());  // since its acceptance: the record has no time of the end
     EXPECT_EQ(replica.find(next.id)->readyMs, 6000u);
 
     // The previous version reads each of its fields by name and ignores others.
@@ -262,9 +264,9 @@
     const auto value = storage::encodeJob({next, TerminalState::done, 9, 2, 4, 77});
     const auto handle = protocol::unpackBody(value);
     const MapReader f(handle.get());
-    const auto formerValue = recordOfPreviousVersion("wk-1", 0);
-    const auto former = protocol::unpackBody(formerValue);
-    for (const auto& pair : former.get().via.map) {
+    const auto previousValue = recordOfPreviousVersion("wk-1", 0);
+    const auto previousRecord = protocol::unpackBody(previousValue);
+    for (const auto& pair : previousRecord.get().via.map) {
         const std::string_view name(pair.key.via.str.ptr, pair.key.via.str.size);
         const auto* field = f.find(name);
         if (name == "hulls" || name == "quay" || name == "sailingS") {
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -1,4 +1,5 @@
-// Leader election: fencing tokens, leases, lease votes of the peers, and what ends a leadership.
+// Tests of the leader election: fencing tokens, leases, lease votes of the peers, and the causes that end a
+// leadership.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -36,8 +37,8 @@
     }
 }
 
-// The lease ended without the leader's doing. Its next renewal tells it, and its writes fail as the fencing
-// token has been raised.
+// The lease expires although the leader did not end it. The leader learns this from its next renewal, and its
+// writes fail because the fencing token has been incremented.
 TEST_F(Leadership, LeaseEndedThenLeaderStopsAndItsWritesFail) {
     ServiceController a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -72,7 +73,8 @@
         1u);
 }
 
-// If the fencing token rises for whatever reason, a leader stops although its own lease lasts.
+// A leader stops when the stored fencing token is higher than its own, whatever the cause, even if its lease
+// is still valid.
 TEST_F(Leadership, FencingTokenRaisedThenLeaderStops) {
     ServiceController a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -87,8 +89,8 @@
     EXPECT_EQ(a.fencingToken, 0u);
 }
 
-// A leader that the key-value store refuses cannot end its lease there. Once it tells its peers that it
-// resigned, they need not wait until the lease ends.
+// A leader that the key-value store refuses cannot end its lease there. Once it has told its peers that it
+// resigned, they need not wait until the lease expires.
 TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
     ServiceController a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -106,32 +108,32 @@
     EXPECT_GT(b.fencingToken, fencingToken);
 }
 
-// In an outage nobody can write the leader's key. Votes of all peers extend the lease, so that workers keep
-// their tasks. Each peer is bound by its vote even if the key disappears.
+// In an outage of the key-value store no controller can write the leader's key. Votes of all peers extend the
+// leader lease, so that workers keep their tasks. Each peer is bound by its vote even if the key disappears.
 TEST_F(Leadership, OutageThenVotesOfAllPeersExtendTheLeaderLease) {
     ServiceController a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.until([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
     EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken, Clock::now()),
-              0ms);  // the key-value store answers
+              0ms);  // there is no outage
     const auto later = Clock::now() + 20s;
     EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken + 1, later), 0ms);
     EXPECT_EQ(b.election.voteForExtension("two", a.fencingToken, later), 0ms);
-    const auto life = b.election.voteForExtension("one", a.fencingToken, later);
-    ASSERT_GT(life, 0ms);
-    a.election.noteVote("two", life, later);
-    EXPECT_FALSE(a.election.valid(later));  // one of two
-    a.election.noteVote("three", life, later);
-    EXPECT_TRUE(a.election.valid(later + life / 2));
-    EXPECT_FALSE(a.election.valid(later + life));
+    const auto duration = b.election.voteForExtension("one", a.fencingToken, later);
+    ASSERT_GT(duration, 0ms);
+    a.election.noteVote("two", duration, later);
+    EXPECT_FALSE(a.election.valid(later));  // only one of two peers has voted
+    a.election.noteVote("three", duration, later);
+    EXPECT_TRUE(a.election.valid(later + duration / 2));
+    EXPECT_FALSE(a.election.valid(later + duration));
     stub.store.endLease(stub.store.leases.begin()->first);
     stub.wake();
     b.until([&] { return !b.replica.leader; });
-    for (int i = 0; i < 100; ++i) b.election.tick(later + i * life / 120), io.run_one_for(2ms);
+    for (int i = 0; i < 100; ++i) b.election.tick(later + i * duration / 120), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
-    while (!b.fencingToken) b.election.tick(later + 2 * life), io.run_one_for(5ms);
-    // A restarted process doesn't know its vote, so it waits as if it had voted.
+    while (!b.fencingToken) b.election.tick(later + 2 * duration), io.run_one_for(5ms);
+    // A restarted process does not know whether it voted before, so it waits as if it had.
     ServiceController c(io, stub, "three");
     c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
     stub.store.endLease(stub.store.leases.rbegin()->first);
@@ -142,7 +144,8 @@
     while (!c.fencingToken) c.election.tick(Clock::now() + 10s), io.run_one_for(5ms);
 }
 
-// A leader whose lease is renewed while its reads fail does not see the cancellations that others confirm.
+// A leader whose lease is renewed while its reads fail does not see the cancellations that other controllers
+// confirm, so it must stop.
 TEST_F(Leadership, ReadsFailThenLeaderStopsThoughItsLeaseIsRenewed) {
     ServiceController a(io, stub);
     a.config.workerLease = Seconds(10);
@@ -153,7 +156,7 @@
     while (!a.fencingToken) election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_TRUE(election.valid(Clock::now()));
     EXPECT_TRUE(election.cancellationsCurrent(Clock::now()));
-    // It may act for longer than it may start anything.
+    // It may act for longer after the last read than it may start tasks.
     EXPECT_FALSE(election.cancellationsCurrent(a.watcher.asOf() + 1900ms));
     EXPECT_TRUE(election.valid(a.watcher.asOf() + 1500ms));
     stub.readsFail = true;
@@ -168,8 +171,8 @@
     while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
 }
 
-// For the worker lease and cancel timeout of every deployment: after the longest time without a read, the
-// worker leases still end within the cancel timeout.
+// For the worker lease and cancel timeout of every deployment, worker leases that were renewed after the
+// longest permitted time without a read still end within the cancel timeout.
 TEST_F(Leadership, NoReadsThenWorkerLeasesEndWithinTheCancelTimeout) {
     for (const auto& [lease, cancel] : {std::pair(26.5, 46.5), {13, 33}, {24, 44}, {10, 30}, {30, 40}}) {
         auto s = serviceSettings("one");
--- a/tests/leadership/lease_votes_test.cpp
+++ b/tests/leadership/lease_votes_test.cpp
@@ -18,28 +18,29 @@
 TEST(LeaseVotes, VotesOfSomePeersThenNotInForce) {
     LeaseVotes votes;
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
-    EXPECT_FALSE(votes.allInForce({}, kStart));  // without peers there is nobody to vote
-    votes.noteReceived("two", LeaseVotes::kVoteLife, kStart);
+    EXPECT_FALSE(votes.allInForce({}, kStart));  // without peers there are no votes
+    votes.noteReceived("two", LeaseVotes::kVoteDuration, kStart);
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
-    votes.noteReceived("four", LeaseVotes::kVoteLife, kStart);
+    votes.noteReceived("four", LeaseVotes::kVoteDuration, kStart);
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
-    votes.noteReceived("three", LeaseVotes::kVoteLife, kStart);
+    votes.noteReceived("three", LeaseVotes::kVoteDuration, kStart);
     EXPECT_TRUE(votes.allInForce(kPeers, kStart));
-    votes.forgetReceived();
+    votes.discardReceived();
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
 }
 
-// The leader counts from when it asked and the peer from when it voted, so the leader's time ends first.
+// A vote runs for the leader from when it sent the request and for the peer from when it voted, so it ends
+// for the leader first.
 TEST(LeaseVotes, VoteReceivedThenItEndsBeforeThePeerIsUnbound) {
     LeaseVotes leader, peer;
-    const auto life = peer.giveVote(7, kStart);
-    leader.noteReceived("two", life, kStart);
+    const auto duration = peer.giveVote(7, kStart);
+    leader.noteReceived("two", duration, kStart);
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
-    EXPECT_TRUE(leader.allInForce(two, kStart + life - 200ms));
-    EXPECT_FALSE(leader.allInForce(two, kStart + life - 150ms));
-    EXPECT_TRUE(peer.isBound(kStart + life, 0));
-    EXPECT_FALSE(peer.isBound(kStart + life + 10ms, 0));
-    EXPECT_GE(LeaseVotes::kUnknownVoteLife, life + life / 1000);
+    EXPECT_TRUE(leader.allInForce(two, kStart + duration - 200ms));
+    EXPECT_FALSE(leader.allInForce(two, kStart + duration - 150ms));
+    EXPECT_TRUE(peer.isBound(kStart + duration, 0));
+    EXPECT_FALSE(peer.isBound(kStart + duration + 10ms, 0));
+    EXPECT_GE(LeaseVotes::kUnknownVoteDuration, duration + duration / 1000);
 }
 
 TEST(LeaseVotes, LongVoteThenCappedAndALaterRefusalLeavesItInForce) {
@@ -47,7 +48,7 @@
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
     votes.noteReceived("two", 60s, kStart);
     EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
-    EXPECT_FALSE(votes.allInForce(two, kStart + LeaseVotes::kVoteLife));
+    EXPECT_FALSE(votes.allInForce(two, kStart + LeaseVotes::kVoteDuration));
     votes.noteReceived("two", 0ms, kStart + 1s);
     EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
 }
@@ -58,6 +59,6 @@
     votes.giveVote(7, kStart);
     EXPECT_TRUE(votes.isBound(kStart, 6));
     EXPECT_FALSE(votes.isBound(kStart, 7));
-    votes.forgetReceived();
-    EXPECT_TRUE(votes.isBound(kStart, 6));  // the vote that it gave stays
+    votes.discardReceived();
+    EXPECT_TRUE(votes.isBound(kStart, 6));  // the vote that this controller gave still binds it
 }
--- a/tests/leadership/overload_monitor_test.cpp
+++ b/tests/leadership/overload_monitor_test.cpp
@@ -12,16 +12,16 @@
 
 class Overload : public testing::Test {
   protected:
-    /// Ticks for `lasting` that are each late by `late`.
-    void tickLate(Clock::duration late, Clock::duration lasting) {
-        const auto end = now + lasting;
+    /// Simulates ticks over a time of `total`, each late by `late`.
+    void tickLate(Clock::duration late, Clock::duration total) {
+        const auto end = now + total;
         while (now < end) {
             const auto due = now + 100ms;
             now = due + late;
             monitor.noteTick(due, now);
         }
     }
-    bool resigns() {
+    bool resignIfDue() {
         const bool should = monitor.shouldResign(now);
         if (should) monitor.noteResigned(now);
         return should;
@@ -37,16 +37,16 @@
     monitor.noteLeading(now);
     tickLate(50ms, 60s);
     EXPECT_FALSE(monitor.isOverloaded(now));
-    EXPECT_FALSE(resigns());
+    EXPECT_FALSE(resignIfDue());
 }
 
 TEST_F(Overload, TicksLateForLongThenLeaderShouldResign) {
     monitor.noteLeading(now);
     tickLate(0ms, 20s);
     tickLate(300ms, 1s);
-    EXPECT_FALSE(resigns());  // one long batch is no overload
+    EXPECT_FALSE(resignIfDue());  // one long batch of work is no overload
     tickLate(300ms, 1s);
-    EXPECT_TRUE(resigns());
+    EXPECT_TRUE(resignIfDue());
 }
 
 TEST_F(Overload, OneTickInTimeThenOverloadEnds) {
@@ -55,37 +55,37 @@
     for (int i = 0; i < 10; ++i) {
         tickLate(300ms, 1s);
         tickLate(0ms, 100ms);
-        EXPECT_FALSE(resigns());
+        EXPECT_FALSE(resignIfDue());
     }
 }
 
-// A new leader has much to do at once. If that counted as overload, nobody would lead for long.
+// A new leader has much work to do at once. If that counted as overload, no controller would stay leader.
 TEST_F(Overload, TicksLateAfterFailoverThenLeaderStays) {
     monitor.noteLeading(now);
     tickLate(300ms, 6s);
     EXPECT_TRUE(monitor.isOverloaded(now));
-    EXPECT_FALSE(resigns());
+    EXPECT_FALSE(resignIfDue());
     tickLate(300ms, 4s);
-    EXPECT_TRUE(resigns());
+    EXPECT_TRUE(resignIfDue());
 }
 
-// Where all controllers are too slow, leadership must not keep moving between them.
+// If all controllers are overloaded, the leadership must not move between them repeatedly.
 TEST_F(Overload, OverloadedAgainThenLeaderStaysLongerEachTime) {
     tickLate(300ms, 10s);
-    ASSERT_TRUE(resigns());
+    ASSERT_TRUE(resignIfDue());
     Clock::duration last = 0s;
     for (int i = 0; i < 4; ++i) {
         const auto from = now;
         do tickLate(300ms, 1s);
-        while (!resigns());
+        while (!resignIfDue());
         EXPECT_GT(now - from, last * 3 / 2);
         last = now - from;
     }
     tickLate(0ms, 2h);
     tickLate(300ms, 10s);
-    ASSERT_TRUE(resigns());
+    ASSERT_TRUE(resignIfDue());
     const auto from = now;
     do tickLate(300ms, 1s);
-    while (!resigns());
-    EXPECT_LT(now - from, 70s);  // as after the first time
+    while (!resignIfDue());
+    EXPECT_LT(now - from, 70s);  // the pause is reset to its initial value
 }
--- a/tests/leadership/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -24,7 +24,7 @@
 struct PeerExchangeTest : testing::Test {
     PeerExchangeTest() { settings.peers = {{"two", "z", ""}, {"three", "z", ""}}; }
 
-    void cancel(std::uint32_t job, std::uint64_t version) {
+    void storeCancelledJob(std::uint32_t job, std::uint64_t version) {
         protocol::JobSpec spec;
         spec.id = "wk-" + std::to_string(job);
         spec.jobClass = spec.image = "x";
@@ -33,7 +33,7 @@
         apply(replica, storage::keys::job(spec.id),
               storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, 4}), version);
     }
-    void leads(const std::string& node, std::uint64_t fencingToken) {
+    void storeLeader(const std::string& node, std::uint64_t fencingToken) {
         apply(replica, storage::keys::kLeader, storage::encodeLeader({node, fencingToken}),
               ++replica.revision);
     }
@@ -48,8 +48,9 @@
 
     protocol::Settings settings;
     bookkeeping::StateReplica replica;
-    std::vector<Cancellation> noted;
-    PeerExchange exchange{settings, replica, [this](const Cancellation& c) { noted.push_back(c); }};
+    std::vector<Cancellation> appliedCancellations;
+    PeerExchange exchange{settings, replica,
+                          [this](const Cancellation& c) { appliedCancellations.push_back(c); }};
     const Time start{1000s};
 };
 
@@ -66,8 +67,8 @@
 
 TEST_F(PeerExchangeTest, LeaderOutOfTouchThenNamesAPeerInTouchWithThatLeader) {
     exchange.noteStatus(status("three", 7), start);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // nobody leads
-    leads("two", 8);
+    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // there is no leader
+    storeLeader("two", 8);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // it is in touch with an earlier leader
     exchange.noteStatus(status("two", 8), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // the leader itself
@@ -76,36 +77,36 @@
     EXPECT_EQ(exchange.peerInTouchWithLeader(start + 3s), "");
 }
 
-// In a simulation, a follower that the key-value store refused did not know the new leader, and was the only
-// way to it for the workers behind a network partition.
+// A follower that the key-value store refuses learns of the new leader from its peers only. In a simulation
+// it was the only controller through which the workers behind a network partition could find the leader.
 TEST_F(PeerExchangeTest, PeerLeadsWithAHigherTokenThenItIsTheKnownLeader) {
     EXPECT_FALSE(exchange.knownLeader(start));
-    leads("one", 7);
+    storeLeader("one", 7);
     auto claim = status("two", 8);
     claim.fencingToken = 8;
     exchange.noteStatus(claim, start);
     ASSERT_TRUE(exchange.knownLeader(start));
     EXPECT_EQ(exchange.knownLeader(start)->node, "two");
     EXPECT_EQ(exchange.knownLeader(start)->fencingToken, 8u);
-    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other was not heard for a while
+    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other is no longer in touch
     claim.fencingToken = 6;
     exchange.noteStatus(claim, start);
-    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored one is newer
+    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored leader has the higher fencing token
     exchange.noteStatus(status("two"), start);
-    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the other leads no more
+    EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the other no longer leads
 }
 
 TEST_F(PeerExchangeTest, PeerServedForAWhileLongerThenRefusedAlone) {
     const auto lastAnswer = start;
     const auto now = start + 4s;
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // nobody was heard
+    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // no peer is in touch
     exchange.noteStatus(status("two", 0, 2100), now);
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // the peer is not served any more either
+    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // the peer is no longer answered either
     exchange.noteStatus(status("two", 0, 100), now);
     EXPECT_TRUE(exchange.refusedAlone(lastAnswer, now));
-    EXPECT_FALSE(exchange.refusedAlone(now - 2s, now));  // too short to tell
+    EXPECT_FALSE(exchange.refusedAlone(now - 2s, now));  // the store's silence is too short
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now + 3s));
-    // An outage that follows a refusal at once: the peer was served for less than two seconds more.
+    // An outage that directly follows a refusal: the store answered the peer for less than 2 s longer.
     exchange.noteStatus(status("two", 0, 1900), now - 300ms);
     EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now - 300ms));
 }
@@ -113,21 +114,21 @@
 TEST_F(PeerExchangeTest, ManyCancellationsThenSentInPartsAndOnlyOnce) {
     bookkeeping::StateReplica other;
     PeerExchange asking(settings, other, [](const Cancellation&) {});
-    for (std::uint32_t job = 0; job < 1100; ++job) cancel(job, job + 1);
-    other.revision = 50;  // what was stored up to here is known
-    std::size_t told = 0;
+    for (std::uint32_t job = 0; job < 1100; ++job) storeCancelledJob(job, job + 1);
+    other.revision = 50;  // the asking controller has read the state up to this revision
+    std::size_t received = 0;
     for (const std::size_t part : {500u, 500u, 50u}) {
         PeerStatus question, answer;
         asking.describeKnownState("two", question);
         EXPECT_EQ(question.revision, 50u);
         exchange.appendCancellations(question, answer);
-        told += answer.cancelled.size();
+        received += answer.cancelled.size();
         EXPECT_EQ(answer.cancelled.size(), part);
-        EXPECT_EQ(answer.complete, told == 1050);
+        EXPECT_EQ(answer.complete, received == 1050);
         answer.node = "two";
         EXPECT_EQ(asking.applyCancellations(answer), !answer.complete);
     }
-    EXPECT_EQ(told, 1050u);
+    EXPECT_EQ(received, 1050u);
     PeerStatus question, answer;
     asking.describeKnownState("two", question);
     exchange.appendCancellations(question, answer);
@@ -136,7 +137,7 @@
 }
 
 TEST_F(PeerExchangeTest, PeerRestartedThenItsLogIsReadFromTheStart) {
-    for (std::uint32_t job = 0; job < 3; ++job) cancel(job, job + 1);
+    for (std::uint32_t job = 0; job < 3; ++job) storeCancelledJob(job, job + 1);
     PeerExchange restarted(settings, replica, [](const Cancellation&) {});
     PeerStatus question, answer, again;
     exchange.appendCancellations(question, answer);
@@ -153,8 +154,8 @@
     answer.cancelled = {{"wk-1", 4}, {"wk-2", 9}};
     answer.log = 77;
     answer.logAt = 12;
-    EXPECT_TRUE(exchange.applyCancellations(answer));  // more is to come
-    EXPECT_EQ(noted, answer.cancelled);
+    EXPECT_TRUE(exchange.applyCancellations(answer));  // the peer has more cancellations
+    EXPECT_EQ(appliedCancellations, answer.cancelled);
     PeerStatus question;
     exchange.describeKnownState("two", question);
     EXPECT_EQ(question.log, 77u);
--- a/tests/leadership/service_controller.h
+++ b/tests/leadership/service_controller.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The parts of a controller that tests of the user API and of leader election need: user API, state watcher
-// and election, on a stub of the key-value store.
+// A test fixture with the parts of a controller that tests of the user API and of the leader election need:
+// user API, state watcher and election, connected to a stub of the key-value store.
 
 #include <gtest/gtest.h>
 
@@ -32,7 +32,7 @@
     return s;
 }
 
-/// A controller's user API and election on a stub of the key-value store.
+/// A controller's user API and election, connected to a stub of the key-value store.
 struct ServiceController {
     ServiceController(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
                       Seconds leadership = Seconds(0))
@@ -47,11 +47,11 @@
               [this] { fencingToken = 0; }) {
         watcher.start();
     }
-    /// Runs the event loop until the condition holds.
-    void until(const std::function<bool()>& holds) {
-        while (!holds()) io.run_one();
+    /// Runs the event loop until the condition is true.
+    void until(const std::function<bool()>& condition) {
+        while (!condition()) io.run_one();
     }
-    /// The user API's response. Status 599: it doesn't serve this path.
+    /// The user API's response to a request. Its status is 599 if the user API does not serve this path.
     transport::Response ask(const char* method, const std::string& path, std::string body = {}) {
         std::optional<transport::Response> out;
         transport::Request request;
@@ -63,7 +63,7 @@
         until([&] { return out.has_value(); });
         return *out;
     }
-    /// The job's state as users see it, or the response's status if that is not 200.
+    /// The job's state as the user API reports it, or the HTTP status of the response if that is not 200.
     std::string bearing(const std::string& id) {
         const auto r = ask("GET", "/submissions/" + id);
         if (r.status != 200) return std::to_string(r.status);
@@ -99,12 +99,12 @@
     return p.take();
 }
 
-/// The same for a job with dependencies.
+/// The body of a submission of a job with dependencies.
 inline std::string submissionAfter(const std::string& id, std::vector<std::string> dependencies) {
     return submission(id, 1, "team", 2, protocol::JobKind::array, std::move(dependencies));
 }
 
-/// An event loop and a key-value store stub that holds one machine type.
+/// An event loop and a stub of the key-value store that contains one machine type.
 struct ServiceControllerTest : testing::Test {
     asio::io_context io{1};
     StoreStub stub{io};
