--- a/src/main.cpp
+++ b/src/main.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-void startLogging() {
+void configureLogging() {
     spdlog::set_default_logger(spdlog::stderr_logger_st("burlpointd"));
     spdlog::set_pattern("%H:%M:%S.%e %l %v");
     const char* variable = std::getenv("LOG_LEVEL");
@@ -27,28 +27,29 @@
     else
         spdlog::set_level(spdlog::level::info);
     if (level != "error" && level != "debug" && level != "info")
-        spdlog::error("unknown log level, info is used LOG_LEVEL={}", level);
+        spdlog::error("unknown log level, using info LOG_LEVEL={}", level);
 }
 
-/// Raises the limit of open files as far as the system allows: a socket for each worker of a large fleet is
-/// more than the usual default.
+/// Raises the soft limit of open files as far as the hard limit allows. The usual default is too low for one
+/// socket per worker of a large fleet.
 void raiseOpenFileLimit(unsigned connections) {
-    constexpr rlim_t kOtherFiles = 64;  // standard error, timers and the like
+    constexpr rlim_t kOtherFiles = 64;  // open files besides connections, such as standard error and timers
     const rlim_t needed = connections + kOtherFiles;
     rlimit limit{};
     if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur >= needed) return;
     limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, needed);
     if (setrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur < needed)
-        spdlog::info("open files limited below what is needed allowed={} needed={}", limit.rlim_cur, needed);
+        spdlog::info("open file limit is below the required number allowed={} needed={}", limit.rlim_cur,
+                     needed);
 }
 
-/// Prints what `--check` says of valid settings.
+/// Prints the result of `--check` for valid settings.
 void printSummary(const std::string& file, const burlpoint::protocol::Settings& settings) {
     std::cout << file << ": controller " << settings.name << " in " << settings.zone << ", "
               << settings.peers.size() << " peers, " << settings.teams.size() << " teams: good\n";
 }
 
-/// Runs a controller until the process is ended.
+/// Runs a controller until the process is terminated.
 void runController(const burlpoint::protocol::Settings& settings, const burlpoint::protocol::Policy& policy) {
     raiseOpenFileLimit(settings.maxConnections);
     asio::io_context io(burlpoint::transport::kSingleThread);
@@ -59,7 +60,7 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): what fails before the settings are read ends the program
+// NOLINTNEXTLINE(bugprone-exception-escape): an exception before the settings are read ends the process
 int main(int argc, char** argv) {
     CLI::App app{"burlpointd, a controller of the burlpoint cluster scheduler"};
     std::string settingsFile;
@@ -71,7 +72,7 @@
     app.set_version_flag("--version", std::string("burlpointd ") + BURLPOINT_VERSION);
     CLI11_PARSE(app, argc, argv);
 
-    startLogging();
+    configureLogging();
     try {
         const auto settings = burlpoint::protocol::readSettings(settingsFile);
         const auto policy =
--- a/src/protocol/cloud_messages.h
+++ b/src/protocol/cloud_messages.h
@@ -20,12 +20,12 @@
     double cpus = 0;
     double gpus = 0;
     double memoryGb = 0;
-    double cacheGb = 0;              ///< disk space for images
+    double cacheGb = 0;              ///< disk space for cached images
     double fetchGbPerS = 0;          ///< speed at which a machine fetches images
-    double price = 0;                ///< of an ordinary machine, an hour
-    double spotPrice = 0;            ///< of a spot machine, an hour; changes all the time
-    Seconds boot{0};                 ///< that a new machine takes until its worker runs
-    std::vector<std::string> zones;  ///< that offer the type
+    double price = 0;                ///< of an on-demand machine, per hour
+    double spotPrice = 0;            ///< of a spot machine, per hour; changes continually
+    Seconds boot{0};                 ///< time until the worker of a new machine runs
+    std::vector<std::string> zones;  ///< the zones that offer the type
     bool operator==(const MachineType&) const = default;
 };
 
@@ -39,7 +39,7 @@
     std::string zone;
     bool spot = false;
     MachineState state = MachineState::booting;
-    Seconds age{0};  ///< since the instance request; 0 if the cloud does not say
+    Seconds age{0};  ///< since the instance request; 0 if the cloud does not report it
 };
 
 /// A request for machines. It is idempotent: repeated under the same name, it adds no machines.
@@ -62,19 +62,19 @@
 std::vector<MachineType> decodeMachineTypes(const msgpack::object& body);
 std::string encodeMachineTypes(const std::vector<MachineType>& types);
 std::string encodeInstanceRequest(const InstanceRequest& request);
-/// The ids of the machines that an instance request has added.
+/// Decodes the ids of the machines that an instance request has added.
 std::vector<std::string> decodeInstanceIds(std::string_view body);
 /// `machines`: the ids of the machines to delete.
 std::string encodeInstanceDeletion(const std::vector<std::string>& machines);
 InstancePage decodeInstancePage(std::string_view body);
-/// Whether the body of a refusal tells of a capacity error. False for a body that can't be read.
+/// True if the body of an error response reports that the cloud has no capacity. False for a malformed body.
 bool saysNoCapacity(std::string_view body);
 
 namespace paths {
 inline constexpr char kTypes[] = "/flavors";            ///< machine types
 inline constexpr char kInstanceRequest[] = "/rentals";  ///< POST: a request; GET: the list of machines
 inline constexpr char kInstanceDeletion[] = "/rentals/release";
-/// The page of at most `limit` machines whose ids sort after `after`.
+/// The request target for the page of at most `limit` machines whose ids sort after `after`.
 std::string instancePage(const std::string& after, unsigned limit);
 }  // namespace paths
 
--- a/src/protocol/enum_names.h
+++ b/src/protocol/enum_names.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Tables between the enumerators of a type and the words that stand for them in messages.
+// Tables that map the enumerators of a type to their names in messages.
 
 #include <array>
 #include <cstddef>
@@ -12,19 +12,19 @@
 
 namespace burlpoint::protocol {
 
-/// The word on the wire and the enumerator, for every value of `E` that may be sent.
+/// The name on the wire and the enumerator, for every value of `E` that may be sent.
 template <typename E, std::size_t N>
 using EnumNames = std::array<std::pair<std::string_view, E>, N>;
 
-/// The enumerator that the word stands for; throws `MalformedMessage` if there is none.
+/// The enumerator with the name `wireName`; throws `MalformedMessage` if there is none.
 template <typename E, std::size_t N>
-E parseEnum(const EnumNames<E, N>& names, std::string_view word) {
+E parseEnum(const EnumNames<E, N>& names, std::string_view wireName) {
     for (const auto& [name, value] : names)
-        if (name == word) return value;
-    throw MalformedMessage("unknown word \"" + std::string(word) + "\"");
+        if (name == wireName) return value;
+    throw MalformedMessage("unknown word \"" + std::string(wireName) + "\"");
 }
 
-/// The word for the enumerator; empty if the table has none.
+/// The name of the enumerator on the wire; empty if the table has none.
 template <typename E, std::size_t N>
 std::string_view enumName(const EnumNames<E, N>& names, E wanted) {
     for (const auto& [name, value] : names)
--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -25,9 +25,9 @@
 
 constexpr std::string_view kJobIdPrefix = "wk-";
 constexpr std::size_t kMaxJobIdDigits = 20;
-constexpr std::size_t kMaxNameBytes = 100;  // of names that users choose
+constexpr std::size_t kMaxNameBytes = 100;  // length of names that users choose
 constexpr std::size_t kMaxMachineTypes = 16;
-constexpr std::size_t kSpecFields = 20;  // without the dependencies
+constexpr std::size_t kSpecFields = 20;  // not counting the dependencies
 
 std::uint32_t decodeTaskCount(const MapReader& fields) {
     const auto tasks = fields.integer(wire::kTasks);
@@ -42,13 +42,13 @@
     return types;
 }
 
-/// The ids in the order given, each once.
+/// The ids in the given order, without duplicates.
 std::vector<std::string> decodeDependencies(const MapReader& fields) {
     std::vector<std::string> dependencies;
     for (auto& id : fields.texts(wire::job::kDependencies)) {
         if (!isJobId(id)) MapReader::throwInvalid(wire::job::kDependencies);
-        const auto known = std::find(dependencies.begin(), dependencies.end(), id);
-        if (known == dependencies.end()) dependencies.push_back(std::move(id));
+        const auto seen = std::find(dependencies.begin(), dependencies.end(), id);
+        if (seen == dependencies.end()) dependencies.push_back(std::move(id));
     }
     return dependencies;
 }
@@ -116,7 +116,7 @@
         packer.field(wire::job::kDeadlineS, spec.deadline->count());
     else
         packer.nil(wire::job::kDeadlineS);
-    // Left out when there are none, as in the records of versions without dependencies.
+    // Omitted if there are none, as in the records of versions without dependencies.
     if (hasDependencies) packer.field(wire::job::kDependencies, spec.dependencies);
 }
 
--- a/src/protocol/job_messages.h
+++ b/src/protocol/job_messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The messages exchanged with users: jobs as they submit them, and the answers to submissions, cancellations
-// and questions about a job's state. Holds no state.
+// The messages exchanged with users: jobs as they submit them, and the replies to submissions, cancellations
+// and queries of a job's state. Holds no state.
 
 #include <cstddef>
 #include <cstdint>
@@ -31,25 +31,25 @@
 /// A job as its user describes it.
 struct JobSpec {
     std::string id;
-    std::string jobClass;  ///< by which service-level objectives name their jobs
+    std::string jobClass;  ///< the class of jobs to which service-level objectives refer
     std::string team;
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;  ///< from 1 to `kMaxTasks`
-    double cpus = 0;          ///< of each task
-    double gpus = 0;          ///< of each task
-    double memoryGb = 0;      ///< of each task
-    std::string image;        ///< that each task needs on its machine
+    double cpus = 0;          ///< per task
+    double gpus = 0;          ///< per task
+    double memoryGb = 0;      ///< per task
+    std::string image;        ///< the image that each task needs on its machine
     double imageGb = 0;
-    std::optional<std::vector<std::string>> types;  ///< machine types that it may use; none: all
-    std::optional<std::string> zone;                ///< the only zone that it may use; none: all
+    std::optional<std::vector<std::string>> types;  ///< allowed machine types; absent: all
+    std::optional<std::string> zone;                ///< the only allowed zone; absent: all
     bool singleZone = false;                        ///< all its tasks run in the same zone
     bool spreadZones = false;               ///< at most half of its tasks, rounded up, run in the same zone
     bool spot = false;                      ///< its tasks may run on spot machines
-    Seconds estimatedRunTime{0};            ///< of each task
-    Seconds checkpointInterval{0};          ///< between two checkpoints; 0: it makes none
-    Seconds saveTime{0};                    ///< that a checkpoint takes
-    std::optional<Seconds> deadline;        ///< from the submission on
+    Seconds estimatedRunTime{0};            ///< per task
+    Seconds checkpointInterval{0};          ///< between two checkpoints; 0: no checkpoints
+    Seconds saveTime{0};                    ///< the time that a checkpoint takes
+    std::optional<Seconds> deadline;        ///< counted from the submission
     std::vector<std::string> dependencies;  ///< jobs that must be done before any of its tasks starts
     bool operator==(const JobSpec&) const = default;
 };
@@ -59,16 +59,16 @@
 
 /// Throws `MalformedMessage` for a spec that lacks a field or has one that is out of range.
 JobSpec decodeSpec(const msgpack::object& body);
-/// Packs the spec as a map that has room for `extraFields` more fields, which the caller has to add.
+/// Packs the spec as a map. Its size counts `extraFields` more fields, which the caller has to add.
 void packSpec(MessagePacker& packer, const JobSpec& spec, std::size_t extraFields = 0);
 
 std::string jobReply(const std::string& id, JobState state);
 /// `done`, `running`: numbers of tasks.
 std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running);
 
-/// The body of a refusal with its reason.
+/// The body of an error response.
 std::string errorReply(std::string_view reason);
-/// The reason in the body of a refusal; empty if the body has none or can't be read.
+/// The reason in the body of an error response; empty if the body has none or is malformed.
 std::string decodeErrorReply(std::string_view body);
 
 namespace paths {
--- a/src/protocol/json_size.cpp
+++ b/src/protocol/json_size.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t kBrackets = 2;        // also the quotes around a text
+constexpr std::size_t kDelimiters = 2;      // brackets, braces or quotes around a value
 constexpr std::size_t kSeparator = 2;       // ", " or ": "
 constexpr std::size_t kEscape = 6;          // "\u00e9"
-constexpr std::size_t kSurrogatePair = 12;  // two escapes, for characters beyond the basic plane
+constexpr std::size_t kSurrogatePair = 12;  // two escapes, outside the Basic Multilingual Plane
 constexpr std::size_t kLongestLiteral = 5;  // "false"
 constexpr std::size_t kFraction = 2;        // ".0", which some writers add to whole numbers
 
@@ -20,12 +20,12 @@
     const auto byte = static_cast<unsigned char>(c);
     if (byte < 0x20 || byte == 0x7f) return kEscape;
     if (byte < 0x80) return c == '"' || c == '\\' || c == '/' ? 2 : 1;
-    if (byte < 0xc0) return 0;  // a later byte of a UTF-8 character, counted with its first one
+    if (byte < 0xc0) return 0;  // a UTF-8 continuation byte, counted with the character's first byte
     return byte >= 0xf0 ? kSurrogatePair : kEscape;
 }
 
 std::size_t jsonBytesOfText(std::string_view text) {
-    std::size_t bytes = kBrackets;
+    std::size_t bytes = kDelimiters;
     for (const char c : text) bytes += jsonBytesOfCharacter(c);
     return bytes;
 }
@@ -39,7 +39,7 @@
 }  // namespace
 
 std::size_t jsonBytes(const msgpack::object& value) {
-    std::size_t bytes = kBrackets;
+    std::size_t bytes = kDelimiters;
     switch (value.type) {
         case msgpack::type::MAP:
             for (const auto& pair : value.via.map)
--- a/src/protocol/json_size.h
+++ b/src/protocol/json_size.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The size of a MessagePack value as JSON. The key-value store counts its size limits in JSON.
+// The size of a MessagePack value as JSON. The size limits of the key-value store apply to JSON text.
 
 #include <cstddef>
 #include <msgpack/object_fwd.hpp>
@@ -8,8 +8,8 @@
 
 namespace burlpoint::protocol {
 
-/// At most how many bytes a value takes as JSON, with a space after each separator and every character beyond
-/// ASCII escaped, as some writers do.
+/// An upper bound of the bytes that a value takes as JSON, with a space after each separator and every
+/// non-ASCII character escaped, as some JSON writers do.
 std::size_t jsonBytes(const msgpack::object& value);
 /// The same for a packed value; throws `MalformedMessage`.
 std::size_t jsonBytes(std::string_view packed);
--- a/src/protocol/map_reader.cpp
+++ b/src/protocol/map_reader.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-/// Far beyond every amount of a real cluster, so that sums of amounts stay finite and exact enough.
+/// Far above any amount in a real cluster; keeps sums of amounts finite and sufficiently exact.
 constexpr double kMaxAmount = 1e12;
 
-// A body of a few bytes can announce sizes that would take all memory; unpacking stops at these.
-constexpr std::size_t kMaxElements = 100'000;  // of a list or a map
+// A body of a few bytes can declare sizes that would exhaust the memory; unpacking fails above these limits.
+constexpr std::size_t kMaxElements = 100'000;  // in a list or a map
 constexpr std::size_t kMaxTextSize = 8 << 20;  // bytes, also of binary and extension values
-constexpr std::size_t kMaxDepth = 32;          // of lists and maps in each other
+constexpr std::size_t kMaxDepth = 32;          // of nested lists and maps
 
 bool refersToBody(msgpack::type::object_type /*type*/, std::size_t /*size*/, void* /*user*/) { return true; }
 
--- a/src/protocol/map_reader.h
+++ b/src/protocol/map_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Reading of MessagePack: unpacking of a whole body, and typed, checked access to the fields of a map. All
-// input counts as untrusted: whatever does not have the expected form throws `MalformedMessage`.
+// Reads MessagePack: unpacks a whole body and gives typed, checked access to the fields of a map. All input
+// is untrusted: whatever does not have the expected form makes the functions throw `MalformedMessage`.
 
 #include <cstddef>
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 namespace burlpoint::protocol {
 
-/// Unpacks one whole body; throws `MalformedMessage` for anything else, bytes after it included. Texts of the
-/// result are not copied but refer to `body`, which has to outlive it.
+/// Unpacks a body, which must be exactly one value; throws `MalformedMessage` for anything else, including
+/// trailing bytes. Texts of the result are not copied but refer to `body`, which has to outlive the result.
 msgpack::object_handle unpackBody(std::string_view body);
-/// Not for a temporary text, to which the result would refer.
+/// Deleted, since the result would refer to a temporary.
 msgpack::object_handle unpackBody(std::string&& body) = delete;
 
 /// Read access to the fields of a MessagePack map. Unknown fields are ignored, and a nil value counts as an
@@ -29,7 +29,7 @@
     /// Longest text that a field may have, in bytes, unless the caller sets another limit.
     static constexpr std::size_t kMaxTextBytes = 200;
 
-    /// Throws `MalformedMessage` if `object` is no map. The object has to outlive the reader.
+    /// Throws `MalformedMessage` if `object` is not a map. The object has to outlive the reader.
     explicit MapReader(const msgpack::object& object) : map_(object) {
         if (object.type != msgpack::type::MAP) throw MalformedMessage("not a map");
     }
@@ -52,16 +52,16 @@
     std::string text(std::string_view key, std::size_t maxBytes = kMaxTextBytes) const {
         return std::string(textView(key, maxBytes));
     }
-    /// A text that lives no longer than the body.
+    /// The text as a view into the body, valid no longer than the body.
     std::string_view textView(std::string_view key, std::size_t maxBytes = kMaxTextBytes) const {
         return asText(need(key), key, maxBytes);
     }
     std::optional<std::string> maybeText(std::string_view key, std::size_t maxBytes = kMaxTextBytes) const;
 
     std::uint64_t integer(std::string_view key) const { return asInteger(need(key), key); }
-    std::uint64_t integerOr(std::string_view key, std::uint64_t otherwise) const {
+    std::uint64_t integerOr(std::string_view key, std::uint64_t defaultValue) const {
         const auto* value = find(key);
-        return value ? asInteger(*value, key) : otherwise;
+        return value ? asInteger(*value, key) : defaultValue;
     }
 
     /// A finite number from 0 to 1e12, with or without a fraction.
@@ -69,12 +69,12 @@
     std::optional<double> maybeAmount(std::string_view key) const;
 
     bool flag(std::string_view key) const { return asFlag(need(key), key); }
-    bool flagOr(std::string_view key, bool otherwise) const {
+    bool flagOr(std::string_view key, bool defaultValue) const {
         const auto* value = find(key);
-        return value ? asFlag(*value, key) : otherwise;
+        return value ? asFlag(*value, key) : defaultValue;
     }
 
-    /// How many elements a list field has; 0 if it is absent or not a list.
+    /// The number of elements of a list field; 0 if it is absent or not a list.
     std::size_t size(std::string_view key) const {
         const auto* value = find(key);
         return value && value->type == msgpack::type::ARRAY ? value->via.array.size : 0;
@@ -90,7 +90,7 @@
     /// The elements of a list of texts; an absent field has none.
     std::vector<std::string> texts(std::string_view key) const;
 
-    /// Throws the `MalformedMessage` for a field whose value is not allowed.
+    /// Throws `MalformedMessage` for a field whose value is not allowed.
     [[noreturn]] static void throwInvalid(std::string_view key);
 
   private:
--- a/src/protocol/message_packer.h
+++ b/src/protocol/message_packer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Writing of MessagePack into a buffer that the packer owns.
+// Writes MessagePack into a buffer that the packer owns.
 
 #include <cstddef>
 #include <cstdint>
@@ -11,8 +11,8 @@
 
 namespace burlpoint::protocol {
 
-/// Packs values one after the other. A map or a list is opened with its size, and its fields or elements have
-/// to follow, exactly that many; this is not checked.
+/// Packs values in sequence. `map` and `list` take the number of fields or elements, and exactly that many
+/// have to follow; this is not checked.
 class MessagePacker {
   public:
     MessagePacker() : packer_(buffer_) {}
@@ -34,26 +34,26 @@
         packer_.pack_nil();
         return *this;
     }
-    /// Bytes that are MessagePack already.
+    /// Appends bytes that are already MessagePack.
     MessagePacker& raw(std::string_view packed) {
         buffer_.write(packed.data(), packed.size());
         return *this;
     }
 
-    /// The name of a map's field, whose value has to follow.
+    /// Packs the name of a map's field, whose value has to follow.
     MessagePacker& key(std::string_view name) { return value(name); }
     template <typename T>
     MessagePacker& field(std::string_view name, const T& v) {
         return key(name).value(v);
     }
-    /// A field without a value, which readers take for an absent one.
+    /// Packs a field with a nil value, which readers treat as an absent field.
     MessagePacker& nil(std::string_view name) { return key(name).nilValue(); }
     template <typename T>
     MessagePacker& maybe(std::string_view name, const std::optional<T>& v) {
         return v ? field(name, *v) : nil(name);
     }
 
-    /// A copy of what has been packed so far.
+    /// A copy of the bytes packed so far.
     std::string take() const { return {buffer_.data(), buffer_.size()}; }
 
   private:
--- a/src/protocol/msgpack_codec.h
+++ b/src/protocol/msgpack_codec.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Everything for reading and writing MessagePack in one include.
+// Includes all headers for reading and writing MessagePack.
 
 #include "protocol/json_size.h"
 #include "protocol/map_reader.h"
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -20,7 +20,7 @@
     status.leaderToken = fields.integerOr(wire::peer::kLeaderToken, 0);
     status.voteMs = fields.integerOr(wire::peer::kVoteMs, 0);
     status.revision = fields.integerOr(wire::peer::kRevision, 0);
-    status.log = fields.integerOr(wire::peer::kLog, 0);
+    status.log = fields.integerOr(wire::peer::kLogId, 0);
     status.logAt = fields.integerOr(wire::peer::kLogPosition, 0);
     status.complete = fields.flagOr(wire::peer::kComplete, false);
     fields.each(wire::peer::kCancelled, [&](const msgpack::object& element) {
@@ -47,7 +47,7 @@
     packer.field(wire::peer::kLeaderToken, status.leaderToken);
     packer.field(wire::peer::kVoteMs, status.voteMs);
     packer.field(wire::peer::kRevision, status.revision);
-    packer.field(wire::peer::kLog, status.log);
+    packer.field(wire::peer::kLogId, status.log);
     packer.field(wire::peer::kLogPosition, status.logAt);
     packer.field(wire::peer::kComplete, status.complete);
     packer.key(wire::peer::kCancelled).list(status.cancelled.size());
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -14,28 +14,30 @@
 /// A job that its user has cancelled.
 struct Cancellation {
     std::string job;
-    std::uint64_t version = 0;  ///< of the job's record that says so
+    std::uint64_t version = 0;  ///< of the job record that stores the cancellation
     bool operator==(const Cancellation&) const = default;
 };
 
-/// A controller's status, sent to a peer as a question or as the answer to one.
+/// A controller's status, sent to a peer as a request or as the response to one.
 ///
-/// Each controller keeps a log of the cancellations that it knows, identified by a number that it draws when
-/// it starts. A leader asks its peers for the cancellations that they know and it may not.
+/// Each controller keeps a log of the cancellations that it knows, identified by a random number drawn when
+/// the controller starts. A leader requests from its peers the cancellations that it may not know yet.
 struct PeerStatus {
     std::string node;                 ///< the sender's name
     std::uint64_t fencingToken = 0;   ///< of a leader; 0 from a follower
-    std::uint64_t resignedToken = 0;  ///< that the sender led with, and will never act under again
+    std::uint64_t resignedToken = 0;  ///< that the sender led with and will never use again
     std::uint64_t stateAgeMs = 0;     ///< since the key-value store last answered the sender
-    std::uint64_t leaderToken = 0;    ///< of the leader that the sender is, or is in touch with
-    std::uint64_t voteMs = 0;  ///< in an answer to a leader: for this long the sender won't try to lead
-    /// Of a leader: how many tasks of each job run.
+    std::uint64_t leaderToken = 0;    ///< of the leader: the sender itself, or the one it is in contact with
+    std::uint64_t voteMs = 0;         ///< in a response to a leader: how long the sender will not try to lead
+    /// Of a leader: the number of running tasks of each job.
     std::vector<std::pair<std::string, std::uint32_t>> running;
-    std::uint64_t revision = 0;  ///< of a leader: it knows everything stored up to this revision
-    std::uint64_t log = 0;       ///< in a question: the log to read from; in an answer: the sender's own log
-    std::uint64_t logAt = 0;  ///< in a question: where to begin; in an answer: up to where it tells the log
+    std::uint64_t revision = 0;  ///< of a leader: the store revision up to which it has read all changes
+    /// In a request: the log to read. In a response: the sender's own log.
+    std::uint64_t log = 0;
+    /// In a request: where to begin reading. In a response: the end of the part that was read.
+    std::uint64_t logAt = 0;
     std::vector<Cancellation> cancelled;
-    bool complete = false;  ///< in an answer: it reaches the end of the log
+    bool complete = false;  ///< in a response: the end of the log was reached
     bool operator==(const PeerStatus&) const = default;
 };
 
--- a/src/protocol/policy.cpp
+++ b/src/protocol/policy.cpp
@@ -13,16 +13,16 @@
 
 std::string tagOf(const pugi::xml_node& node) { return std::string("<").append(node.name()).append(">"); }
 
-/// The element's text as a number from `least` to `most`.
+/// The element's text as a number from `least` to `most`; throws `InvalidSettings` for any other text.
 double number(const pugi::xml_node& node, double least, double most) {
     const std::string_view text = node.text().get();
     const auto* end = text.data() + text.size();
     double value = 0;
     const auto [stop, error] = std::from_chars(text.data(), end, value);
-    const bool isWithin = value >= least && value <= most;  // false for NaN
-    if (error != std::errc() || stop != end || !isWithin)
-        throw InvalidSettings(tagOf(node) + ": a number between " + std::to_string(least) + " and " +
-                              std::to_string(most) + " is needed");
+    const bool isInRange = value >= least && value <= most;  // false for NaN
+    if (error != std::errc() || stop != end || !isInRange)
+        throw InvalidSettings(tagOf(node) + ": expected a number in [" + std::to_string(least) + ", " +
+                              std::to_string(most) + "]");
     return value;
 }
 
@@ -30,7 +30,7 @@
     return Seconds(number(node, least, most));
 }
 
-/// Sets the field that the element is for; false if there is no such element.
+/// Sets the field of the policy that the element names; returns false if the element is unknown.
 bool readElement(const pugi::xml_node& node, Policy& policy) {
     const std::string_view name = node.name();
     if (name == "leadership-s")
@@ -59,7 +59,7 @@
 Policy parsePolicy(const std::string& text) {
     pugi::xml_document document;
     const auto result = document.load_string(text.c_str());
-    if (!result) throw InvalidSettings(std::string("not XML: ") + result.description());
+    if (!result) throw InvalidSettings(std::string("malformed XML: ") + result.description());
     const auto root = document.document_element();
     if (std::string_view(root.name()) != "burlpoint")
         throw InvalidSettings(tagOf(root) + ": the root element must be <burlpoint>");
@@ -67,7 +67,7 @@
     std::set<std::string_view> seen;
     for (const auto& node : root.children()) {
         if (node.type() != pugi::node_element) continue;
-        if (seen.contains(node.name())) throw InvalidSettings(tagOf(node) + ": given twice");
+        if (seen.contains(node.name())) throw InvalidSettings(tagOf(node) + ": duplicate element");
         if (!readElement(node, policy)) throw InvalidSettings(tagOf(node) + ": unknown element");
         seen.insert(node.name());
     }
--- a/src/protocol/policy.h
+++ b/src/protocol/policy.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // The operators' policy: an XML file in which operators tune how the cluster is run. The platform's settings
-// are in protocol/settings.h. Read once at the start; nothing changes afterwards.
+// are in protocol/settings.h. Read once at startup and not changed afterwards.
 
 #include <string>
 
@@ -10,15 +10,15 @@
 
 namespace burlpoint::protocol {
 
-/// Operator policy. Every element of the file is optional; the defaults suit both first deployments.
+/// Operator policy. Every element of the file is optional; the defaults suit the first two deployments.
 struct Policy {
-    Seconds leadership{0};    ///< life of the leader's lease; 0: derived from the workers' lease
-    Seconds idleKeep{10};     ///< how long a machine without tasks is kept, at least
-    double bootKeep = 0.8;    ///< the same as a multiple of its type's boot time; the longer of both counts
-    Seconds minimumKeep{55};  ///< how long every machine is kept, as the cloud charges a minute at least
-    Seconds backlogHorizon{45};      ///< the time in which a backlog of short tasks should be worked off
-    Seconds fetchStart{5};           ///< assumed time to fetch an image until a fetch has been measured
-    Seconds longestPassedOver{120};  ///< a job that has waited longer goes before others of its priority
+    Seconds leadership{0};       ///< duration of the leader's lease; 0: derived from the workers' lease
+    Seconds idleKeep{10};        ///< minimum time for which a machine without tasks is kept
+    double bootKeep = 0.8;       ///< the same as a multiple of its type's boot time; the longer time applies
+    Seconds minimumKeep{55};     ///< minimum lifetime of a machine; the cloud charges at least a minute
+    Seconds backlogHorizon{45};  ///< target time to work off a backlog of short tasks
+    Seconds fetchStart{5};       ///< assumed time to fetch an image until a fetch has been measured
+    Seconds longestPassedOver{120};  ///< a job that has waited longer precedes others of its priority
     bool preempt = true;             ///< whether running tasks may be preempted
 };
 
--- a/src/protocol/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -16,8 +16,8 @@
     return response;
 }
 
-Response retryLater(int status, std::string_view why, std::chrono::seconds retryAfter) {
-    auto response = respond(status, errorReply(why));
+Response retryLater(int status, std::string_view reason, std::chrono::seconds retryAfter) {
+    auto response = respond(status, errorReply(reason));
     response.retryAfter = retryAfter;
     return response;
 }
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -4,17 +4,17 @@
 
 #include "protocol/toml_section.h"
 
-// Each function reads one table of the file. The names of fields and tables are the platform's.
+// Each function reads one table of the file. The platform defines the names of fields and tables.
 
 namespace burlpoint::protocol {
 
 namespace {
 
 constexpr double kDayS = 86'400;
-constexpr double kLargestAmount = 1e9;  // no cluster comes near; keeps sums exact
+constexpr double kMaxAmount = 1e9;  // far above any real cluster; keeps sums exact
 
-// Bounds of the key-value store's limits. With fewer than two writes in a transaction, no leader could record
-// that it leads.
+// Bounds of the key-value store's limits. A leader needs two writes in one transaction to record its
+// leadership.
 constexpr double kMinValueKb = 1;
 constexpr double kMaxValueKb = 1e6;
 constexpr double kMinTransactionWrites = 2;
@@ -24,7 +24,7 @@
     return Seconds(section.number(key, least, most));
 }
 
-unsigned wholeNumber(double number) { return static_cast<unsigned>(number); }
+unsigned toUnsigned(double number) { return static_cast<unsigned>(number); }
 
 void readController(const TomlSection& root, Settings& settings) {
     settings.name = root.text("label");
@@ -38,7 +38,7 @@
     for (const auto& peer : root.sections("known")) {
         settings.peers.push_back({peer.text("label"), peer.text("area"), peer.address("peer_addr")});
         const auto& name = settings.peers.back().name;
-        if (!names.insert(name).second) throw InvalidSettings("known: two nodes named " + name);
+        if (!names.insert(name).second) throw InvalidSettings("known: duplicate controller name " + name);
     }
 }
 
@@ -52,12 +52,12 @@
     for (const auto& section : cluster.sections("teams")) {
         Team team;
         team.name = section.text("name");
-        team.guaranteedCpus = section.number("cpus", 0, kLargestAmount);
-        team.maxCpus = section.number("cpus_max", 0, kLargestAmount);
-        team.guaranteedGpus = section.number("gpus", 0, kLargestAmount);
-        team.maxGpus = section.number("gpus_max", 0, kLargestAmount);
+        team.guaranteedCpus = section.number("cpus", 0, kMaxAmount);
+        team.maxCpus = section.number("cpus_max", 0, kMaxAmount);
+        team.guaranteedGpus = section.number("gpus", 0, kMaxAmount);
+        team.maxGpus = section.number("gpus_max", 0, kMaxAmount);
         if (!names.insert(team.name).second)
-            throw InvalidSettings("cluster.teams: two teams named " + team.name);
+            throw InvalidSettings("cluster.teams: duplicate team name " + team.name);
         settings.teams.push_back(std::move(team));
     }
 }
@@ -84,36 +84,36 @@
 }
 
 void readStoreLimits(const TomlSection& store, Settings& settings) {
-    settings.storeRequestsPerSecond = store.number("rps", 1, kLargestAmount);
-    settings.storeWritesPerSecond = store.number("write_rps", 1, kLargestAmount);
+    settings.storeRequestsPerSecond = store.number("rps", 1, kMaxAmount);
+    settings.storeWritesPerSecond = store.number("write_rps", 1, kMaxAmount);
     settings.maxValueKb = store.number("value_kb", kMinValueKb, kMaxValueKb);
     settings.maxTransactionWrites =
-        wholeNumber(store.number("txn_ops", kMinTransactionWrites, kMaxTransactionWrites));
+        toUnsigned(store.number("txn_ops", kMinTransactionWrites, kMaxTransactionWrites));
     const auto next = store.maybeSection("next");
     if (!next) return;
-    // A limit that is not named there does not change.
+    // A limit that this table does not contain stays unchanged.
     StoreLimits limits;
-    limits.writesPerSecond = next->numberOr("write_rps", 1, kLargestAmount, settings.storeWritesPerSecond);
+    limits.writesPerSecond = next->numberOr("write_rps", 1, kMaxAmount, settings.storeWritesPerSecond);
     limits.maxValueKb = next->numberOr("value_kb", kMinValueKb, kMaxValueKb, settings.maxValueKb);
-    limits.maxTransactionWrites = wholeNumber(next->numberOr(
+    limits.maxTransactionWrites = toUnsigned(next->numberOr(
         "txn_ops", kMinTransactionWrites, kMaxTransactionWrites, settings.maxTransactionWrites));
     settings.nextStoreLimits = limits;
 }
 
 void readCloud(const TomlSection& cloud, Settings& settings) {
-    settings.cloudRequestsPerSecond = cloud.number("rps", 0.01, kLargestAmount);
+    settings.cloudRequestsPerSecond = cloud.number("rps", 0.01, kMaxAmount);
     settings.cloudListLag = seconds(cloud, "list_lag_s", 0);
 }
 
 void readOwnLimits(const TomlSection& limits, Settings& settings) {
-    settings.coreShare = limits.number("core_share", 0.001, 1024);
-    settings.memoryMb = limits.number("mem_mb", 16, 1e7);
-    settings.maxConnections = wholeNumber(limits.number("max_connections", 32, 1e7));
+    settings.maxCpuCores = limits.number("core_share", 0.001, 1024);
+    settings.maxMemoryMb = limits.number("mem_mb", 16, 1e7);
+    settings.maxConnections = toUnsigned(limits.number("max_connections", 32, 1e7));
 }
 
 void readCluster(const TomlSection& cluster, Settings& settings) {
     settings.zones = cluster.texts("zones");
-    settings.clockError =
+    settings.maxClockError =
         std::chrono::milliseconds(static_cast<long>(cluster.number("clock_error_ms", 0, 1e7)));
     readTeams(cluster, settings);
     readObjectives(cluster, settings);
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -1,7 +1,7 @@
 #pragma once
 
 // The platform's settings: a TOML file that the platform writes for each controller. The operators' own file
-// is in protocol/policy.h. Read once at the start; nothing changes afterwards.
+// is in protocol/policy.h. Read once at startup and not changed afterwards.
 
 #include <algorithm>
 #include <chrono>
@@ -22,8 +22,7 @@
     std::string address;  ///< its endpoint for peers
 };
 
-/// A team of users and its quota. The guaranteed part of it is 0 for no guarantee, the maximum 0 for no
-/// limit.
+/// A team of users and its quota. A guaranteed amount of 0 means no guarantee, a maximum of 0 no limit.
 struct Team {
     std::string name;
     double guaranteedCpus = 0;
@@ -34,22 +33,22 @@
 
 /// A service-level objective: what users may expect of a class of jobs.
 struct ServiceLevelObjective {
-    std::string kind;      ///< the kind of objective, as the platform calls it
+    std::string kind;      ///< the kind of objective, as named by the platform
     std::string jobClass;  ///< empty: all classes
     Seconds within{0};     ///< the time after which the objective is missed
-    double share = 0;      ///< of the class's tasks or jobs that meet it, from 0 to 1
+    double share = 0;      ///< fraction of the class's tasks or jobs that should meet it, from 0 to 1
 };
 
 /// Limits of the key-value store.
 struct StoreLimits {
-    double writesPerSecond = 0;         ///< key writes and deletions of all clients together
+    double writesPerSecond = 0;         ///< key writes and deletions, of all clients together
     double maxValueKb = 0;              ///< size of a value as JSON, in KiB
     unsigned maxTransactionWrites = 0;  ///< key writes and deletions in one transaction
 };
 
 /// The platform's settings for one controller.
 struct Settings {
-    // This controller and those that it works with.
+    // This controller, its peers and the services it uses.
     std::string name;
     std::string zone;
     std::string listenAddress;      ///< endpoint for workers, users and the load balancer
@@ -60,39 +59,39 @@
 
     // The cluster.
     std::vector<std::string> zones;
-    std::chrono::milliseconds clockError{0};  ///< at most this far is a time of day off
+    std::chrono::milliseconds maxClockError{0};  ///< upper bound of the error of wall-clock times
     std::vector<Team> teams;
     std::vector<ServiceLevelObjective> objectives;
 
     // Workers and their tasks.
     Seconds heartbeatInterval{3};  ///< between two heartbeats of a worker
-    Seconds workerLease{30};       ///< of a worker, from its last acknowledged heartbeat on
-    Seconds gangWaitTimeout{40};   ///< how long a gang's task waits for the others
-    Seconds gangPeerTimeout{8};    ///< after which a gang has ended once one of its tasks has exited
-    Seconds cancelTimeout{45};     ///< after which nothing of a cancelled job runs any more
+    Seconds workerLease{30};       ///< duration of a worker's lease, from its last acknowledged heartbeat
+    Seconds gangWaitTimeout{40};   ///< how long a task of a gang waits for the others
+    Seconds gangPeerTimeout{8};    ///< time within which a gang ends after one of its tasks has exited
+    Seconds cancelTimeout{45};     ///< time after which no task of a cancelled job runs any more
 
     // Limits of the key-value store, for all controllers together.
     double storeRequestsPerSecond = 100;
     double storeWritesPerSecond = 20;    ///< key writes and deletions
     double maxValueKb = 8;               ///< size of a value as JSON, in KiB
     unsigned maxTransactionWrites = 16;  ///< key writes and deletions in one transaction
-    /// Limits that replace those above at some later time, of which the key-value store gives no notice.
+    /// Limits that replace those above at some later time, which the key-value store does not announce.
     std::optional<StoreLimits> nextStoreLimits;
 
     // The cloud.
     double cloudRequestsPerSecond = 2;  ///< of all controllers together
-    Seconds cloudListLag{10};           ///< how late a change may show in the cloud's list of machines
+    Seconds cloudListLag{10};  ///< longest delay until a change shows in the cloud's list of machines
 
-    // Resources that this controller may use itself.
-    double coreShare = 1;            ///< CPU cores
-    double memoryMb = 100;           ///< resident memory, in MiB
+    // Limits of the resources that this controller itself uses.
+    double maxCpuCores = 1;          ///< may be a fraction of a core
+    double maxMemoryMb = 100;        ///< resident memory, in MiB
     unsigned maxConnections = 1000;  ///< open sockets
 
     /// The team of that name; null if there is none.
     const Team* team(const std::string& name) const;
 
-    // Writes keep to the lower of the present and the next limits from the start. Nothing tells when the next
-    // ones come into force, and what is stored by then stays.
+    // From startup on, writes respect the lower of the current and the next limits: it is unknown when the
+    // next ones take effect, and values stored before then stay in the store.
     double minValueKb() const {
         return nextStoreLimits ? std::min(maxValueKb, nextStoreLimits->maxValueKb) : maxValueKb;
     }
--- a/src/protocol/store_messages.cpp
+++ b/src/protocol/store_messages.cpp
@@ -24,7 +24,7 @@
     return {fields.text(wire::store::kDeletedKey), nullptr, fields.integer(wire::store::kVersion)};
 }
 
-/// The path and the first parameter, which every query of keys has.
+/// The path with the key prefix as its first parameter, which every query of keys has.
 std::string targetWithPrefix(const char* path, const std::string& prefix) {
     return std::string(path).append("?").append(wire::query::kPrefix).append(prefix);
 }
@@ -77,8 +77,8 @@
     return page;
 }
 
-std::string encodeLease(std::chrono::milliseconds life) {
-    return MessagePacker().map(1).field(wire::store::kLeaseLifeMs, life.count()).take();
+std::string encodeLease(std::chrono::milliseconds ttl) {
+    return MessagePacker().map(1).field(wire::store::kLeaseTtlMs, ttl.count()).take();
 }
 
 std::uint64_t decodeLease(std::string_view body) {
--- a/src/protocol/store_messages.h
+++ b/src/protocol/store_messages.h
@@ -16,10 +16,10 @@
 /// A write or deletion of one key in a transaction.
 struct KeyWrite {
     std::string key;
-    std::optional<std::string> value;  ///< packed; none: the key is deleted
-    std::uint64_t lease = 0;           ///< with which the key is deleted when it expires; 0: no lease
+    std::optional<std::string> value;  ///< packed; absent: the key is deleted
+    std::uint64_t lease = 0;           ///< the key is deleted when this lease expires; 0: no lease
 };
-/// The version that a key must have for a transaction to be carried out; 0: the key must not exist.
+/// The version that a key must have for a transaction to be committed; 0: the key must not exist.
 struct KeyCondition {
     std::string key;
     std::uint64_t version = 0;
@@ -36,9 +36,9 @@
     bool more = false;           ///< another page follows
     std::uint64_t revision = 0;  ///< of the store when it answered
 };
-/// The answer to a transaction that was carried out, or that was not because of its conditions.
+/// The reply to a transaction that was committed, or that was rejected because a condition did not hold.
 struct TransactionReply {
-    std::uint64_t revision = 0;       ///< that the transaction made, if it was carried out
+    std::uint64_t revision = 0;       ///< that the transaction created, if it was committed
     std::vector<std::string> failed;  ///< the keys whose condition did not hold
 };
 
@@ -49,11 +49,12 @@
 TransactionReply decodeTransactionReply(std::string_view body);
 KeyPage decodeKeyPage(const msgpack::object& body);
 KeyPage decodeWatch(const msgpack::object& body);
-/// A request for a lease that expires after `life` unless it is extended.
-std::string encodeLease(std::chrono::milliseconds life);
+/// A request for a lease that expires after `ttl` unless it is extended.
+std::string encodeLease(std::chrono::milliseconds ttl);
 /// The id of the new lease.
 std::uint64_t decodeLease(std::string_view body);
-/// Whether a refusal's reason (see `decodeErrorReply`) says that a lease does not exist or has expired.
+/// True if the reason of an error response (see `decodeErrorReply`) is a lease that does not exist or has
+/// expired.
 bool isNoSuchLease(std::string_view reason);
 
 namespace paths {
@@ -61,10 +62,10 @@
 inline constexpr char kLeases[] = "/holds";
 std::string extendLease(std::uint64_t lease);
 std::string lease(std::uint64_t lease);
-/// The page of at most `limit` keys with the prefix that sort after `after`.
+/// The request target for the page of at most `limit` keys with the prefix that sort after `after`.
 std::string keyPage(const std::string& prefix, const std::string& after, unsigned limit);
-/// The changes of keys with the prefix after that revision. The store answers as soon as there are any, or
-/// after `wait` without any.
+/// The request target for the changes of keys with the prefix after that revision. The store answers as soon
+/// as there are any, or after `wait` without any.
 std::string watch(const std::string& prefix, std::uint64_t after, std::chrono::milliseconds wait);
 }  // namespace paths
 
--- a/src/protocol/wire_names.h
+++ b/src/protocol/wire_names.h
@@ -1,12 +1,11 @@
 #pragma once
 
-// The wire's vocabulary. The protocol has its own words for things that have standard names; this file maps
+// The names on the wire. The protocol has its own words for things that have standard names; this file maps
 // each word to its standard name, and the encode and decode functions of the protocol layer are the only code
-// that uses it. Everywhere else, and in the names of constants, fields and types, the standard names are
-// used.
+// that uses it. All other code, and the names of constants, fields and types, use the standard names.
 //
-// Names of enumerators on the wire stand in tables of the message files (`EnumNames`), next to the one
-// encoder and decoder that need them. Paths are in the `paths` namespaces of the message headers.
+// Names of enumerators on the wire are in tables of the message files (`EnumNames`), next to the only encoder
+// and decoder that need them. Paths are in the `paths` namespaces of the message headers.
 //
 // Units: names on the wire end with S for seconds, Ms for milliseconds, Gb for gigabytes.
 
@@ -28,11 +27,11 @@
 inline constexpr std::string_view kCpus = "cores";
 inline constexpr std::string_view kGpus = "accelerators";
 inline constexpr std::string_view kMemoryGb = "ramGb";
-inline constexpr std::string_view kTasks = "hands";      // of a job: their number; of a heartbeat: the list
+inline constexpr std::string_view kTasks = "hands";      // of a job: the number; of a heartbeat: the list
 inline constexpr std::string_view kHasMore = "hasNext";  // another page follows
 inline constexpr std::string_view kError = "error";      // why a request was refused
 
-/// A job as its user describes it, and the answers that users get.
+/// A job as its user describes it, and the replies that users get.
 namespace job {
 inline constexpr std::string_view kClass = "berth";
 inline constexpr std::string_view kTeam = "crew";
@@ -78,7 +77,7 @@
 inline constexpr std::string_view kRequestName = "charter";
 inline constexpr std::string_view kCount = "howMany";
 inline constexpr std::string_view kAgeS = "heldS";
-inline constexpr std::string_view kNoCapacity = "no capacity";  // the error that means a capacity error
+inline constexpr std::string_view kNoCapacity = "no capacity";  // the error text for a capacity error
 }  // namespace cloud
 
 /// The key-value store.
@@ -91,12 +90,12 @@
 inline constexpr std::string_view kValue = "data";
 inline constexpr std::string_view kVersion = "mark";
 inline constexpr std::string_view kLease = "mooring";
-inline constexpr std::string_view kLeaseLifeMs = "lifeMs";
+inline constexpr std::string_view kLeaseTtlMs = "lifeMs";
 inline constexpr std::string_view kRevision = "chart";
 inline constexpr std::string_view kFailedKeys = "failed";
 inline constexpr std::string_view kEntries = "entries";
 inline constexpr std::string_view kChanges = "log";
-inline constexpr std::string_view kNoSuchLease = "no such lease";  // the error for a lease that has expired
+inline constexpr std::string_view kNoSuchLease = "no such lease";  // the error text for an expired lease
 }  // namespace store
 
 /// Status messages between controllers.
@@ -108,7 +107,7 @@
 inline constexpr std::string_view kLeaderToken = "hears";
 inline constexpr std::string_view kVoteMs = "promise_ms";
 inline constexpr std::string_view kRevision = "revision";
-inline constexpr std::string_view kLog = "log";
+inline constexpr std::string_view kLogId = "log";
 inline constexpr std::string_view kLogPosition = "log_at";
 inline constexpr std::string_view kComplete = "told";
 inline constexpr std::string_view kCancelled = "cancelled";
--- a/src/protocol/worker_messages.h
+++ b/src/protocol/worker_messages.h
@@ -16,10 +16,10 @@
 
 /// The state of a task on its machine.
 enum class TaskState {
-    fetching,  ///< its image is fetched
-    waiting,   ///< for the other tasks of its gang
+    fetching,  ///< its image is being fetched
+    waiting,   ///< waits for the other tasks of its gang
     running,
-    saving,  ///< makes its last checkpoint before it stops
+    saving,  ///< writes its last checkpoint before it stops
     exited   ///< reported until the controller acknowledges it
 };
 
@@ -27,16 +27,16 @@
 enum class ExitReason {
     none,  ///< it has not exited
     done,
-    stopped,  ///< by a command
+    stopped,  ///< stopped by a command
     peers,    ///< another task of its gang has exited
-    alone,    ///< its gang did not come together in time
+    alone,    ///< its gang was not complete in time
     error,
-    noRoom,  ///< the worker refused to start it: the machine is full
-    busy,    ///< the worker refused to start it, for now
-    unknown  ///< the worker knows no such attempt
+    noRoom,  ///< the worker refused to start it: the machine lacks free resources
+    busy,    ///< the worker temporarily refused to start it
+    unknown  ///< the worker does not know the attempt
 };
 
-/// What a worker is told to do with an attempt.
+/// What a command tells a worker to do with an attempt.
 enum class CommandKind {
     start,
     stop,
@@ -46,8 +46,8 @@
 /// One start of one task.
 struct Attempt {
     std::string job;
-    std::uint32_t task = 0;    ///< from 0 on
-    std::uint64_t number = 0;  ///< of the attempt; unique among the attempts of all tasks
+    std::uint32_t task = 0;    ///< counted from 0
+    std::uint64_t number = 0;  ///< unique among the attempts of all tasks
     auto operator<=>(const Attempt&) const = default;
 };
 
@@ -60,16 +60,16 @@
     bool operator==(const TaskStatus&) const = default;
 };
 
-/// A worker's heartbeat, which is also its answer to a direct command.
+/// A worker's heartbeat, which is also its reply to direct commands.
 struct Heartbeat {
     std::string machine;
     std::string address;
     std::string type;
     std::string zone;
     bool spot = false;
-    std::uint64_t incarnation = 0;   ///< rises when the worker starts and when its lease expires
-    std::uint64_t sequence = 0;      ///< rises with each message of an incarnation
-    std::uint64_t fencingToken = 0;  ///< the highest that the worker has accepted
+    std::uint64_t incarnation = 0;   ///< increases when the worker starts and when its lease expires
+    std::uint64_t sequence = 0;      ///< increases with each message of an incarnation
+    std::uint64_t fencingToken = 0;  ///< the highest token that the worker has accepted
     /// Present after a spot interruption notice: the cloud takes the machine back after this time.
     std::optional<Seconds> interruptionNotice;
     std::vector<TaskStatus> tasks;
@@ -79,7 +79,7 @@
 struct WorkerCommand {
     CommandKind kind = CommandKind::start;
     Attempt attempt;
-    Seconds grace{0};  ///< of a stop: how long the task may take for a checkpoint
+    Seconds grace{0};  ///< for a stop: how long the task may take for a checkpoint
     bool operator==(const WorkerCommand&) const = default;
 };
 
@@ -89,12 +89,12 @@
 std::string encodeHeartbeat(const Heartbeat& heartbeat);
 /// The response to a heartbeat.
 std::string encodeHeartbeatResponse(std::uint64_t fencingToken, const std::vector<WorkerCommand>& commands);
-/// Commands sent to a worker between its heartbeats. It refuses them unless it is in that incarnation.
+/// Commands sent to a worker between its heartbeats. The worker refuses them if its incarnation is another.
 std::string encodeDirectCommands(std::uint64_t fencingToken, std::uint64_t incarnation,
                                  const std::vector<WorkerCommand>& commands);
-/// The commands in a response to a heartbeat or in a direct message.
+/// Decodes the commands in a response to a heartbeat or in a message of direct commands.
 std::vector<WorkerCommand> decodeCommands(std::string_view body);
-/// Sends a worker to the leader; `leader` is empty if none is known.
+/// Redirects a worker to the leader; `leader` is empty if none is known.
 std::string encodeRedirect(const std::string& leader);
 
 namespace paths {
--- a/src/transport/endpoint.cpp
+++ b/src/transport/endpoint.cpp
@@ -9,16 +9,15 @@
 
 constexpr std::size_t kMaxPortDigits = 5;
 constexpr int kMaxPort = 65'535;
-constexpr int kNoPort = -1;
-
-/// `kNoPort` for a text that is no port number.
-int parsePort(const std::string& digits) {
-    const bool isNumber =
-        !digits.empty() && digits.size() <= kMaxPortDigits &&
-        std::all_of(digits.begin(), digits.end(), [](char c) { return c >= '0' && c <= '9'; });
-    if (!isNumber) return kNoPort;
-    const int port = std::stoi(digits);
-    return port <= kMaxPort ? port : kNoPort;
+constexpr int kInvalidPort = -1;
+
+/// Returns `kInvalidPort` if the text is not a port number.
+int parsePort(const std::string& text) {
+    const bool isNumber = !text.empty() && text.size() <= kMaxPortDigits &&
+                          std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
+    if (!isNumber) return kInvalidPort;
+    const int port = std::stoi(text);
+    return port <= kMaxPort ? port : kInvalidPort;
 }
 
 }  // namespace
@@ -29,7 +28,7 @@
     asio::error_code error;
     const auto address = asio::ip::make_address_v4(text.substr(0, colon), error);
     const int port = parsePort(text.substr(colon + 1));
-    if (error || port == kNoPort)
+    if (error || port == kInvalidPort)
         throw std::invalid_argument("not an IPv4 address and port: \"" + text + "\"");
     return {address, static_cast<unsigned short>(port)};
 }
--- a/src/transport/executor.h
+++ b/src/transport/executor.h
@@ -19,7 +19,7 @@
 using Acceptor = asio::basic_socket_acceptor<asio::ip::tcp, Executor>;
 using Timer = asio::basic_waitable_timer<Clock, asio::wait_traits<Clock>, Executor>;
 
-/// Concurrency hint for the `asio::io_context` of a process with a single thread: no locks.
+/// Concurrency hint for the `asio::io_context` of a process with a single thread: disables Asio's locks.
 inline constexpr int kSingleThread = ASIO_CONCURRENCY_HINT_UNSAFE;
 
 }  // namespace burlpoint::transport
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 4096;  // read at a time
+constexpr std::size_t kReadBufferBytes = 4096;
 
 std::string renderRequest(const std::string& address, const char* method, const std::string& target,
                           const std::string& body) {
@@ -27,7 +27,8 @@
 }  // namespace
 
 /// One connection to one address, with at most one request at a time. It connects with its first request and
-/// is kept open for later ones. Pending operations hold it by shared pointers, so it may outlive its pool.
+/// is kept open for later ones. Pending asynchronous operations hold shared pointers to it, so it may outlive
+/// its pool.
 class HttpClient::Connection : public std::enable_shared_from_this<Connection> {
   public:
     Connection(HttpClient& client, std::string address)
@@ -36,14 +37,14 @@
     }
 
     const std::string& address() const { return address_; }
-    /// Whether a request is under way.
-    bool isBusy() const { return static_cast<bool>(done_); }
+    /// Whether a request is in flight.
+    bool isBusy() const { return static_cast<bool>(callback_); }
     bool isIdleFor(Duration age) const { return !isBusy() && Clock::now() - idleSince_ > age; }
 
-    /// The connection must not be busy.
+    /// Sends a request. The connection must not be busy.
     void send(const char* method, const std::string& target, const std::string& body, Duration timeout,
               ResultCallback done) {
-        done_ = std::move(done);
+        callback_ = std::move(done);
         result_ = {};
         http_parser_init(&parser_, HTTP_RESPONSE);
         parser_.data = this;
@@ -54,7 +55,7 @@
         connect();
     }
 
-    /// Closes the connection. A request under way ends without a response.
+    /// Closes the connection. A request in flight completes without a response.
     void fail() {
         if (state_ == State::closed) return;
         close();
@@ -72,20 +73,20 @@
         client_.remove(this);
     }
 
-    /// Drops the request under way without calling its callback.
-    void abandon() { done_ = nullptr; }
+    /// Discards the callback of the request in flight without calling it.
+    void discardCallback() { callback_ = nullptr; }
 
   private:
     enum class State { unconnected, connected, closed };
 
-    static Connection& of(http_parser* parser) { return *static_cast<Connection*>(parser->data); }
+    static Connection& connectionOf(http_parser* parser) { return *static_cast<Connection*>(parser->data); }
 
     void startTimeout(Duration timeout) {
         timer_.expires_after(timeout);
         timer_.async_wait([self = shared_from_this()](auto error) {
-            // The wait of an earlier request may complete just as a later request sets the timer anew.
-            const bool isOver = self->timer_.expiry() <= Clock::now();
-            if (!error && isOver && self->isBusy()) self->fail();
+            // The wait of an earlier request may complete just as a later request restarts the timer.
+            const bool hasExpired = self->timer_.expiry() <= Clock::now();
+            if (!error && hasExpired && self->isBusy()) self->fail();
         });
     }
 
@@ -94,7 +95,7 @@
         try {
             endpoint = parseEndpoint(address_);
         } catch (const std::exception&) {
-            // Later, since no callback may run from inside `request`.
+            // Deferred, since `request` must not call the callback before it returns.
             asio::post(client_.io_, [self = shared_from_this()] { self->fail(); });
             return;
         }
@@ -115,13 +116,13 @@
         });
     }
 
-    /// One read is always under way, also while the connection is idle, so that a connection closed by the
-    /// other side leaves its pool at once.
+    /// A read is always pending, also while the connection is idle, so that a connection closed by the server
+    /// is removed from its pool at once.
     void read() {
         socket_.async_read_some(asio::buffer(buffer_),
                                 [self = shared_from_this()](auto error, std::size_t bytes) {
                                     if (self->state_ == State::closed) return;
-                                    // Bytes that no request asked for are an error as well.
+                                    // Bytes received without a request in flight are an error as well.
                                     if (error || !self->isBusy()) return self->fail();
                                     self->parse(bytes);
                                 });
@@ -150,10 +151,10 @@
         http_parser_settings settings;
         http_parser_settings_init(&settings);
         settings.on_body = [](http_parser* parser, const char* at, std::size_t bytes) {
-            return of(parser).appendBody(at, bytes) ? 0 : 1;
+            return connectionOf(parser).appendBody(at, bytes) ? 0 : 1;
         };
         settings.on_message_complete = [](http_parser* parser) {
-            auto& connection = of(parser);
+            auto& connection = connectionOf(parser);
             connection.responseComplete_ = true;
             connection.keepAlive_ = http_should_keep_alive(parser) != 0;
             http_parser_pause(parser, 1);
@@ -162,7 +163,7 @@
         return settings;
     }
 
-    /// False if the response becomes too large, which ends the parsing.
+    /// Returns false, which stops the parser, if the body would exceed `kMaxResponseBytes`.
     bool appendBody(const char* at, std::size_t bytes) {
         if (result_.body.size() + bytes > kMaxResponseBytes) {
             responseTooLarge_ = true;
@@ -172,11 +173,11 @@
         return true;
     }
 
-    /// Hands over the result. The connection is ready for another request by then, which the callback may
-    /// send.
+    /// Passes the result to the callback. The connection already accepts another request, which the callback
+    /// may send.
     void finish() {
         if (!isBusy()) return;
-        const auto done = std::exchange(done_, nullptr);
+        const auto done = std::exchange(callback_, nullptr);
         done(std::exchange(result_, {}));
     }
 
@@ -184,25 +185,25 @@
     std::string address_;
     State state_ = State::unconnected;
     Socket socket_;
-    Timer timer_;  // of the request under way
+    Timer timer_;  // timeout of the request in flight
     http_parser parser_{};
-    std::array<char, kReadBytes> buffer_;
-    std::string out_;      // the request under way
-    HttpResult result_;    // as far as the response has come
-    ResultCallback done_;  // set while a request is under way
+    std::array<char, kReadBufferBytes> buffer_;
+    std::string out_;          // the encoded request in flight
+    HttpResult result_;        // the part of the response received so far
+    ResultCallback callback_;  // set while a request is in flight
     bool responseComplete_ = false;
-    bool responseTooLarge_ = false;  // the connection is closed for it
-    bool keepAlive_ = true;          // as the last response says
+    bool responseTooLarge_ = false;  // the reason for closing the connection
+    bool keepAlive_ = true;          // according to the last response
     Time idleSince_ = Clock::now();
 };
 
-// NOLINTNEXTLINE(bugprone-exception-escape): no timer that exists fails to be cancelled
+// NOLINTNEXTLINE(bugprone-exception-escape): cancelling an existing timer does not throw
 HttpClient::~HttpClient() {
     isAlive_ = false;
     const auto pools = std::move(poolsByAddress_);
     for (const auto& [address, pool] : pools)
         for (const auto& connection : pool) {
-            connection->abandon();
+            connection->discardCallback();
             connection->close();
         }
 }
@@ -211,7 +212,7 @@
     for (const auto& [address, pool] : poolsByAddress_)
         for (const auto& connection : pool)
             if (!connection->isBusy()) {
-                // NOLINTNEXTLINE(performance-unnecessary-copy-initialization): it outlives its removal
+                // NOLINTNEXTLINE(performance-unnecessary-copy-initialization): must survive its removal
                 const auto idle = connection;
                 return idle->close();
             }
@@ -225,7 +226,7 @@
         const auto connection = *idle;
         return connection->send(method, target, body, timeout, std::move(done));
     }
-    // An idle connection to another address gives way.
+    // At the limit, an idle connection to another address is closed.
     if (openConnections_ >= maxConnections_) closeOneIdle();
     if (openConnections_ >= maxConnections_) {
         if (pool.empty()) poolsByAddress_.erase(address);
@@ -238,7 +239,7 @@
 }
 
 void HttpClient::closeIdle(Duration age) {
-    Pool stale;  // closing a connection changes its pool
+    Pool stale;  // collected first, since closing a connection modifies its pool
     for (const auto& [address, pool] : poolsByAddress_)
         for (const auto& connection : pool)
             if (connection->isIdleFor(age)) stale.push_back(connection);
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -16,17 +16,17 @@
 
 namespace burlpoint::transport {
 
-/// What came of a request.
+/// The outcome of a request.
 struct HttpResult {
-    /// The status of a request without a response. Such a request may have been carried out, or may still be.
+    /// The status of a request without a response. The server may have executed it, or may still do so.
     static constexpr int kNoResponse = 0;
 
     int status = kNoResponse;
     std::string body;
-    bool tooLarge = false;  ///< a response came, but larger than the client takes; counts as no response
+    bool tooLarge = false;  ///< the response exceeded `kMaxResponseBytes`; counts as no response
 
     bool answered() const { return status != kNoResponse; }
-    /// Answered with 200.
+    /// True if the response has status 200.
     bool ok() const { return status == http_status::kOk; }
 };
 
@@ -34,20 +34,20 @@
 
 class HttpClient {
   public:
-    /// The largest body of a response. It limits the memory that a faulty service can take.
+    /// The largest accepted response body. Limits the memory that a response of a faulty service can take.
     static constexpr std::size_t kMaxResponseBytes = std::size_t{8} * 1024 * 1024;
 
-    /// `maxConnections`: open at the same time, to all addresses together.
+    /// `maxConnections`: the most connections open at the same time, to all addresses together.
     HttpClient(asio::io_context& io, std::size_t maxConnections) : io_(io), maxConnections_(maxConnections) {}
-    /// Closes all connections. The callbacks of requests that were sent are not called any more.
-    // NOLINTNEXTLINE(bugprone-exception-escape): no timer that exists fails to be cancelled
+    /// Closes all connections. The callbacks of requests in flight are not called.
+    // NOLINTNEXTLINE(bugprone-exception-escape): cancelling an existing timer does not throw
     ~HttpClient();
     HttpClient(const HttpClient&) = delete;
     HttpClient& operator=(const HttpClient&) = delete;
 
-    /// Sends a request on an open connection to `address`, or on a new one. `done` is called exactly once,
-    /// never from inside this call, and after `timeout` at the latest. If all connections that may be open
-    /// are busy, the request is not sent, and the result is that of a request without a response.
+    /// Sends a request on an idle connection to `address`, or on a new one. `done` is called exactly once,
+    /// never before this call returns, and after `timeout` at the latest. If `maxConnections` connections are
+    /// open and all have a request in flight, the request is not sent, and its result has no response.
     void request(const std::string& address, const char* method, const std::string& target,
                  const std::string& body, Duration timeout, ResultCallback done);
     /// Closes the connections that have been idle for longer than `age`.
@@ -57,7 +57,7 @@
     class Connection;
     using Pool = std::vector<std::shared_ptr<Connection>>;
 
-    /// Takes a connection that has closed itself out of its pool.
+    /// Removes a connection that has closed itself from its pool.
     void remove(Connection* connection);
     void closeOneIdle();
 
@@ -65,7 +65,7 @@
     std::size_t maxConnections_;
     std::size_t openConnections_ = 0;
     std::unordered_map<std::string, Pool> poolsByAddress_;
-    /// False while the client is destroyed, when connections close without removing themselves.
+    /// False during destruction, when closing connections do not remove themselves from their pools.
     bool isAlive_ = true;
 };
 
--- a/src/transport/http_message.h
+++ b/src/transport/http_message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The HTTP requests that the server hands to its handler, and the responses that come back. Holds no state.
+// The HTTP requests that the server passes to its handler, and the responses to them. Holds no state.
 
 #include <chrono>
 #include <functional>
@@ -10,8 +10,8 @@
 
 struct Request {
     std::string method;
-    std::string path;   ///< of the target, up to "?"
-    std::string query;  ///< of the target, after "?"
+    std::string path;   ///< the request target up to "?"
+    std::string query;  ///< the request target after "?"
     std::string body;
     bool tooLarge = false;  ///< the body is larger than the server's limit; `body` is incomplete
 };
@@ -23,8 +23,8 @@
     std::string allow;                   ///< Allow header, the methods of a 405; empty: none
 };
 
-/// Sends the response to a request. May be called later, on the event loop's thread. Only the first call
-/// counts, and none does once the connection is closed.
+/// Sends the response to a request. May be called after the handler has returned, on the event loop's thread.
+/// Only the first call has an effect, and none has once the connection is closed.
 using Reply = std::function<void(Response)>;
 using Handler = std::function<void(Request&&, Reply)>;
 
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 4096;                         // read at a time
-constexpr std::size_t kMaxTargetBytes = 2048;                    // of a request
+constexpr std::size_t kReadBufferBytes = 4096;
+constexpr std::size_t kMaxTargetBytes = 2048;                    // length of a request's target
 constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;  // names and values of a request's headers
-/// How long the client's remaining bytes are read after the last response.
+/// How long the client's remaining bytes are read and discarded after the last response.
 constexpr Duration kLinger{1000};
 constexpr Duration kSweepInterval{2000};
-constexpr Duration kAcceptRetry{100};
-/// One in so many connections is reserved for clients that connect anew.
-constexpr std::size_t kReservedShare = 10;
+constexpr Duration kAcceptRetryDelay{100};
+/// One in this many connections is reserved for clients without an open connection.
+constexpr std::size_t kReservedDivisor = 10;
 
 const char* reasonPhrase(int status) { return http_status_str(static_cast<::http_status>(status)); }
 
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-/// One client's connection. It goes through idle, receiving, handling and writing for each request, and is
-/// closed by way of lingering after its last response.
+/// One client's connection. It passes through the states idle, receiving, handling and writing for each
+/// request. After its last response it lingers before it is closed.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
   public:
     Connection(HttpServer& server, Socket socket) : server_(server), socket_(std::move(socket)) {
@@ -71,22 +71,23 @@
         server_.connections_.erase(shared_from_this());
     }
 
-    /// Whether the client has been too slow, so that the connection should be closed.
+    /// True if the client has exceeded the time limit of the current state, so the connection has to be
+    /// closed.
     bool isOverdue(Time now) const { return state_ != State::handling && now - since_ > limit_; }
 
   private:
     enum class State {
         idle,       ///< waits for a request
-        receiving,  ///< a part of a request has come
-        handling,   ///< the handler has the request; it may take as long as it needs
-        writing,    ///< the response is written
-        lingering,  ///< the last response is written; waits for the client to close
+        receiving,  ///< a part of a request has been received
+        handling,   ///< the handler processes the request, without a time limit
+        writing,    ///< the response is being written
+        lingering,  ///< the last response has been written; waits for the client to close
         closed
     };
 
-    static Connection& of(http_parser* parser) { return *static_cast<Connection*>(parser->data); }
+    static Connection& connectionOf(http_parser* parser) { return *static_cast<Connection*>(parser->data); }
 
-    /// `limit`: how long the client may take from now on.
+    /// Enters the state. `limit`: how long the client may take from now on.
     void enter(State state, Duration limit) {
         state_ = state;
         limit_ = limit;
@@ -99,7 +100,7 @@
                                               unparsedEnd_ - unparsedBegin_);
         if (requestComplete_) return handle();
         if (HTTP_PARSER_ERRNO(&parser_) == HPE_OK && !parser_.upgrade) return read();
-        // Where the next request begins can't be told any more.
+        // After a parse error the start of the next request is unknown, so the connection cannot be reused.
         keepAlive_ = false;
         Response malformed;
         malformed.status = http_status::kBadRequest;
@@ -110,29 +111,29 @@
         http_parser_settings settings;
         http_parser_settings_init(&settings);
         settings.on_message_begin = [](http_parser* parser) {
-            of(parser).beginRequest();
+            connectionOf(parser).beginRequest();
             return 0;
         };
         settings.on_url = [](http_parser* parser, const char* at, std::size_t bytes) {
-            auto& target = of(parser).target_;
+            auto& target = connectionOf(parser).target_;
             target.append(at, bytes);
             return target.size() > kMaxTargetBytes ? 1 : 0;
         };
         const auto countHeaderBytes = [](http_parser* parser, const char*, std::size_t bytes) {
-            auto& headerBytes = of(parser).headerBytes_;
+            auto& headerBytes = connectionOf(parser).headerBytes_;
             headerBytes += bytes;
             return headerBytes > kMaxHeaderBytes ? 1 : 0;
         };
         settings.on_header_field = countHeaderBytes;
         settings.on_header_value = countHeaderBytes;
         settings.on_body = [](http_parser* parser, const char* at, std::size_t bytes) {
-            return of(parser).appendBody(at, bytes) ? 0 : 1;
+            return connectionOf(parser).appendBody(at, bytes) ? 0 : 1;
         };
         settings.on_message_complete = [](http_parser* parser) {
-            auto& connection = of(parser);
+            auto& connection = connectionOf(parser);
             connection.requestComplete_ = true;
             connection.keepAlive_ = http_should_keep_alive(parser) != 0;
-            // The bytes of a next request wait until this one is answered.
+            // Bytes of a pipelined request stay in the buffer until this one has been answered.
             http_parser_pause(parser, 1);
             return 0;
         };
@@ -146,7 +147,8 @@
         enter(State::receiving, server_.limits_.receive);
     }
 
-    /// False if the body becomes too large. The request is handled at once then, and the rest of it not read.
+    /// Returns false if the body would exceed the limit. The request is then handled at once, without the
+    /// rest of its body.
     bool appendBody(const char* at, std::size_t bytes) {
         if (request_.body.size() + bytes > server_.limits_.bodyBytes) {
             request_.tooLarge = true;
@@ -168,13 +170,13 @@
         server_.handler_(std::move(request_), [weak = weak_from_this()](const Response& response) {
             const auto self = weak.lock();
             if (!self || self->state_ != State::handling) return;
-            self->keepAlive_ = self->keepAlive_ && !self->server_.isCrowded();
+            self->keepAlive_ = self->keepAlive_ && !self->server_.isNearConnectionLimit();
             self->write(response);
         });
     }
 
     void write(const Response& response) {
-        // A client whose request was malformed has no more time than it had for the request.
+        // The response to a malformed request has the time limit of receiving a request, not the idle limit.
         const auto& limits = server_.limits_;
         enter(State::writing, state_ == State::receiving ? limits.receive : limits.idle);
         out_ = renderResponse(response, keepAlive_);
@@ -187,7 +189,7 @@
         });
     }
 
-    /// The idle time counts from the moment at which the response was ready.
+    /// Prepares for the next request. The idle time counts from when the response was ready.
     void awaitRequest() {
         state_ = State::idle;
         http_parser_pause(&parser_, 0);
@@ -195,8 +197,8 @@
         read();
     }
 
-    /// Waits for the client to close. Closing with bytes unread would reset the connection, and the client
-    /// might lose the response. The time counts from the moment at which the response was ready.
+    /// Waits for the client to close. Closing with unread bytes would reset the connection, and the client
+    /// might lose the response. The time limit counts from when the response was ready.
     void linger() {
         state_ = State::lingering;
         limit_ = kLinger;
@@ -208,26 +210,26 @@
     HttpServer& server_;
     Socket socket_;
     State state_ = State::idle;
-    Time since_;         // from when `limit_` counts
-    Duration limit_{0};  // after which the connection is overdue
+    Time since_;         // start of the time that `limit_` bounds
+    Duration limit_{0};  // time after which the connection is overdue
     http_parser parser_{};
-    std::array<char, kReadBytes> buffer_;
-    std::size_t unparsedBegin_ = 0;  // of what was read into `buffer_`
-    std::size_t unparsedEnd_ = 0;
+    std::array<char, kReadBufferBytes> buffer_;
+    std::size_t unparsedBegin_ = 0;  // position in `buffer_`
+    std::size_t unparsedEnd_ = 0;    // position in `buffer_`, after the last unparsed byte
     Request request_;
     std::string target_;
     std::size_t headerBytes_ = 0;
     bool requestComplete_ = false;
-    bool keepAlive_ = true;  // after the response
+    bool keepAlive_ = true;  // whether the connection stays open after the response
     std::string out_;
 };
 
-HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& at, ServerLimits limits,
+HttpServer::HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, ServerLimits limits,
                        Handler handler)
     : acceptor_(io), sweepTimer_(io), limits_(limits), handler_(std::move(handler)) {
-    acceptor_.open(at.protocol());
+    acceptor_.open(endpoint.protocol());
     acceptor_.set_option(asio::socket_base::reuse_address(true));
-    acceptor_.bind(at);
+    acceptor_.bind(endpoint);
     acceptor_.listen();
     accept();
     sweep();
@@ -241,8 +243,8 @@
     }
 }
 
-bool HttpServer::isCrowded() const {
-    return connections_.size() + limits_.connections / kReservedShare > limits_.connections;
+bool HttpServer::isNearConnectionLimit() const {
+    return connections_.size() + limits_.connections / kReservedDivisor > limits_.connections;
 }
 
 void HttpServer::accept() {
@@ -252,8 +254,8 @@
             add(std::move(socket));
             return accept();
         }
-        // No file descriptor is free, or the client is gone already. The pause keeps the loop from spinning.
-        sweepTimer_.expires_after(kAcceptRetry);
+        // No file descriptor is free, or the client has already disconnected. The delay avoids a busy loop.
+        sweepTimer_.expires_after(kAcceptRetryDelay);
         sweepTimer_.async_wait([this, isAlive](auto) {
             if (!*isAlive) return;
             accept();
@@ -262,7 +264,7 @@
     });
 }
 
-/// Beyond the limit a connection is closed at once, by the end of `socket`.
+/// Above the limit a connection is closed at once, by the destructor of `socket`.
 void HttpServer::add(Socket socket) {
     if (connections_.size() >= limits_.connections) return;
     asio::error_code ignored;
@@ -283,7 +285,7 @@
 
 void HttpServer::closeOverdue() {
     const auto now = Clock::now();
-    std::vector<std::shared_ptr<Connection>> overdue;  // closing a connection takes it out of the set
+    std::vector<std::shared_ptr<Connection>> overdue;  // closing one removes it from the set
     for (const auto& connection : connections_)
         if (connection->isOverdue(now)) overdue.push_back(connection);
     for (const auto& connection : overdue) connection->close();
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -16,17 +16,18 @@
 /// Bounds that keep slow or hostile clients from using up the process's sockets and memory.
 struct ServerLimits {
     std::size_t connections = 500;                   ///< open at the same time
-    std::size_t bodyBytes = std::size_t{64} * 1024;  ///< of a request
+    std::size_t bodyBytes = std::size_t{64} * 1024;  ///< largest body of a request
     Duration idle{60'000};                           ///< how long a connection is kept without a request
     Duration receive{10'000};                        ///< from a request's first byte to its last
 };
 
-/// Serves one request at a time on each connection. While the server is crowded, it closes each connection
-/// after its response, so that more clients than connections can take turns.
+/// Serves one request at a time on each connection. While the server is near its connection limit, it closes
+/// each connection after its response, so that more clients than connections can be served in turn.
 class HttpServer {
   public:
-    /// Listens at once; throws `asio::system_error` if it can't.
-    HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& at, ServerLimits limits, Handler handler);
+    /// Starts to listen; throws `asio::system_error` on failure.
+    HttpServer(asio::io_context& io, const asio::ip::tcp::endpoint& endpoint, ServerLimits limits,
+               Handler handler);
     /// Closes all connections.
     ~HttpServer();
     HttpServer(const HttpServer&) = delete;
@@ -34,15 +35,15 @@
 
     asio::ip::tcp::endpoint localEndpoint() const { return acceptor_.local_endpoint(); }
     std::size_t connections() const { return connections_.size(); }
-    /// Whether so many connections are open that none is kept for a later request of its client.
-    bool isCrowded() const;
+    /// True if so many connections are open that each is closed after its response.
+    bool isNearConnectionLimit() const;
 
   private:
     class Connection;
 
     void accept();
     void add(Socket socket);
-    /// Closes overdue connections from time to time.
+    /// Closes overdue connections at a fixed interval.
     void sweep();
     void closeOverdue();
 
--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 
 int main(int argc, char** argv) {
-    // The generated inputs are the same in every run; RC_PARAMS set by hand looks further.
+    // A fixed seed gives the same generated inputs in every run, unless the environment sets RC_PARAMS.
     setenv("RC_PARAMS", "seed=20261201", 0);
     spdlog::set_level(spdlog::level::off);
     testing::InitGoogleTest(&argc, argv);
--- a/tests/protocol/codec_test.cpp
+++ b/tests/protocol/codec_test.cpp
@@ -1,5 +1,5 @@
-// Encoding and decoding of all messages and records: what is encoded is decoded as the same, and decoders of
-// untrusted bytes throw nothing but `MalformedMessage`.
+// Encoding and decoding of all messages and records: decoding an encoded value yields the same value, and
+// decoders of untrusted bytes throw nothing but `MalformedMessage`.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -18,13 +18,13 @@
 
 namespace {
 
-rc::Gen<std::string> name() {
+rc::Gen<std::string> anyName() {
     return rc::gen::nonEmpty(rc::gen::container<std::string>(rc::gen::elementOf(std::string("abcxyz-019"))));
 }
-std::string shortName() { return (*name()).substr(0, 40); }
+std::string shortName() { return (*anyName()).substr(0, 40); }
 double amount() { return *rc::gen::inRange(0, 100'000) / 8.0; }
 std::string jobId() { return "wk-" + std::to_string(*rc::gen::inRange(0, 1'000'000)); }
-std::uint64_t big() { return *rc::gen::arbitrary<std::uint64_t>(); }
+std::uint64_t anyUint64() { return *rc::gen::arbitrary<std::uint64_t>(); }
 
 JobSpec spec() {
     JobSpec s;
@@ -55,12 +55,12 @@
 
 Heartbeat heartbeat() {
     Heartbeat r{shortName(), "10.0.0.1:9000", shortName(), shortName(), *rc::gen::arbitrary<bool>(),
-                big(),       big(),           big(),       {},          {}};
+                anyUint64(), anyUint64(),     anyUint64(), {},          {}};
     if (*rc::gen::arbitrary<bool>()) r.interruptionNotice = Seconds(amount());
     const int tasks = *rc::gen::inRange(0, 20);
     for (int i = 0; i < tasks; ++i) {
         TaskStatus t;
-        t.attempt = {jobId(), *rc::gen::inRange<std::uint32_t>(0, kMaxTasks), big()};
+        t.attempt = {jobId(), *rc::gen::inRange<std::uint32_t>(0, kMaxTasks), anyUint64()};
         t.state = *rc::gen::element(TaskState::fetching, TaskState::waiting, TaskState::running,
                                     TaskState::saving, TaskState::exited);
         if (t.state == TaskState::exited) {
@@ -74,11 +74,11 @@
     return r;
 }
 
-/// Runs a decoder on damaged bytes: it may only decode them or throw `MalformedMessage`.
+/// Runs a decoder on corrupted bytes. Fails if it throws anything but `MalformedMessage`.
 template <typename Decode>
-void survives(std::string bytes, Decode decode) {
-    const int damage = *rc::gen::inRange(0, 6);
-    for (int i = 0; i < damage && !bytes.empty(); ++i) {
+void decodeCorrupted(std::string bytes, Decode decode) {
+    const int corruptions = *rc::gen::inRange(0, 6);
+    for (int i = 0; i < corruptions && !bytes.empty(); ++i) {
         const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
         switch (*rc::gen::inRange(0, 3)) {
             case 0:
@@ -109,14 +109,14 @@
     const auto s = spec();
     const auto bytes = packed(s);
     RC_ASSERT(decodeSpec(unpackBody(bytes).get()) == s);
-    survives(bytes, [](const std::string& b) { decodeSpec(unpackBody(b).get()); });
+    decodeCorrupted(bytes, [](const std::string& b) { decodeSpec(unpackBody(b).get()); });
 }
 
 RC_GTEST_PROP(Codec, HeartbeatRoundTrip, ()) {
     const auto r = heartbeat();
     const auto bytes = encodeHeartbeat(r);
     RC_ASSERT(decodeHeartbeat(bytes) == r);
-    survives(bytes, [](const std::string& b) { decodeHeartbeat(b); });
+    decodeCorrupted(bytes, [](const std::string& b) { decodeHeartbeat(b); });
 }
 
 RC_GTEST_PROP(Codec, CommandsRoundTrip, ()) {
@@ -125,15 +125,15 @@
     for (int i = 0; i < count; ++i) {
         WorkerCommand command{
             *rc::gen::element(CommandKind::start, CommandKind::stop, CommandKind::acknowledge),
-            {jobId(), 7, big()},
+            {jobId(), 7, anyUint64()},
             Seconds(0)};
         if (command.kind == CommandKind::stop) command.grace = Seconds(amount());
         commands.push_back(command);
     }
-    RC_ASSERT(decodeCommands(encodeHeartbeatResponse(big(), commands)) == commands);
-    const auto direct = encodeDirectCommands(big(), big(), commands);
+    RC_ASSERT(decodeCommands(encodeHeartbeatResponse(anyUint64(), commands)) == commands);
+    const auto direct = encodeDirectCommands(anyUint64(), anyUint64(), commands);
     RC_ASSERT(decodeCommands(direct) == commands);
-    survives(direct, [](const std::string& b) { decodeCommands(b); });
+    decodeCorrupted(direct, [](const std::string& b) { decodeCommands(b); });
 }
 
 RC_GTEST_PROP(Codec, JobRecordRoundTrip, ()) {
@@ -141,60 +141,60 @@
     r.spec = spec();
     r.terminalState = *rc::gen::element(storage::TerminalState::none, storage::TerminalState::done,
                                         storage::TerminalState::cancelled);
-    r.acceptedMs = big();
+    r.acceptedMs = anyUint64();
     r.done = *rc::gen::inRange<std::uint32_t>(0, r.spec.tasks + 1);
     r.chunkTasks = *rc::gen::inRange<std::uint32_t>(1, 1u << 20);
     const auto bytes = storage::encodeJob(r);
     RC_ASSERT(storage::decodeJob(unpackBody(bytes).get()) == r);
-    survives(bytes, [](const std::string& b) { storage::decodeJob(unpackBody(b).get()); });
+    decodeCorrupted(bytes, [](const std::string& b) { storage::decodeJob(unpackBody(b).get()); });
 }
 
 RC_GTEST_PROP(Codec, BitmapChunksRoundTrip, ()) {
     const auto tasks = *rc::gen::inRange<std::size_t>(1, 3000);
     const auto chunk = *rc::gen::inRange<std::size_t>(1, 500) * 4;
-    std::vector<bool> bits(tasks), read(tasks);
+    std::vector<bool> bits(tasks), decoded(tasks);
     for (std::size_t i = 0; i < tasks; ++i) bits[i] = *rc::gen::inRange(0, 3) == 0;
     for (std::size_t first = 0; first < tasks; first += chunk) {
         const auto value = storage::encodeBits(bits, first, chunk);
         RC_ASSERT(value.size() <= chunk / 4 + 5);
-        storage::decodeBits(unpackBody(value).get(), read, first, chunk);
+        storage::decodeBits(unpackBody(value).get(), decoded, first, chunk);
     }
-    RC_ASSERT(read == bits);
+    RC_ASSERT(decoded == bits);
 }
 
 RC_GTEST_PROP(Codec, PeerStatusRoundTrip, ()) {
     PeerStatus s{shortName(),
-                 big(),
-                 big(),
-                 big(),
+                 anyUint64(),
+                 anyUint64(),
+                 anyUint64(),
                  5,
                  7,
                  {{jobId(), 3}, {jobId(), kMaxTasks}},
-                 big(),
-                 big(),
-                 big(),
-                 {{jobId(), big()}, {jobId(), 1}},
+                 anyUint64(),
+                 anyUint64(),
+                 anyUint64(),
+                 {{jobId(), anyUint64()}, {jobId(), 1}},
                  true};
     const auto bytes = encodePeerStatus(s);
     RC_ASSERT(decodePeerStatus(bytes) == s);
-    survives(bytes, [](const std::string& b) { decodePeerStatus(b); });
+    decodeCorrupted(bytes, [](const std::string& b) { decodePeerStatus(b); });
 }
 
 RC_GTEST_PROP(Codec, ArbitraryBytesThrowNothingButMalformedMessage, (const std::string& bytes)) {
-    const auto tryAll = [&](auto decode) {
+    const auto tryDecode = [&](auto decode) {
         try {
             decode();
         } catch (const MalformedMessage&) {
         }
     };
-    tryAll([&] { decodeHeartbeat(bytes); });
-    tryAll([&] { decodeInstancePage(bytes); });
-    tryAll([&] { decodeInstanceIds(bytes); });
-    tryAll([&] { decodeTransactionReply(bytes); });
-    tryAll([&] { decodeWatch(unpackBody(bytes).get()); });
-    tryAll([&] { decodeKeyPage(unpackBody(bytes).get()); });
-    tryAll([&] { decodeMachineTypes(unpackBody(bytes).get()); });
-    tryAll([&] { decodeLease(bytes); });
+    tryDecode([&] { decodeHeartbeat(bytes); });
+    tryDecode([&] { decodeInstancePage(bytes); });
+    tryDecode([&] { decodeInstanceIds(bytes); });
+    tryDecode([&] { decodeTransactionReply(bytes); });
+    tryDecode([&] { decodeWatch(unpackBody(bytes).get()); });
+    tryDecode([&] { decodeKeyPage(unpackBody(bytes).get()); });
+    tryDecode([&] { decodeMachineTypes(unpackBody(bytes).get()); });
+    tryDecode([&] { decodeLease(bytes); });
     saysNoCapacity(bytes);
 }
 
@@ -205,26 +205,26 @@
         EXPECT_THROW(unpackBody(bytes), MalformedMessage);
 }
 
-/// The job that a submission's body describes.
-static JobSpec specOf(const std::string& body) { return decodeSpec(unpackBody(body).get()); }
+/// Decodes the body of a submission.
+static JobSpec decodeBody(const std::string& body) { return decodeSpec(unpackBody(body).get()); }
 
 TEST(Codec, SpecWithInvalidFieldIsRefused) {
-    JobSpec good;
-    good.id = "wk-000412";
-    good.jobClass = good.team = good.image = "x";
-    EXPECT_NO_THROW(specOf(packed(good)));
-    const auto refused = [&](auto change) {
-        auto s = good;
+    JobSpec valid;
+    valid.id = "wk-000412";
+    valid.jobClass = valid.team = valid.image = "x";
+    EXPECT_NO_THROW(decodeBody(packed(valid)));
+    const auto expectRefusal = [&](auto change) {
+        auto s = valid;
         change(s);
-        EXPECT_THROW(specOf(packed(s)), MalformedMessage);
+        EXPECT_THROW(decodeBody(packed(s)), MalformedMessage);
     };
-    refused([](auto& s) { s.id = "wk-"; });
-    refused([](auto& s) { s.id = "job-12"; });
-    refused([](auto& s) { s.tasks = 0; });
-    refused([](auto& s) { s.tasks = kMaxTasks + 1; });
-    refused([](auto& s) { s.cpus = -1; });
-    refused([](auto& s) { s.memoryGb = std::numeric_limits<double>::infinity(); });
-    refused([](auto& s) { s.estimatedRunTime = Seconds(std::nan("")); });
-    EXPECT_THROW(specOf(MessagePacker().map(1).field("uid", "wk-1").take()), MalformedMessage);
-    EXPECT_THROW(specOf(MessagePacker().list(0).take()), MalformedMessage);
+    expectRefusal([](auto& s) { s.id = "wk-"; });
+    expectRefusal([](auto& s) { s.id = "job-12"; });
+    expectRefusal([](auto& s) { s.tasks = 0; });
+    expectRefusal([](auto& s) { s.tasks = kMaxTasks + 1; });
+    expectRefusal([](auto& s) { s.cpus = -1; });
+    expectRefusal([](auto& s) { s.memoryGb = std::numeric_limits<double>::infinity(); });
+    expectRefusal([](auto& s) { s.estimatedRunTime = Seconds(std::nan("")); });
+    EXPECT_THROW(decodeBody(MessagePacker().map(1).field("uid", "wk-1").take()), MalformedMessage);
+    EXPECT_THROW(decodeBody(MessagePacker().list(0).take()), MalformedMessage);
 }
--- a/tests/protocol/json_size_test.cpp
+++ b/tests/protocol/json_size_test.cpp
@@ -1,4 +1,4 @@
-// The size of values as JSON, in which the key-value store's limits are counted.
+// The size of values as JSON, to which the key-value store's size limits apply.
 #include "protocol/json_size.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 
 using namespace burlpoint;
 
-// An upper bound, since JSON writers differ in spaces and escapes.
+// The result is an upper bound, since JSON writers differ in spaces and escapes.
 TEST(JsonBytes, IsAtLeastTheSizeOfTheJsonText) {
     using protocol::MessagePacker;
     const auto bytes = [](const MessagePacker& p) { return protocol::jsonBytes(p.take()); };
