--- a/src/protocol/cloud_messages.h
+++ b/src/protocol/cloud_messages.h
@@ -22,8 +22,8 @@
     double memoryGb = 0;
     double cacheGb = 0;              ///< disk space for cached images
     double fetchGbPerS = 0;          ///< speed at which a machine fetches images
-    double price = 0;                ///< of an on-demand machine, per hour
-    double spotPrice = 0;            ///< of a spot machine, per hour; changes continually
+    double price = 0;                ///< price per hour of an on-demand machine
+    double spotPrice = 0;            ///< price per hour of a spot machine; changes continually
     Seconds boot{0};                 ///< time until the worker of a new machine runs
     std::vector<std::string> zones;  ///< the zones that offer the type
     bool operator==(const MachineType&) const = default;
@@ -39,7 +39,7 @@
     std::string zone;
     bool spot = false;
     MachineState state = MachineState::booting;
-    Seconds age{0};  ///< since the instance request; 0 if the cloud does not report it
+    Seconds age{0};  ///< time since the instance request; 0 if the cloud does not report it
 };
 
 /// A request for machines. It is idempotent: repeated under the same name, it adds no machines.
--- a/src/protocol/job_messages.h
+++ b/src/protocol/job_messages.h
@@ -36,9 +36,9 @@
     JobKind kind = JobKind::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;  ///< from 1 to `kMaxTasks`
-    double cpus = 0;          ///< per task
-    double gpus = 0;          ///< per task
-    double memoryGb = 0;      ///< per task
+    double cpus = 0;          ///< CPU cores per task
+    double gpus = 0;          ///< GPUs per task
+    double memoryGb = 0;      ///< memory per task
     std::string image;        ///< the image that each task needs on its machine
     double imageGb = 0;
     std::optional<std::vector<std::string>> types;  ///< allowed machine types; absent: all
@@ -46,10 +46,10 @@
     bool singleZone = false;                        ///< all its tasks run in the same zone
     bool spreadZones = false;               ///< at most half of its tasks, rounded up, run in the same zone
     bool spot = false;                      ///< its tasks may run on spot machines
-    Seconds estimatedRunTime{0};            ///< per task
-    Seconds checkpointInterval{0};          ///< between two checkpoints; 0: no checkpoints
+    Seconds estimatedRunTime{0};            ///< run time of each task, as estimated by the user
+    Seconds checkpointInterval{0};          ///< time between two checkpoints; 0: no checkpoints
     Seconds saveTime{0};                    ///< the time that a checkpoint takes
-    std::optional<Seconds> deadline;        ///< counted from the submission
+    std::optional<Seconds> deadline;        ///< time from the submission to the deadline
     std::vector<std::string> dependencies;  ///< jobs that must be done before any of its tasks starts
     bool operator==(const JobSpec&) const = default;
 };
@@ -72,8 +72,8 @@
 std::string decodeErrorReply(std::string_view body);
 
 namespace paths {
-inline constexpr char kSubmissions[] = "/submissions";  ///< and below it, each job's path
-inline constexpr char kCancel[] = "/cancel";            ///< after a job's path
+inline constexpr char kSubmissions[] = "/submissions";  ///< submissions; the path of each job is below it
+inline constexpr char kCancel[] = "/cancel";            ///< cancellation; follows the path of a job
 inline constexpr char kReady[] = "/ready";
 }  // namespace paths
 
--- a/src/protocol/json_size.cpp
+++ b/src/protocol/json_size.cpp
@@ -11,9 +11,9 @@
 
 constexpr std::size_t kDelimiters = 2;      // brackets, braces or quotes around a value
 constexpr std::size_t kSeparator = 2;       // ", " or ": "
-constexpr std::size_t kEscape = 6;          // "\u00e9"
+constexpr std::size_t kEscape = 6;          // such as "\u00e9"
 constexpr std::size_t kSurrogatePair = 12;  // two escapes, outside the Basic Multilingual Plane
-constexpr std::size_t kLongestLiteral = 5;  // "false"
+constexpr std::size_t kLongestLiteral = 5;  // length of "false"
 constexpr std::size_t kFraction = 2;        // ".0", which some writers add to whole numbers
 
 std::size_t jsonBytesOfCharacter(char c) {
--- a/src/protocol/json_size.h
+++ b/src/protocol/json_size.h
@@ -11,7 +11,7 @@
 /// An upper bound of the bytes that a value takes as JSON, with a space after each separator and every
 /// non-ASCII character escaped, as some JSON writers do.
 std::size_t jsonBytes(const msgpack::object& value);
-/// The same for a packed value; throws `MalformedMessage`.
+/// The upper bound for a packed value; throws `MalformedMessage` if it is malformed.
 std::size_t jsonBytes(std::string_view packed);
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/map_reader.cpp
+++ b/src/protocol/map_reader.cpp
@@ -11,9 +11,9 @@
 constexpr double kMaxAmount = 1e12;
 
 // A body of a few bytes can declare sizes that would exhaust the memory; unpacking fails above these limits.
-constexpr std::size_t kMaxElements = 100'000;  // in a list or a map
-constexpr std::size_t kMaxTextSize = 8 << 20;  // bytes, also of binary and extension values
-constexpr std::size_t kMaxDepth = 32;          // of nested lists and maps
+constexpr std::size_t kMaxElements = 100'000;  // elements of a list or a map
+constexpr std::size_t kMaxTextSize = 8 << 20;  // bytes of a text, binary or extension value
+constexpr std::size_t kMaxDepth = 32;          // nesting of lists and maps
 
 bool refersToBody(msgpack::type::object_type /*type*/, std::size_t /*size*/, void* /*user*/) { return true; }
 
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -14,7 +14,7 @@
 /// A job that its user has cancelled.
 struct Cancellation {
     std::string job;
-    std::uint64_t version = 0;  ///< of the job record that stores the cancellation
+    std::uint64_t version = 0;  ///< version of the job record that stores the cancellation
     bool operator==(const Cancellation&) const = default;
 };
 
@@ -24,10 +24,10 @@
 /// the controller starts. A leader requests from its peers the cancellations that it may not know yet.
 struct PeerStatus {
     std::string node;                 ///< the sender's name
-    std::uint64_t fencingToken = 0;   ///< of a leader; 0 from a follower
-    std::uint64_t resignedToken = 0;  ///< that the sender led with and will never use again
-    std::uint64_t stateAgeMs = 0;     ///< since the key-value store last answered the sender
-    std::uint64_t leaderToken = 0;    ///< of the leader: the sender itself, or the one it is in contact with
+    std::uint64_t fencingToken = 0;   ///< the sender's token if it leads; 0 from a follower
+    std::uint64_t resignedToken = 0;  ///< a token that the sender led with and will never use again
+    std::uint64_t stateAgeMs = 0;     ///< time since the key-value store last answered the sender
+    std::uint64_t leaderToken = 0;    ///< token of the leader that the sender is, or is in contact with
     std::uint64_t voteMs = 0;         ///< in a response to a leader: how long the sender will not try to lead
     /// Of a leader: the number of running tasks of each job.
     std::vector<std::pair<std::string, std::uint32_t>> running;
--- a/src/protocol/policy.h
+++ b/src/protocol/policy.h
@@ -14,7 +14,7 @@
 struct Policy {
     Seconds leadership{0};       ///< duration of the leader's lease; 0: derived from the workers' lease
     Seconds idleKeep{10};        ///< minimum time for which a machine without tasks is kept
-    double bootKeep = 0.8;       ///< the same as a multiple of its type's boot time; the longer time applies
+    double bootKeep = 0.8;       ///< this minimum in boot times of the machine's type; the longer one applies
     Seconds minimumKeep{55};     ///< minimum lifetime of a machine; the cloud charges at least a minute
     Seconds backlogHorizon{45};  ///< target time to work off a backlog of short tasks
     Seconds fetchStart{5};       ///< assumed time to fetch an image until a fetch has been measured
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -19,7 +19,7 @@
 struct Peer {
     std::string name;
     std::string zone;
-    std::string address;  ///< its endpoint for peers
+    std::string address;  ///< the endpoint for other controllers
 };
 
 /// A team of users and its quota. A guaranteed amount of 0 means no guarantee, a maximum of 0 no limit.
@@ -42,8 +42,8 @@
 /// Limits of the key-value store.
 struct StoreLimits {
     double writesPerSecond = 0;         ///< key writes and deletions, of all clients together
-    double maxValueKb = 0;              ///< size of a value as JSON, in KiB
-    unsigned maxTransactionWrites = 0;  ///< key writes and deletions in one transaction
+    double maxValueKb = 0;              ///< largest value as JSON, in KiB
+    unsigned maxTransactionWrites = 0;  ///< most key writes and deletions in one transaction
 };
 
 /// The platform's settings for one controller.
@@ -55,7 +55,7 @@
     std::string peerListenAddress;  ///< endpoint for other controllers
     std::vector<Peer> peers;
     std::string cloudAddress;
-    std::string storeAddress;  ///< of the key-value store
+    std::string storeAddress;  ///< address of the key-value store
 
     // The cluster.
     std::vector<std::string> zones;
@@ -64,7 +64,7 @@
     std::vector<ServiceLevelObjective> objectives;
 
     // Workers and their tasks.
-    Seconds heartbeatInterval{3};  ///< between two heartbeats of a worker
+    Seconds heartbeatInterval{3};  ///< time between two heartbeats of a worker
     Seconds workerLease{30};       ///< duration of a worker's lease, from its last acknowledged heartbeat
     Seconds gangWaitTimeout{40};   ///< how long a task of a gang waits for the others
     Seconds gangPeerTimeout{8};    ///< time within which a gang ends after one of its tasks has exited
@@ -73,19 +73,19 @@
     // Limits of the key-value store, for all controllers together.
     double storeRequestsPerSecond = 100;
     double storeWritesPerSecond = 20;    ///< key writes and deletions
-    double maxValueKb = 8;               ///< size of a value as JSON, in KiB
-    unsigned maxTransactionWrites = 16;  ///< key writes and deletions in one transaction
+    double maxValueKb = 8;               ///< largest value as JSON, in KiB
+    unsigned maxTransactionWrites = 16;  ///< most key writes and deletions in one transaction
     /// Limits that replace those above at some later time, which the key-value store does not announce.
     std::optional<StoreLimits> nextStoreLimits;
 
     // The cloud.
-    double cloudRequestsPerSecond = 2;  ///< of all controllers together
+    double cloudRequestsPerSecond = 2;  ///< for all controllers together
     Seconds cloudListLag{10};  ///< longest delay until a change shows in the cloud's list of machines
 
     // Limits of the resources that this controller itself uses.
-    double maxCpuCores = 1;          ///< may be a fraction of a core
+    double maxCpuCores = 1;          ///< CPU cores; may be a fraction
     double maxMemoryMb = 100;        ///< resident memory, in MiB
-    unsigned maxConnections = 1000;  ///< open sockets
+    unsigned maxConnections = 1000;  ///< most open sockets
 
     /// The team of that name; null if there is none.
     const Team* team(const std::string& name) const;
--- a/src/protocol/store_messages.h
+++ b/src/protocol/store_messages.h
@@ -34,11 +34,11 @@
 struct KeyPage {
     std::vector<KeyChange> entries;
     bool more = false;           ///< another page follows
-    std::uint64_t revision = 0;  ///< of the store when it answered
+    std::uint64_t revision = 0;  ///< revision of the store when it answered
 };
 /// The reply to a transaction that was committed, or that was rejected because a condition did not hold.
 struct TransactionReply {
-    std::uint64_t revision = 0;       ///< that the transaction created, if it was committed
+    std::uint64_t revision = 0;       ///< revision that the transaction created, if it was committed
     std::vector<std::string> failed;  ///< the keys whose condition did not hold
 };
 
--- a/src/protocol/wire_names.h
+++ b/src/protocol/wire_names.h
@@ -14,10 +14,10 @@
 namespace burlpoint::protocol::wire {
 
 // Names that several kinds of message share.
-inline constexpr std::string_view kId = "uid";             // of a job, or of a machine in the cloud's list
-inline constexpr std::string_view kState = "bearing";      // of a job, a task or a machine
+inline constexpr std::string_view kId = "uid";             // id of a job, or of a machine in the cloud's list
+inline constexpr std::string_view kState = "bearing";      // state of a job, a task or a machine
 inline constexpr std::string_view kMachine = "bollard";    // a machine's id
-inline constexpr std::string_view kMachines = "bollards";  // ids, or the list of the cloud's machines
+inline constexpr std::string_view kMachines = "bollards";  // machine ids, or the machines of the cloud
 inline constexpr std::string_view kAddress = "address";
 inline constexpr std::string_view kMachineType = "hull";
 inline constexpr std::string_view kMachineTypes = "hulls";
@@ -27,7 +27,7 @@
 inline constexpr std::string_view kCpus = "cores";
 inline constexpr std::string_view kGpus = "accelerators";
 inline constexpr std::string_view kMemoryGb = "ramGb";
-inline constexpr std::string_view kTasks = "hands";      // of a job: the number; of a heartbeat: the list
+inline constexpr std::string_view kTasks = "hands";  // number of tasks of a job; list of tasks in a heartbeat
 inline constexpr std::string_view kHasMore = "hasNext";  // another page follows
 inline constexpr std::string_view kError = "error";      // why a request was refused
 
@@ -63,7 +63,7 @@
 inline constexpr std::string_view kCommands = "orders";
 inline constexpr std::string_view kCommandKind = "order";
 inline constexpr std::string_view kGraceS = "moorS";
-inline constexpr std::string_view kLeader = "harbormaster";  // in a redirect
+inline constexpr std::string_view kLeader = "harbormaster";  // the leader in a redirect
 }  // namespace worker
 
 /// The cloud's machine types, instance requests and list of machines.
@@ -77,16 +77,16 @@
 inline constexpr std::string_view kRequestName = "charter";
 inline constexpr std::string_view kCount = "howMany";
 inline constexpr std::string_view kAgeS = "heldS";
-inline constexpr std::string_view kNoCapacity = "no capacity";  // the error text for a capacity error
+inline constexpr std::string_view kNoCapacity = "no capacity";  // the error text if the cloud has no capacity
 }  // namespace cloud
 
 /// The key-value store.
 namespace store {
 inline constexpr std::string_view kConditions = "when";
 inline constexpr std::string_view kWrites = "apply";
-inline constexpr std::string_view kKey = "path";           // in conditions and pages
-inline constexpr std::string_view kWrittenKey = "write";   // in transactions and watches
-inline constexpr std::string_view kDeletedKey = "remove";  // in transactions and watches
+inline constexpr std::string_view kKey = "path";           // a key in conditions and pages
+inline constexpr std::string_view kWrittenKey = "write";   // a written key in transactions and watches
+inline constexpr std::string_view kDeletedKey = "remove";  // a deleted key in transactions and watches
 inline constexpr std::string_view kValue = "data";
 inline constexpr std::string_view kVersion = "mark";
 inline constexpr std::string_view kLease = "mooring";
--- a/src/protocol/worker_messages.h
+++ b/src/protocol/worker_messages.h
@@ -25,7 +25,7 @@
 
 /// Why a task has exited.
 enum class ExitReason {
-    none,  ///< it has not exited
+    none,  ///< the task has not exited
     done,
     stopped,  ///< stopped by a command
     peers,    ///< another task of its gang has exited
@@ -43,7 +43,7 @@
     acknowledge  ///< its exit has been recorded, so the worker may stop reporting it
 };
 
-/// One start of one task.
+/// One start of a task on a worker.
 struct Attempt {
     std::string job;
     std::uint32_t task = 0;    ///< counted from 0
@@ -79,7 +79,7 @@
 struct WorkerCommand {
     CommandKind kind = CommandKind::start;
     Attempt attempt;
-    Seconds grace{0};  ///< for a stop: how long the task may take for a checkpoint
+    Seconds grace{0};  ///< of a stop command: time that the task may take for a checkpoint
     bool operator==(const WorkerCommand&) const = default;
 };
 
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kReadBufferBytes = 4096;
 constexpr std::size_t kMaxTargetBytes = 2048;                    // length of a request's target
-constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;  // names and values of a request's headers
+constexpr std::size_t kMaxHeaderBytes = std::size_t{16} * 1024;  // all header names and values of a request
 /// How long the client's remaining bytes are read and discarded after the last response.
 constexpr Duration kLinger{1000};
 constexpr Duration kSweepInterval{2000};
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -15,10 +15,10 @@
 
 /// Bounds that keep slow or hostile clients from using up the process's sockets and memory.
 struct ServerLimits {
-    std::size_t connections = 500;                   ///< open at the same time
+    std::size_t connections = 500;                   ///< most connections open at the same time
     std::size_t bodyBytes = std::size_t{64} * 1024;  ///< largest body of a request
     Duration idle{60'000};                           ///< how long a connection is kept without a request
-    Duration receive{10'000};                        ///< from a request's first byte to its last
+    Duration receive{10'000};                        ///< time limit from a request's first byte to its last
 };
 
 /// Serves one request at a time on each connection. While the server is near its connection limit, it closes
