--- a/tests/upgrade/cancellation_upgrade_test.cpp
+++ b/tests/upgrade/cancellation_upgrade_test.cpp
@@ -1,77 +1,80 @@
-// Cancellations during an upgrade.
+// Upgrade tests of cancellations.
 #include "upgrade/upgrade_fixture.h"
 
 using namespace burlpoint::tests;
 
 namespace {
 
-/// The key-value store refuses the leader, another controller confirms a cancellation, and then an outage
-/// begins. The leader goes on by the votes of the others, which tell it of the cancellation. False if its
-/// leader lease had ended before: then no controller can lead until the outage is over.
-bool isObeyedInAnOutage(Upgrade& test, std::size_t leading, std::size_t confirming) {
+/// The key-value store refuses the leader, another controller confirms a cancellation, and then the store
+/// fails for all controllers. The leader can stay leader on the votes of its peers, which tell it of the
+/// cancellation. Waits until the cancelled job has no active tasks under this leader, and returns true.
+/// Returns false if the leader lease expired first: then no controller can lead until the outage is over.
+bool cancellationIsObeyedDuringOutage(Upgrade& test, std::size_t leading, std::size_t confirming) {
     auto& cluster = *test.cluster;
-    test.waitUntilRunning(kService, 3);
+    test.waitUntilRunning(kServiceJob, 3);
     const auto id = test.submitRunningJob(confirming);
-    cluster.refuse(leading, true);
+    cluster.setStoreOutageFor(leading, true);
     cluster.users.cancel(id, confirming);
     test.waitUntilCancelled(id);
-    cluster.setOutage(true);
-    const auto renewalsBefore = cluster.machines.renewals(kService);
-    // Heartbeats are half a second apart at least, so this takes longer than the leader's own lease.
-    constexpr std::uint64_t kRenewals = 16;
-    bool leaderGoesOn = true;
-    cluster.until("the leader has gone on for long in an outage, or its lease has ended", [&] {
-        const auto renewals = cluster.machines.renewals(kService);
-        leaderGoesOn = renewals.size() == renewalsBefore.size();
-        bool enough = true;
-        for (const auto& [incarnation, before] : renewalsBefore) {
+    cluster.setStoreOutage(true);
+    const auto renewalsBefore = cluster.machines.leaseRenewals(kServiceJob);
+    // Heartbeats are at least 0.5 s apart, so these renewals take longer than the leader lease.
+    constexpr std::uint64_t kMinRenewals = 16;
+    bool leaderContinues = true;
+    cluster.waitUntil("the leader has outlasted its lease in an outage, or its lease has expired", [&] {
+        const auto renewals = cluster.machines.leaseRenewals(kServiceJob);
+        leaderContinues = renewals.size() == renewalsBefore.size();
+        bool renewedOftenEnough = true;
+        for (const auto& [incarnation, previousCount] : renewalsBefore) {
             const auto found = renewals.find(incarnation);
-            leaderGoesOn &= found != renewals.end();
-            enough &= found != renewals.end() && found->second >= before + kRenewals;
+            leaderContinues &= found != renewals.end();
+            renewedOftenEnough &= found != renewals.end() && found->second >= previousCount + kMinRenewals;
         }
-        return !leaderGoesOn || (enough && cluster.machines.isGone(id));
+        return !leaderContinues || (renewedOftenEnough && cluster.machines.hasNoActiveTasks(id));
     });
-    cluster.setOutage(false);
-    return leaderGoesOn;
+    cluster.setStoreOutage(false);
+    return leaderContinues;
 }
 
-/// One controller leads, and one of the other version confirms the cancellations.
+/// Checks that the controller `leading` obeys cancellations that `confirming`, which runs the other version,
+/// has confirmed.
 void checkCancellationsAreObeyed(Upgrade& test, std::size_t leading, std::size_t confirming) {
     auto& cluster = *test.cluster;
     const auto id = test.submitRunningJob(confirming);
     cluster.users.cancel(id, confirming);
     test.waitUntilCancelled(id);
-    test.waitUntilGone(id);
+    test.waitUntilNoActiveTasks(id);
 
-    while (!isObeyedInAnOutage(test, leading, confirming)) cluster.makeLeaderAgain(leading);
+    while (!cancellationIsObeyedDuringOutage(test, leading, confirming)) cluster.restoreLeader(leading);
 
-    // Refused alone, the leader ends with its lease, and the next one obeys.
+    // If the store refuses the leader only, its lease expires, and the next leader obeys the cancellation.
     const auto other = test.submitRunningJob(confirming);
-    cluster.refuse(leading, true);
+    cluster.setStoreOutageFor(leading, true);
     cluster.users.cancel(other, confirming);
     test.waitUntilCancelled(other);
-    test.waitUntilGone(other);
-    cluster.until("another controller leads",
-                  [&] { return cluster.leader() && cluster.leader() != leading; });
-    cluster.refuse(leading, false);
-    test.waitUntilRunning(kService, 3);
+    test.waitUntilNoActiveTasks(other);
+    cluster.waitUntil("another controller leads",
+                      [&] { return cluster.leader() && cluster.leader() != leading; });
+    cluster.setStoreOutageFor(leading, false);
+    test.waitUntilRunning(kServiceJob, 3);
 }
 
 }  // namespace
 
-// Cancellations that a controller of one version confirms are obeyed by a leader of the other: when all is
-// well, when the key-value store refuses the leader alone, and when an outage follows at once.
+// Guards against a leader of one version that keeps tasks of a job running after a controller of the other
+// version has confirmed the job's cancellation: in normal operation, when the key-value store refuses only
+// the leader, and when the store then fails for all controllers.
 TEST_P(Upgrade, CancellationsOfOneVersionAreObeyedByTheOther) {
     startOldCluster();
-    const auto first = *cluster->leader();
-    const auto newOne = nextAfter(first);
-    cluster->start(newOne, kNewVersion);
-    checkCancellationsAreObeyed(*this, first, newOne);
+    const auto firstLeader = *cluster->leader();
+    const auto newController = nextAfter(firstLeader);
+    cluster->start(newController, kNewVersion);
+    checkCancellationsAreObeyed(*this, firstLeader, newController);
 
-    cluster->makeLeader(newOne);
-    cluster->start(first, oldVersion());
-    cluster->start(nextAfter(first, 2), oldVersion());
-    checkCancellationsAreObeyed(*this, newOne, first);
+    cluster->makeLeader(newController);
+    cluster->start(firstLeader, oldVersion());
+    cluster->start(nextAfter(firstLeader, 2), oldVersion());
+    checkCancellationsAreObeyed(*this, newController, firstLeader);
     upgradeAll();
     finishAndCheck();
 }
--- a/tests/upgrade/check_fixture.cpp
+++ b/tests/upgrade/check_fixture.cpp
@@ -19,19 +19,21 @@
     return spec;
 }
 
-std::string firstBrokenRule(const Rules& rules) { return rules.broken.empty() ? "" : rules.broken.front(); }
+std::string firstViolation(const TestOracle& oracle) {
+    return oracle.violations.empty() ? "" : oracle.violations.front();
+}
 
 ScriptedController::ScriptedController(asio::io_context& io)
     : server_(
           io, transport::parseEndpoint("127.0.0.1:0"), {},
           [this](transport::Request&& request, const transport::Reply& reply) { serve(request, reply); }) {}
 
-Controller ScriptedController::address() const {
+ControllerEndpoint ScriptedController::endpoint() const {
     return {"scripted", "127.0.0.1:" + std::to_string(server_.localEndpoint().port())};
 }
 
 void ScriptedController::serve(const transport::Request& request, const transport::Reply& reply) {
-    ++answered;
+    ++answeredRequests;
     reply(script(request));
 }
 
--- a/tests/upgrade/check_fixture.h
+++ b/tests/upgrade/check_fixture.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// What the tests of the upgrade tests' checks have in common. Each check is shown a controller or a store
-// that breaks its rule and has to name it, and one that keeps all rules, of which it has to say nothing.
+// Common parts of the tests that verify the invariant checks of the upgrade tests. For each check, one test
+// feeds it a controller or a store that violates the invariant and expects the check to report it; another
+// feeds it a correct controller or store and expects no report.
 
 #include <cstddef>
 #include <functional>
@@ -20,24 +21,25 @@
 
 constexpr char kJob[] = "wk-1";
 constexpr char kDependent[] = "wk-2";
-constexpr auto kStep = std::chrono::milliseconds(5);  // of a test's loop
+constexpr auto kStepDuration = std::chrono::milliseconds(5);  // event loop time between two steps of a check
 
-/// An array of two tasks.
+/// An array job of two tasks, with one CPU and 1 GB each.
 protocol::JobSpec makeSmallJob(const std::string& id, std::vector<std::string> dependencies = {});
 
-/// Empty if no rule was broken.
-std::string firstBrokenRule(const Rules& rules);
+/// The first recorded violation; empty if there is none.
+std::string firstViolation(const TestOracle& oracle);
 
-/// Answers HTTP requests as the test says, at an address of its own.
+/// A controller stub that listens on a loopback port of its own and answers each HTTP request with the result
+/// of the test's script.
 class ScriptedController {
   public:
     using Script = std::function<transport::Response(const transport::Request&)>;
 
     explicit ScriptedController(asio::io_context& io);
 
-    Controller address() const;
-    Script script;  // has to be set before the first request
-    std::size_t answered = 0;
+    ControllerEndpoint endpoint() const;
+    Script script;  // must be set before the first request arrives
+    std::size_t answeredRequests = 0;
 
   private:
     void serve(const transport::Request& request, const transport::Reply& reply);
--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud.cpp
@@ -9,8 +9,8 @@
 using protocol::MapReader;
 using protocol::MessagePacker;
 
-CloudStub::CloudStub(asio::io_context& io, Rules& rules, Machines& machines)
-    : rules_(rules),
+CloudStub::CloudStub(asio::io_context& io, TestOracle& oracle, Machines& machines)
+    : oracle_(oracle),
       machines_(machines),
       type_{"plain", 16, 0, 64, 10, 1, 1, 1, Seconds(1), {"a", "b"}},
       server_(
@@ -33,17 +33,17 @@
         } else if (request.method == "POST") {
             response = createInstances(request.body);
         } else {
-            response.body = list();
+            response.body = encodeInstances();
         }
     } catch (const protocol::MalformedMessage& error) {
-        rules_.require(false, std::string("malformed request to the cloud: ") + error.what());
+        oracle_.require(false, std::string("malformed request to the cloud: ") + error.what());
         response.status = 400;
     }
     reply(response);
 }
 
-/// All machines at once: there are never more than fit one page.
-std::string CloudStub::list() const {
+/// Encodes all machines as a single page. The limit per zone keeps their number below the page size.
+std::string CloudStub::encodeInstances() const {
     MessagePacker packer;
     packer.map(2).key("bollards").list(machines_.workers().size());
     for (const auto& [id, worker] : machines_.workers()) {
@@ -55,7 +55,7 @@
     return packer.field("hasNext", false).take();
 }
 
-std::size_t CloudStub::machinesIn(const std::string& zone) const {
+std::size_t CloudStub::countInZone(const std::string& zone) const {
     std::size_t count = 0;
     for (const auto& [id, worker] : machines_.workers()) count += worker->zone() == zone;
     return count;
@@ -68,8 +68,8 @@
     auto& created = instanceRequests_[name];
     transport::Response response;
     if (created.empty()) {
-        for (auto left = fields.integer("howMany"); left > 0 && machinesIn(zone) < kMaxMachinesInZone;
-             --left) {
+        for (auto remaining = fields.integer("howMany");
+             remaining > 0 && countInZone(zone) < kMaxMachinesPerZone; --remaining) {
             created.push_back(machines_.create(type_, zone));
             createdAt_[created.back()] = Clock::now();
         }
--- a/tests/upgrade/cloud.h
+++ b/tests/upgrade/cloud.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The stand-in for the cloud in the upgrade tests. It answers the controllers' HTTP requests and creates and
-// deletes the machines of the test. Used on the test's one thread.
+// A stub of the cloud provider for the upgrade tests. It answers the controllers' HTTP requests and creates
+// and deletes the test's machines. Single-threaded: used only on the test's thread.
 
 #include <map>
 #include <string>
@@ -17,27 +17,28 @@
 
 namespace burlpoint::tests {
 
-/// One machine type in two zones, with a few machines in each. They are up at once.
+/// Offers one machine type in two zones, with at most `kMaxMachinesPerZone` machines in each. A machine is
+/// ready as soon as it is created.
 class CloudStub {
   public:
-    CloudStub(asio::io_context& io, Rules& rules, Machines& machines);
+    CloudStub(asio::io_context& io, TestOracle& oracle, Machines& machines);
 
     std::string address() const;
 
   private:
-    static constexpr std::size_t kMaxMachinesInZone = 4;
+    static constexpr std::size_t kMaxMachinesPerZone = 4;
 
     void serve(const transport::Request& request, const transport::Reply& reply);
-    std::string list() const;
+    std::string encodeInstances() const;
     transport::Response createInstances(const std::string& body);
     void deleteInstances(const std::string& body);
-    std::size_t machinesIn(const std::string& zone) const;
+    std::size_t countInZone(const std::string& zone) const;
 
-    Rules& rules_;
+    TestOracle& oracle_;
     Machines& machines_;
     const protocol::MachineType type_;
-    std::map<std::string, std::vector<std::string>> instanceRequests_;  // by request name
-    std::map<std::string, Time> createdAt_;
+    std::map<std::string, std::vector<std::string>> instanceRequests_;  // machine ids, by request
+    std::map<std::string, Time> createdAt_;                             // by machine id
     transport::HttpServer server_;
 };
 
--- a/tests/upgrade/cluster.cpp
+++ b/tests/upgrade/cluster.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto kStep = 5ms;
+constexpr auto kStepDuration = 5ms;
 
 protocol::Settings commonSettings() {
     protocol::Settings settings;
@@ -36,8 +36,9 @@
     return ports;
 }
 
-std::vector<Controller> controllersAt(const std::vector<std::unique_ptr<ReservedPort>>& ports) {
-    std::vector<Controller> controllers;
+std::vector<ControllerEndpoint> makeControllerEndpoints(
+    const std::vector<std::unique_ptr<ReservedPort>>& ports) {
+    std::vector<ControllerEndpoint> controllers;
     for (std::size_t i = 0; i < ports.size(); ++i) controllers.push_back({nameOf(i), ports[i]->address()});
     return controllers;
 }
@@ -52,18 +53,18 @@
 
 }  // namespace
 
-Cluster::Cluster(ValueLimits limits)
+Cluster::Cluster(StoreLimits limits)
     : settings(commonSettings()),
       limits_(limits),
       ports_(reservePorts()),
       peerPorts_(reservePorts()),
-      controllers_(controllersAt(ports_)),
+      controllers_(makeControllerEndpoints(ports_)),
       storeEndpoints_(makeStoreEndpoints(io_)),
-      stored(rules, storeEndpoints_.front()->store),
-      machines(io_, rules, settings, controllers_,
-               [this](const std::string& job) { return stored.isDone(job); }),
-      users(io_, rules, controllers_),
-      cloud_(io_, rules, machines),
+      storeCheck(oracle, storeEndpoints_.front()->store),
+      machines(io_, oracle, settings, controllers_,
+               [this](const std::string& job) { return storeCheck.isDone(job); }),
+      users(io_, oracle, controllers_),
+      cloud_(io_, oracle, machines),
       versions_(kControllers),
       processes_(kControllers) {
     for (std::size_t i = 0; i < kControllers; ++i) std::ofstream(settingsFile(i)) << settingsText(i);
@@ -71,8 +72,8 @@
 
 Cluster::~Cluster() {
     processes_.clear();
-    if (!rules.broken.empty()) printLogs();
-    while (storeEndpoints_.size() > 1) storeEndpoints_.pop_back();  // the first one knows the others
+    if (!oracle.violations.empty()) printLogs();
+    while (storeEndpoints_.size() > 1) storeEndpoints_.pop_back();  // the others unregister from the first
 }
 
 std::string Cluster::settingsFile(std::size_t controller) const {
@@ -103,9 +104,10 @@
          << "\ngang_wait_s = " << settings.gangWaitTimeout.count()
          << "\ngang_peer_s = " << settings.gangPeerTimeout.count()
          << "\ncancel_s = " << settings.cancelTimeout.count()
-         << "\n[cluster.state]\nrps = 2000.0\nwrite_rps = 1000.0\nvalue_kb = " << limits_.nowKb
-         << "\ntxn_ops = " << limits_.nowOperations << "\n[cluster.state.next]\nvalue_kb = " << limits_.nextKb
-         << "\ntxn_ops = " << limits_.nextOperations << "\n[cluster.cloud]\nrps = 20.0\nlist_lag_s = 0.0\n"
+         << "\n[cluster.state]\nrps = 2000.0\nwrite_rps = 1000.0\nvalue_kb = " << limits_.currentValueKb
+         << "\ntxn_ops = " << limits_.currentTxnOps
+         << "\n[cluster.state.next]\nvalue_kb = " << limits_.nextValueKb
+         << "\ntxn_ops = " << limits_.nextTxnOps << "\n[cluster.cloud]\nrps = 20.0\nlist_lag_s = 0.0\n"
          << "[cluster.limits]\ncore_share = 1.0\nmem_mb = 200.0\nmax_connections = 500\n";
     return text.str();
 }
@@ -126,32 +128,32 @@
     const auto found = values.find(storage::keys::kLeader);
     if (found == values.end()) return std::nullopt;
     const auto record = storage::decodeLeader(protocol::unpackBody(found->second.data).get());
-    if (record.fencingToken != machines.newestToken()) return std::nullopt;
+    if (record.fencingToken != machines.highestFencingToken()) return std::nullopt;
     for (std::size_t i = 0; i < kControllers; ++i)
-        if (nameOf(i) == record.node && runs(i)) return i;
+        if (nameOf(i) == record.node && isRunning(i)) return i;
     return std::nullopt;
 }
 
 void Cluster::makeLeader(std::size_t controller) {
     for (std::size_t i = 0; i < kControllers; ++i)
         if (i != controller) kill(i);
-    until(nameOf(controller) + " (" + versions_[controller].name + ") leads",
-          [&] { return leader() == controller; });
+    waitUntil(nameOf(controller) + " (" + versions_[controller].name + ") leads",
+              [&] { return leader() == controller; });
 }
 
-void Cluster::makeLeaderAgain(std::size_t controller) {
-    refuse(controller, false);
+void Cluster::restoreLeader(std::size_t controller) {
+    setStoreOutageFor(controller, false);
     makeLeader(controller);
     for (std::size_t i = 0; i < kControllers; ++i)
         if (i != controller) start(i, versions_[i]);
 }
 
-std::size_t Cluster::awaitLeader() {
-    until("some controller leads", [&] { return leader().has_value(); });
+std::size_t Cluster::waitForLeader() {
+    waitUntil("a controller leads", [&] { return leader().has_value(); });
     return *leader();
 }
 
-void Cluster::setOutage(bool outage) {
+void Cluster::setStoreOutage(bool outage) {
     for (const auto& endpoint : storeEndpoints_) endpoint->outage = outage;
     if (outage_ && !outage) {
         storeEndpoints_.front()->restartLeases(Clock::now());
@@ -160,31 +162,31 @@
     outage_ = outage;
 }
 
-void Cluster::lowerLimits() {
+void Cluster::applyNextLimits() {
     auto& limits = storeEndpoints_.front()->store.limits;
-    limits.maxValueBytes = static_cast<std::size_t>(limits_.nextKb * 1024);
-    limits.ops = limits_.nextOperations;
+    limits.maxValueBytes = static_cast<std::size_t>(limits_.nextValueKb * 1024);
+    limits.ops = limits_.nextTxnOps;
 }
 
-void Cluster::until(const std::string& what, const std::function<bool()>& holds) {
-    std::cout << "waiting until " << what << std::endl;
-    while (!holds()) step();
+void Cluster::waitUntil(const std::string& description, const std::function<bool()>& condition) {
+    std::cout << "waiting until " << description << std::endl;
+    while (!condition()) step();
 }
 
 void Cluster::step() {
-    io_.run_for(kStep);
+    io_.run_for(kStepDuration);
     const auto now = Clock::now();
     if (!outage_) storeEndpoints_.front()->passTime(now);
-    stored.step();
+    storeCheck.step();
     machines.step(now);
     users.step(now);
     checkProcesses();
-    if (!rules.broken.empty()) throw RuleBroken(rules.broken.front());
+    if (!oracle.violations.empty()) throw InvariantViolation(oracle.violations.front());
 }
 
 void Cluster::checkProcesses() {
     for (std::size_t i = 0; i < kControllers; ++i)
-        rules.require(!processes_[i] || processes_[i]->isRunning(), nameOf(i) + " has ended by itself");
+        oracle.require(!processes_[i] || processes_[i]->isRunning(), nameOf(i) + " has exited unexpectedly");
 }
 
 void Cluster::printLogs() const {
--- a/tests/upgrade/cluster.h
+++ b/tests/upgrade/cluster.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// A cluster for the upgrade tests: controllers as real processes, and everything around them in this process.
-// Used on the test's one thread.
+// A cluster for the upgrade tests: the controllers are real processes, and all their peers (key-value store,
+// cloud, workers, users) are stubs in the test process. Single-threaded: used only on the test's thread.
 
 #include <functional>
 #include <memory>
@@ -19,64 +19,73 @@
 
 namespace burlpoint::tests {
 
-/// A version of the controller.
+/// A version of the controller: its name in log lines, and the path of its executable.
 struct Version {
     std::string name, binary;
     bool operator==(const Version&) const = default;
 };
 
-/// Limits of the key-value store's values as the settings name them, now and next.
-struct ValueLimits {
-    double nowKb = 64, nextKb = 64;
-    unsigned nowOperations = 64, nextOperations = 64;
+/// The key-value store's limits on the size of a value and on the writes in a transaction, as the settings
+/// state them: the current limits, and the announced next ones.
+struct StoreLimits {
+    double currentValueKb = 64, nextValueKb = 64;
+    unsigned currentTxnOps = 64, nextTxnOps = 64;
 };
 
-/// Thrown as soon as a rule is broken; the message names it.
-struct RuleBroken : std::runtime_error {
+/// Thrown at the first invariant violation; the message describes the violation.
+struct InvariantViolation : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// Three controllers as real processes, and the key-value store, the cloud, the workers and the users around
-/// them. Nothing here depends on how fast the machine is: a test waits for what has to come, and the rules
-/// that it checks hold at any speed.
+/// Three controllers as real processes, with stubs of the key-value store, the cloud, the workers and the
+/// users. Results do not depend on the speed of the host: a test waits for conditions without a time limit of
+/// its own, and the invariants that it checks hold at any speed.
 class Cluster {
   public:
     static constexpr std::size_t kControllers = 3;
 
-    explicit Cluster(ValueLimits limits = {});
+    explicit Cluster(StoreLimits limits = {});
     ~Cluster();
 
-    /// Starts a controller, or kills it and starts it again at once.
+    /// Starts a controller in this version. A running controller is killed first.
     void start(std::size_t controller, const Version& version);
     void startAll(const Version& version);
     void kill(std::size_t controller) { processes_[controller].reset(); }
-    bool runs(std::size_t controller) const { return processes_[controller] != nullptr; }
+    /// Whether the controller has been started and has not been killed since.
+    bool isRunning(std::size_t controller) const { return processes_[controller] != nullptr; }
     const Version& version(std::size_t controller) const { return versions_[controller]; }
 
+    /// Whether the leader's key exists in the key-value store; it is deleted when the leader lease expires.
     bool hasLeaderKey() const {
         return storeEndpoints_.front()->store.values.contains(storage::keys::kLeader);
     }
-    /// The controller that has stored the leader's key and whose fencing token a worker has accepted.
+    /// The running controller named by the leader's key, if a worker has accepted that leader's fencing
+    /// token.
     std::optional<std::size_t> leader() const;
-    /// Kills the others, so that this one has to lead, and waits until it does.
+    /// Kills the other controllers, so that only this one can lead, and waits until it does.
     void makeLeader(std::size_t controller);
-    /// The same, and then starts the others again, each in its version.
-    void makeLeaderAgain(std::size_t controller);
-    /// Waits until some controller leads.
-    std::size_t awaitLeader();
-
-    /// The key-value store refuses this controller alone, or serves it again.
-    void refuse(std::size_t controller, bool refused) { storeEndpoints_[controller]->outage = refused; }
-    /// The key-value store refuses all controllers, or serves all of them again.
-    void setOutage(bool outage);
-    /// From now on the key-value store takes no more than the next limits.
-    void lowerLimits();
+    /// Ends the store outage of this controller, makes it the leader, and restarts the others in their
+    /// versions.
+    void restoreLeader(std::size_t controller);
+    /// Waits until a controller leads, and returns it.
+    std::size_t waitForLeader();
+
+    /// Makes the key-value store refuse the requests of this controller only, or serve them again.
+    void setStoreOutageFor(std::size_t controller, bool outage) {
+        storeEndpoints_[controller]->outage = outage;
+    }
+    /// Makes the key-value store refuse the requests of all controllers, or serve them again. After an
+    /// outage, all leases in the store have their full duration again.
+    void setStoreOutage(bool outage);
+    /// Makes the key-value store enforce the next limits from now on.
+    void applyNextLimits();
 
-    /// Goes on until the condition holds. Only the whole test's time is limited.
-    void until(const std::string& what, const std::function<bool()>& holds);
+    /// Steps the cluster until the condition holds. There is no time limit other than the ctest timeout of
+    /// the whole test.
+    void waitUntil(const std::string& description, const std::function<bool()>& condition);
 
-    protocol::Settings settings;  // what all controllers have in common
-    Rules rules;
+    protocol::Settings settings;  // shared by all controllers
+    TestOracle oracle;
 
   private:
     void step();
@@ -86,17 +95,17 @@
     std::string logFile(std::size_t controller) const;
     void printLogs() const;
 
-    const ValueLimits limits_;
+    const StoreLimits limits_;
     const TemporaryDirectory directory_;
     asio::io_context io_{1};
     std::vector<std::unique_ptr<ReservedPort>> ports_, peerPorts_;
-    std::vector<Controller> controllers_;
-    std::vector<std::unique_ptr<StoreStub>>
-        storeEndpoints_;  // of the key-value store, one for each controller
+    std::vector<ControllerEndpoint> controllers_;
+    /// One endpoint of the same key-value store per controller.
+    std::vector<std::unique_ptr<StoreStub>> storeEndpoints_;
     bool outage_ = false;
 
   public:
-    StoreCheck stored;
+    StoreCheck storeCheck;
     Machines machines;
     Users users;
 
--- a/tests/upgrade/launcher.cpp
+++ b/tests/upgrade/launcher.cpp
@@ -19,12 +19,13 @@
 
 constexpr int kExecFailed = 127;
 
-void require(bool succeeded, const char* what) {
-    if (!succeeded) throw std::system_error(errno, std::generic_category(), what);
+void require(bool succeeded, const char* operation) {
+    if (!succeeded) throw std::system_error(errno, std::generic_category(), operation);
 }
 
-/// Runs in the forked child and does not return.
-[[noreturn]] void becomeController(const char* binary, const char* settingsFile, int log, pid_t parent) {
+/// Executes the controller in the forked child. Exits with `kExecFailed` if that fails or the parent has
+/// died.
+[[noreturn]] void execController(const char* binary, const char* settingsFile, int log, pid_t parent) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(kExecFailed);
     dup2(log, STDERR_FILENO);
@@ -67,20 +68,20 @@
     require(logFile >= 0, "open");
     const pid_t parent = getpid();
     pid_ = fork();
-    if (pid_ == 0) becomeController(binary.c_str(), settingsFile.c_str(), logFile, parent);
+    if (pid_ == 0) execController(binary.c_str(), settingsFile.c_str(), logFile, parent);
     close(logFile);
     require(pid_ > 0, "fork");
 }
 
 ControllerProcess::~ControllerProcess() {
-    if (ended_) return;
+    if (exited_) return;
     ::kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
 }
 
 bool ControllerProcess::isRunning() {
-    if (!ended_ && waitpid(pid_, nullptr, WNOHANG) == pid_) ended_ = true;
-    return !ended_;
+    if (!exited_ && waitpid(pid_, nullptr, WNOHANG) == pid_) exited_ = true;
+    return !exited_;
 }
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/launcher.h
+++ b/tests/upgrade/launcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Controllers as real processes, with the ports and files that they need. Each object owns what it names and
-// gives it back at its end.
+// Controllers as real processes, with the ports and files that they need. Each object owns its resource and
+// releases it when it is destroyed.
 
 #include <sys/types.h>
 
@@ -10,7 +10,7 @@
 
 namespace burlpoint::tests {
 
-/// A directory of this test run that is removed at the end.
+/// A new temporary directory that is removed with its contents when the object is destroyed.
 class TemporaryDirectory {
   public:
     TemporaryDirectory();
@@ -24,9 +24,9 @@
     std::filesystem::path path_;
 };
 
-/// A port on loopback that stays the same while controllers come and go. A socket that is bound to it and
-/// never listens keeps all others from being given the port; only a listener that asks to reuse addresses
-/// gets it.
+/// A loopback port that stays reserved while controllers are restarted. It is held by a bound socket that
+/// never listens, so that the kernel does not assign the port to another process. A controller can still
+/// listen on it, because its listener sets SO_REUSEADDR.
 class ReservedPort {
   public:
     ReservedPort();
@@ -41,22 +41,23 @@
     std::string address_;
 };
 
-/// A controller as a real process. It ends with the object, and with the test if that is killed.
+/// A controller as a child process. It is killed when the object is destroyed, and by the kernel when the
+/// test process dies.
 class ControllerProcess {
   public:
-    /// Standard error is appended to the file `log`.
+    /// Starts `binary` with the settings file. Its standard error is appended to the file `log`.
     ControllerProcess(const std::string& binary, const std::string& settingsFile, const std::string& log);
-    /// Kills the process and waits for its end.
+    /// Kills the process and reaps it.
     ~ControllerProcess();
     ControllerProcess(const ControllerProcess&) = delete;
     ControllerProcess& operator=(const ControllerProcess&) = delete;
 
-    /// False once the process has ended by itself.
+    /// Whether the process is still running; false once it has exited by itself.
     bool isRunning();
 
   private:
     pid_t pid_;
-    bool ended_ = false;
+    bool exited_ = false;
 };
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/machines.cpp
+++ b/tests/upgrade/machines.cpp
@@ -21,12 +21,12 @@
 
 namespace {
 
-constexpr auto kAnswerTimeout = 4s;
-constexpr auto kNextController = 1s;  // after a failure
-constexpr auto kBetweenHeartbeats = 500ms;
-constexpr auto kFetch = 200ms;
-constexpr auto kShortestRun = 100ms;
-constexpr std::size_t kConnections = 500;
+constexpr auto kResponseTimeout = 4s;
+constexpr auto kFailoverDelay = 1s;  // before the next controller is tried
+constexpr auto kMinHeartbeatInterval = 500ms;
+constexpr auto kImageFetchTime = 200ms;
+constexpr auto kMinRunTime = 100ms;
+constexpr std::size_t kMaxConnections = 500;
 
 Clock::duration ticks(Seconds s) { return std::chrono::duration_cast<Clock::duration>(s); }
 
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-// --- one worker -------------------------------------------------------------------------------------------
+// --- Worker -----------------------------------------------------------------------------------------------
 
 Worker::Worker(asio::io_context& io, Machines& machines, std::string id, protocol::MachineType type,
                std::string zone)
@@ -51,35 +51,35 @@
 
 std::string Worker::address() const { return "127.0.0.1:" + std::to_string(server_.localEndpoint().port()); }
 
-void Worker::changed(Time now) {
-    nextHeartbeat_ = std::min(nextHeartbeat_, std::max(now, earliestHeartbeat_));
+void Worker::expediteHeartbeat(Time now) {
+    nextHeartbeatAt_ = std::min(nextHeartbeatAt_, std::max(now, earliestHeartbeatAt_));
 }
 
-void Worker::expire(Time now) {
+void Worker::expireLease(Time now) {
     const auto lease = ticks(machines_.settings_.workerLease);
     if (now - lastRenewal_ <= lease) return;
     tasks_.clear();
     ++incarnation_;
-    renewals_ = 0;
+    leaseRenewals_ = 0;
     lastRenewal_ = now;
-    changed(now);
+    expediteHeartbeat(now);
 }
 
-void Worker::enter(const Attempt& attempt, TaskState state, Time now) {
+void Worker::setTaskState(const Attempt& attempt, TaskState state, Time now) {
     auto& task = tasks_.at(attempt);
     task.state = state;
-    task.since = now;
-    changed(now);
+    task.enteredAt = now;
+    expediteHeartbeat(now);
 }
 
-void Worker::exit(const Attempt& attempt, ExitReason why, Time now) {
-    tasks_.at(attempt).why = why;
-    enter(attempt, TaskState::exited, now);
+void Worker::exitTask(const Attempt& attempt, ExitReason exitReason, Time now) {
+    tasks_.at(attempt).exitReason = exitReason;
+    setTaskState(attempt, TaskState::exited, now);
 }
 
-const Attempt* Worker::holds(const std::string& job, std::uint32_t number) const {
-    for (auto at = tasks_.lower_bound({job, number, 0}); at != tasks_.end(); ++at) {
-        if (at->first.job != job || at->first.task != number) break;
+const Attempt* Worker::findActiveAttempt(const std::string& job, std::uint32_t task) const {
+    for (auto at = tasks_.lower_bound({job, task, 0}); at != tasks_.end(); ++at) {
+        if (at->first.job != job || at->first.task != task) break;
         if (at->second.state != TaskState::exited) return &at->first;
     }
     return nullptr;
@@ -90,26 +90,28 @@
     for (const auto& [attempt, task] : tasks_) attempts.push_back(attempt);
     for (const auto& attempt : attempts) {
         const auto& task = tasks_.at(attempt);
-        auto& job = machines_.rules_.job(attempt.job);
+        auto& job = machines_.oracle_.job(attempt.job);
         if (task.state == TaskState::fetching) {
-            if (!fetchedImages_.contains(job.spec.image) && now - task.since < kFetch) continue;
+            if (!fetchedImages_.contains(job.spec.image) && now - task.enteredAt < kImageFetchTime) continue;
             fetchedImages_.insert(job.spec.image);
             if (job.completed.contains(attempt.task))
-                exit(attempt, ExitReason::done, now);
+                exitTask(attempt, ExitReason::done, now);
             else
-                enter(attempt, job.spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running, now);
+                setTaskState(attempt,
+                             job.spec.kind == JobKind::gang ? TaskState::waiting : TaskState::running, now);
         } else if (task.state == TaskState::running && job.spec.kind == JobKind::array) {
-            if (job.completed.size() >= job.completionLimit || now - task.since < kShortestRun) continue;
+            if (job.completed.size() >= job.completionLimit || now - task.enteredAt < kMinRunTime) continue;
             job.completed.insert(attempt.task);
-            exit(attempt, ExitReason::done, now);
+            exitTask(attempt, ExitReason::done, now);
         }
     }
-    if (!heartbeatUnderWay_ && now >= nextHeartbeat_) heartbeat(now);
+    if (!heartbeatInFlight_ && now >= nextHeartbeatAt_) sendHeartbeat(now);
 }
 
-std::string Worker::nextHeartbeat() {
+std::string Worker::encodeNextHeartbeat() {
     std::vector<protocol::TaskStatus> statuses;
-    for (const auto& [attempt, task] : tasks_) statuses.push_back({attempt, task.state, task.why, false});
+    for (const auto& [attempt, task] : tasks_)
+        statuses.push_back({attempt, task.state, task.exitReason, false});
     return protocol::encodeHeartbeat({id_,
                                       address(),
                                       type_.name,
@@ -122,31 +124,31 @@
                                       std::move(statuses)});
 }
 
-void Worker::heartbeat(Time now) {
-    heartbeatUnderWay_ = true;
-    earliestHeartbeat_ = now + kBetweenHeartbeats;
-    nextHeartbeat_ = now + ticks(machines_.settings_.heartbeatInterval);
-    const auto& controller = machines_.controllers_[target_];
+void Worker::sendHeartbeat(Time now) {
+    heartbeatInFlight_ = true;
+    earliestHeartbeatAt_ = now + kMinHeartbeatInterval;
+    nextHeartbeatAt_ = now + ticks(machines_.settings_.heartbeatInterval);
+    const auto& controller = machines_.controllers_[targetController_];
     machines_.http_.request(
-        controller.address, "POST", protocol::paths::kHeartbeat, nextHeartbeat(), kAnswerTimeout,
+        controller.address, "POST", protocol::paths::kHeartbeat, encodeNextHeartbeat(), kResponseTimeout,
         [weak = weak_from_this(), sent = now, incarnation = incarnation_](const HttpResult& outcome) {
-            if (const auto worker = weak.lock()) worker->answered(outcome, sent, incarnation);
+            if (const auto worker = weak.lock()) worker->handleHeartbeatResponse(outcome, sent, incarnation);
         });
 }
 
 void Worker::tryNextController(Time now) {
-    target_ = (target_ + 1) % machines_.controllers_.size();
-    nextHeartbeat_ = earliestHeartbeat_ = now + kNextController;
+    targetController_ = (targetController_ + 1) % machines_.controllers_.size();
+    nextHeartbeatAt_ = earliestHeartbeatAt_ = now + kFailoverDelay;
 }
 
-void Worker::answered(const HttpResult& outcome, Time sent, std::uint64_t incarnation) {
+void Worker::handleHeartbeatResponse(const HttpResult& outcome, Time sent, std::uint64_t incarnation) {
     const auto now = Clock::now();
-    heartbeatUnderWay_ = false;
-    expire(now);
+    heartbeatInFlight_ = false;
+    expireLease(now);
     try {
-        if (now - sent > kAnswerTimeout) return tryNextController(now);
+        if (now - sent > kResponseTimeout) return tryNextController(now);
         if (outcome.status == 200) {
-            if (incarnation == incarnation_) accept(outcome.body, sent, now);
+            if (incarnation == incarnation_) applyHeartbeatResponse(outcome.body, sent, now);
             return;
         }
         if (outcome.status != 421) return tryNextController(now);
@@ -156,24 +158,24 @@
         const auto named = std::find_if(all.begin(), all.end(),
                                         [&](const auto& controller) { return controller.name == name; });
         const auto index = static_cast<std::size_t>(named - all.begin());
-        if (named == all.end() || index == target_) return tryNextController(now);
-        target_ = index;
-        nextHeartbeat_ = now;
+        if (named == all.end() || index == targetController_) return tryNextController(now);
+        targetController_ = index;
+        nextHeartbeatAt_ = now;
     } catch (const protocol::MalformedMessage& error) {
-        machines_.rules_.require(false, std::string("malformed answer to a heartbeat: ") + error.what());
+        machines_.oracle_.require(false, std::string("malformed heartbeat response: ") + error.what());
     }
 }
 
-/// An answer to a heartbeat of this incarnation that came in time.
-void Worker::accept(const std::string& body, Time sent, Time now) {
+/// Applies a response to a heartbeat of this incarnation that arrived before the timeout.
+void Worker::applyHeartbeatResponse(const std::string& body, Time sent, Time now) {
     const auto handle = protocol::unpackBody(body);
     const auto fencingToken = MapReader(handle.get()).integer("helm");
     if (fencingToken < fencingToken_) return;
-    if (fencingToken > fencingToken_) changed(now);
+    if (fencingToken > fencingToken_) expediteHeartbeat(now);
     fencingToken_ = fencingToken;
-    machines_.noteToken(fencingToken);
+    machines_.recordFencingToken(fencingToken);
     lastRenewal_ = std::max(lastRenewal_, sent);
-    ++renewals_;
+    ++leaseRenewals_;
     execute(protocol::decodeCommands(body), now);
 }
 
@@ -184,20 +186,20 @@
         if (command.kind == CommandKind::start) {
             if (known == tasks_.end()) start(command.attempt, now);
         } else if (command.kind == CommandKind::stop) {
-            // No job of these tests saves checkpoints, so every task exits at once.
-            if (known != tasks_.end() && !exited) exit(command.attempt, ExitReason::stopped, now);
+            // No job in these tests saves checkpoints, so a stopped task exits immediately.
+            if (known != tasks_.end() && !exited) exitTask(command.attempt, ExitReason::stopped, now);
         } else if (exited) {
             tasks_.erase(known);
-            changed(now);
+            expediteHeartbeat(now);
         }
     }
 }
 
-ExitReason Worker::refusalOf(const Attempt& attempt) const {
-    const auto& jobs = machines_.rules_.jobs;
+ExitReason Worker::rejectionReason(const Attempt& attempt) const {
+    const auto& jobs = machines_.oracle_.jobs;
     const auto job = jobs.find(attempt.job);
     if (job == jobs.end() || attempt.task >= job->second.spec.tasks) return ExitReason::unknown;
-    if (holds(attempt.job, attempt.task)) return ExitReason::busy;
+    if (findActiveAttempt(attempt.job, attempt.task)) return ExitReason::busy;
     double cpus = job->second.spec.cpus, memory = job->second.spec.memoryGb;
     for (const auto& [other, task] : tasks_) {
         if (task.state == TaskState::exited) continue;
@@ -210,19 +212,19 @@
 }
 
 void Worker::start(const Attempt& attempt, Time now) {
-    const auto refused = refusalOf(attempt);
-    machines_.rules_.require(refused != ExitReason::unknown,
-                             "a start of an unknown task: " + nameOf(attempt));
-    if (refused == ExitReason::unknown) return;
-    if (refused == ExitReason::none) machines_.checkStart(*this, attempt, now);
+    const auto rejection = rejectionReason(attempt);
+    machines_.oracle_.require(rejection != ExitReason::unknown,
+                              "start command for an unknown task: " + nameOf(attempt));
+    if (rejection == ExitReason::unknown) return;
+    if (rejection == ExitReason::none) machines_.checkStart(*this, attempt, now);
     tasks_[attempt] = {TaskState::fetching, ExitReason::none, now};
-    changed(now);
-    if (refused != ExitReason::none) exit(attempt, refused, now);
+    expediteHeartbeat(now);
+    if (rejection != ExitReason::none) exitTask(attempt, rejection, now);
 }
 
 void Worker::serve(const transport::Request& request, const transport::Reply& reply) {
     const auto now = Clock::now();
-    expire(now);
+    expireLease(now);
     transport::Response response;
     if (request.path == protocol::paths::kCommands) {
         try {
@@ -233,70 +235,76 @@
                 response.status = 409;
             } else {
                 fencingToken_ = fencingToken;
-                machines_.noteToken(fencingToken);
+                machines_.recordFencingToken(fencingToken);
                 execute(protocol::decodeCommands(request.body), now);
             }
         } catch (const protocol::MalformedMessage& error) {
-            machines_.rules_.require(false, std::string("malformed commands: ") + error.what());
+            machines_.oracle_.require(false, std::string("malformed commands: ") + error.what());
             response.status = 400;
         }
     } else if (request.path != protocol::paths::kStatus) {
         response.status = 404;
     }
-    if (response.status == 200 || response.status == 409) response.body = nextHeartbeat();
+    if (response.status == 200 || response.status == 409) response.body = encodeNextHeartbeat();
     reply(response);
 }
 
-// --- all of them ------------------------------------------------------------------------------------------
+// --- Machines ---------------------------------------------------------------------------------------------
 
 struct Machines::Gang {
-    std::vector<std::pair<Worker*, Attempt>> members;  // that have not exited
-    std::uint32_t waiting = 0;
+    std::vector<std::pair<Worker*, Attempt>> members;  // tasks that have not exited
+    std::uint32_t waiting = 0;                         // members in state `waiting`
 };
 
-Machines::Machines(asio::io_context& io, Rules& rules, const protocol::Settings& settings,
-                   std::vector<Controller> controllers, StoredAsDone storedAsDone)
+Machines::Machines(asio::io_context& io, TestOracle& oracle, const protocol::Settings& settings,
+                   std::vector<ControllerEndpoint> controllers, StoredAsDone storedAsDone)
     : io_(io),
-      rules_(rules),
+      oracle_(oracle),
       settings_(settings),
       controllers_(std::move(controllers)),
       storedAsDone_(std::move(storedAsDone)),
-      http_(io, kConnections) {}
+      http_(io, kMaxConnections) {}
 
 std::string Machines::create(const protocol::MachineType& type, const std::string& zone) {
     constexpr std::size_t kDigits = 6;
-    const auto number = std::to_string(++created_);
+    const auto number = std::to_string(++createdCount_);
     auto id = "m-" + std::string(kDigits - number.size(), '0') + number;
     workers_[id] = std::make_shared<Worker>(io_, *this, id, type, zone);
     return id;
 }
 
 void Machines::step(Time now) {
-    for (const auto& [id, worker] : workers_) worker->expire(now);
+    for (const auto& [id, worker] : workers_) worker->expireLease(now);
     checkCancelled(now);
     for (const auto& [id, worker] : workers_) worker->step(now);
     stepGangs(now);
 }
 
 void Machines::checkStart(const Worker& worker, const Attempt& attempt, Time now) {
-    for (const auto& [id, other] : workers_) other->expire(now);
-    const auto& job = rules_.job(attempt.job);
+    for (const auto& [id, other] : workers_) other->expireLease(now);
+    const auto& job = oracle_.job(attempt.job);
     const auto name = nameOf(attempt) + " on " + worker.id();
     for (const auto& [id, other] : workers_)
-        rules_.require(!other->holds(attempt.job, attempt.task), "ran_twice: " + name + " while on " + id);
-    for (const auto& needed : job.spec.dependencies)
-        rules_.require(storedAsDone_(needed), "too_early: " + name + " before " + needed);
-    const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
-    rules_.require(!late, "ran_cancelled: a start of " + name);
+        oracle_.require(!other->findActiveAttempt(attempt.job, attempt.task),
+                        "ran_twice: " + name + " started while active on " + id);
+    for (const auto& dependency : job.spec.dependencies)
+        oracle_.require(storedAsDone_(dependency),
+                        "too_early: " + name + " started before the end of " + dependency);
+    const bool cancelTimeoutElapsed =
+        job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
+    oracle_.require(!cancelTimeoutElapsed, "ran_cancelled: a start of " + name);
     const bool zoneAllowed = !job.spec.zone || *job.spec.zone == worker.zone();
-    rules_.require(zoneAllowed, "wrong_place: " + name + " in zone " + worker.zone());
-    ++starts_[attempt.job];
+    oracle_.require(zoneAllowed, "wrong_place: " + name + " in zone " + worker.zone());
+    ++startCounts_[attempt.job];
 }
 
 void Machines::checkCancelled(Time now) {
-    for (const auto& [id, job] : rules_.jobs) {
-        const bool late = job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
-        if (late) rules_.require(isGone(id), "ran_cancelled: a task of " + id + " is still on a machine");
+    for (const auto& [id, job] : oracle_.jobs) {
+        const bool cancelTimeoutElapsed =
+            job.cancelConfirmed && now - *job.cancelConfirmed > ticks(settings_.cancelTimeout);
+        if (cancelTimeoutElapsed)
+            oracle_.require(hasNoActiveTasks(id),
+                            "ran_cancelled: a task of " + id + " is active after the cancellation timeout");
     }
 }
 
@@ -304,7 +312,7 @@
     std::map<Attempt, Gang> gangs;
     for (const auto& [id, worker] : workers_) {
         for (const auto& [attempt, task] : worker->tasks()) {
-            if (task.state == TaskState::exited || rules_.job(attempt.job).spec.kind != JobKind::gang)
+            if (task.state == TaskState::exited || oracle_.job(attempt.job).spec.kind != JobKind::gang)
                 continue;
             auto& gang = gangs[{attempt.job, 0, attempt.number}];
             gang.members.emplace_back(worker.get(), attempt);
@@ -315,30 +323,31 @@
 }
 
 void Machines::stepGang(const Attempt& attempt, Gang& gang, Time now) {
-    auto& job = rules_.job(attempt.job);
-    const auto exitAll = [&](ExitReason why) {
-        for (const auto& [worker, member] : gang.members) worker->exit(member, why, now);
+    auto& job = oracle_.job(attempt.job);
+    const auto exitAll = [&](ExitReason exitReason) {
+        for (const auto& [worker, member] : gang.members) worker->exitTask(member, exitReason, now);
     };
-    if (begunGangs_.contains(attempt)) {
+    if (startedGangs_.contains(attempt)) {
         if (gang.members.size() < job.spec.tasks) return exitAll(ExitReason::peers);
         if (job.completionLimit < job.spec.tasks) return;
         for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.completed.insert(task);
         return exitAll(ExitReason::done);
     }
     if (gang.waiting == job.spec.tasks) {
-        begunGangs_.insert(attempt);
-        for (const auto& [worker, member] : gang.members) worker->enter(member, TaskState::running, now);
+        startedGangs_.insert(attempt);
+        for (const auto& [worker, member] : gang.members)
+            worker->setTaskState(member, TaskState::running, now);
         return;
     }
     for (const auto& [worker, member] : gang.members) {
         const auto& task = worker->tasks().at(member);
-        const bool tooLong =
-            task.state == TaskState::waiting && now - task.since > ticks(settings_.gangWaitTimeout);
-        if (tooLong) worker->exit(member, ExitReason::alone, now);
+        const bool waitTimedOut =
+            task.state == TaskState::waiting && now - task.enteredAt > ticks(settings_.gangWaitTimeout);
+        if (waitTimedOut) worker->exitTask(member, ExitReason::alone, now);
     }
 }
 
-std::uint32_t Machines::count(const std::string& job, TaskState state) const {
+std::uint32_t Machines::countTasks(const std::string& job, TaskState state) const {
     std::uint32_t found = 0;
     for (const auto& [id, worker] : workers_)
         for (const auto& [attempt, task] : worker->tasks())
@@ -346,25 +355,25 @@
     return found;
 }
 
-bool Machines::isGone(const std::string& job) const {
+bool Machines::hasNoActiveTasks(const std::string& job) const {
     for (const auto& [id, worker] : workers_)
         for (const auto& [attempt, task] : worker->tasks())
             if (attempt.job == job && task.state != TaskState::exited) return false;
     return true;
 }
 
-std::map<std::string, std::uint64_t> Machines::renewals(const std::string& job) const {
+std::map<std::string, std::uint64_t> Machines::leaseRenewals(const std::string& job) const {
     std::map<std::string, std::uint64_t> found;
     for (const auto& [id, worker] : workers_)
         for (const auto& [attempt, task] : worker->tasks())
             if (attempt.job == job && task.state == TaskState::running)
-                found[id + " incarnation " + std::to_string(worker->incarnation())] = worker->renewals();
+                found[id + " incarnation " + std::to_string(worker->incarnation())] = worker->leaseRenewals();
     return found;
 }
 
-std::uint64_t Machines::starts(const std::string& job) const {
-    const auto found = starts_.find(job);
-    return found == starts_.end() ? 0 : found->second;
+std::uint64_t Machines::startCount(const std::string& job) const {
+    const auto found = startCounts_.find(job);
+    return found == startCounts_.end() ? 0 : found->second;
 }
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/machines.h
+++ b/tests/upgrade/machines.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The machines of the upgrade tests with their workers, which speak the protocol over HTTP, and the rules for
-// tasks. Used on the test's one thread.
+// The machines of the upgrade tests with stub workers, which speak the worker protocol over HTTP, and the
+// checks of the invariants for tasks. Single-threaded: used only on the test's thread.
 
 #include <functional>
 #include <map>
@@ -22,34 +22,35 @@
 
 namespace burlpoint::tests {
 
-/// The addresses at which workers and users reach a controller.
-struct Controller {
+/// A controller's name, and the address at which workers and users reach it.
+struct ControllerEndpoint {
     std::string name, address;
 };
 
 class Machines;
 
-/// A machine with its worker, which follows the protocol's rules for heartbeats, fencing tokens, leases
-/// and commands.
+/// A machine with a stub worker, which follows the protocol's rules for heartbeats, fencing tokens, leases
+/// and commands. Tasks are not executed: they fetch for a fixed time, run for a minimum time, and
+/// complete as far as the oracle's completion limit allows.
 class Worker : public std::enable_shared_from_this<Worker> {
   public:
     struct Task {
         protocol::TaskState state = protocol::TaskState::fetching;
-        protocol::ExitReason why = protocol::ExitReason::none;
-        Time since{};  // in this state
+        protocol::ExitReason exitReason = protocol::ExitReason::none;
+        Time enteredAt{};  // when the task entered `state`
     };
 
     Worker(asio::io_context& io, Machines& machines, std::string id, protocol::MachineType type,
            std::string zone);
 
-    /// Ends the incarnation if the lease is over.
-    void expire(Time now);
-    /// Lets tasks go on, and sends a heartbeat if it is time.
+    /// Drops all tasks and begins a new incarnation if the worker's lease has expired.
+    void expireLease(Time now);
+    /// Advances the states of the tasks, and sends a heartbeat if one is due.
     void step(Time now);
-    void exit(const protocol::Attempt& attempt, protocol::ExitReason why, Time now);
-    void enter(const protocol::Attempt& attempt, protocol::TaskState state, Time now);
-    /// An attempt of the task that has not exited, if there is one.
-    const protocol::Attempt* holds(const std::string& job, std::uint32_t task) const;
+    void exitTask(const protocol::Attempt& attempt, protocol::ExitReason exitReason, Time now);
+    void setTaskState(const protocol::Attempt& attempt, protocol::TaskState state, Time now);
+    /// The attempt of the task that has not exited; null if there is none.
+    const protocol::Attempt* findActiveAttempt(const std::string& job, std::uint32_t task) const;
 
     const std::string& id() const { return id_; }
     const std::string& zone() const { return zone_; }
@@ -57,20 +58,22 @@
     std::string address() const;
     const std::map<protocol::Attempt, Task>& tasks() const { return tasks_; }
     std::uint64_t incarnation() const { return incarnation_; }
-    /// Heartbeats whose answers renewed the lease, in this incarnation.
-    std::uint64_t renewals() const { return renewals_; }
+    /// The number of heartbeats in this incarnation whose responses renewed the lease.
+    std::uint64_t leaseRenewals() const { return leaseRenewals_; }
 
   private:
-    void heartbeat(Time now);
-    void answered(const transport::HttpResult& outcome, Time sent, std::uint64_t incarnation);
-    void accept(const std::string& body, Time sent, Time now);
+    void sendHeartbeat(Time now);
+    void handleHeartbeatResponse(const transport::HttpResult& outcome, Time sent, std::uint64_t incarnation);
+    void applyHeartbeatResponse(const std::string& body, Time sent, Time now);
     void tryNextController(Time now);
     void execute(const std::vector<protocol::WorkerCommand>& commands, Time now);
     void start(const protocol::Attempt& attempt, Time now);
-    protocol::ExitReason refusalOf(const protocol::Attempt& attempt) const;
+    /// Why a start command has to be rejected; `none` if the worker accepts it.
+    protocol::ExitReason rejectionReason(const protocol::Attempt& attempt) const;
     void serve(const transport::Request& request, const transport::Reply& reply);
-    void changed(Time now);
-    std::string nextHeartbeat();
+    /// Brings the next heartbeat forward, as far as the minimum interval allows, to report a change.
+    void expediteHeartbeat(Time now);
+    std::string encodeNextHeartbeat();
 
     Machines& machines_;
     const std::string id_;
@@ -78,62 +81,64 @@
     const std::string zone_;
     std::map<protocol::Attempt, Task> tasks_;
     std::set<std::string> fetchedImages_;
-    std::uint64_t incarnation_ = 1, sequence_ = 0, fencingToken_ = 0, renewals_ = 0;
-    Time lastRenewal_;  // when the last answered heartbeat was sent, or the incarnation began
-    Time earliestHeartbeat_{}, nextHeartbeat_{};
-    bool heartbeatUnderWay_ = false;
-    std::size_t target_ = 0;  // the controller that it sends heartbeats to
+    std::uint64_t incarnation_ = 1, sequence_ = 0, fencingToken_ = 0, leaseRenewals_ = 0;
+    Time lastRenewal_;  // send time of the last acknowledged heartbeat, or start of the incarnation
+    Time earliestHeartbeatAt_{}, nextHeartbeatAt_{};
+    bool heartbeatInFlight_ = false;
+    std::size_t targetController_ = 0;  // index of the controller that receives the heartbeats
     transport::HttpServer server_;
 };
 
-/// All machines: creates and deletes them for the cloud, lets gangs begin and end together, and checks the
-/// rules for tasks at each start.
+/// All machines of the test. Creates and deletes them for the cloud stub, starts and ends the tasks of a gang
+/// together, and checks the invariants for tasks at each start.
 class Machines {
   public:
-    /// The key-value store's record of a job says that it is done.
+    /// True if the job's record in the key-value store says that the job is done.
     using StoredAsDone = std::function<bool(const std::string& job)>;
 
-    Machines(asio::io_context& io, Rules& rules, const protocol::Settings& settings,
-             std::vector<Controller> controllers, StoredAsDone storedAsDone);
+    Machines(asio::io_context& io, TestOracle& oracle, const protocol::Settings& settings,
+             std::vector<ControllerEndpoint> controllers, StoredAsDone storedAsDone);
 
-    /// The new machine's name.
+    /// Creates a machine and returns its id.
     std::string create(const protocol::MachineType& type, const std::string& zone);
     void remove(const std::string& id) { workers_.erase(id); }
     void step(Time now);
 
     const std::map<std::string, std::shared_ptr<Worker>>& workers() const { return workers_; }
-    /// The tasks of a job in a state, on all machines.
-    std::uint32_t count(const std::string& job, protocol::TaskState state) const;
-    /// No task of the job is on any machine, exited ones aside.
-    bool isGone(const std::string& job) const;
-    /// For each machine that runs a task of the job: its incarnation, and how often its lease was renewed in
-    /// it.
-    std::map<std::string, std::uint64_t> renewals(const std::string& job) const;
-    /// The highest fencing token that a worker has taken commands under.
-    std::uint64_t newestToken() const { return newestToken_; }
-    /// Tasks of the job that were started, refused ones aside.
-    std::uint64_t starts(const std::string& job) const;
+    /// The number of the job's tasks that are in this state, over all machines.
+    std::uint32_t countTasks(const std::string& job, protocol::TaskState state) const;
+    /// True if no machine has a task of the job that has not exited.
+    bool hasNoActiveTasks(const std::string& job) const;
+    /// The number of lease renewals of each worker that runs a task of the job, by machine id and
+    /// incarnation.
+    std::map<std::string, std::uint64_t> leaseRenewals(const std::string& job) const;
+    /// The highest fencing token that any worker has accepted.
+    std::uint64_t highestFencingToken() const { return highestFencingToken_; }
+    /// The number of start commands for tasks of the job that workers have accepted.
+    std::uint64_t startCount(const std::string& job) const;
 
   private:
     friend class Worker;
 
     void checkStart(const Worker& worker, const protocol::Attempt& attempt, Time now);
     void checkCancelled(Time now);
-    void noteToken(std::uint64_t fencingToken) { newestToken_ = std::max(newestToken_, fencingToken); }
+    void recordFencingToken(std::uint64_t fencingToken) {
+        highestFencingToken_ = std::max(highestFencingToken_, fencingToken);
+    }
     void stepGangs(Time now);
     struct Gang;
     void stepGang(const protocol::Attempt& attempt, Gang& gang, Time now);
 
     asio::io_context& io_;
-    Rules& rules_;
+    TestOracle& oracle_;
     const protocol::Settings& settings_;
-    const std::vector<Controller> controllers_;
+    const std::vector<ControllerEndpoint> controllers_;
     StoredAsDone storedAsDone_;
     transport::HttpClient http_;
     std::map<std::string, std::shared_ptr<Worker>> workers_;
-    std::set<protocol::Attempt> begunGangs_;  // task number 0 stands for the whole attempt
-    std::map<std::string, std::uint64_t> starts_;
-    std::uint64_t created_ = 0, newestToken_ = 0;
+    std::set<protocol::Attempt> startedGangs_;  // keyed by job and attempt number, with task 0
+    std::map<std::string, std::uint64_t> startCounts_;
+    std::uint64_t createdCount_ = 0, highestFencingToken_ = 0;
 };
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/machines_check_test.cpp
+++ b/tests/upgrade/machines_check_test.cpp
@@ -1,4 +1,4 @@
-// The checks of what runs where.
+// Tests of the checks in `Machines`: each invariant for tasks is violated once and has to be reported.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -24,8 +24,8 @@
 
 namespace {
 
-/// Two machines in different zones that heartbeat to a controller, which sends each the commands of the test
-/// once.
+/// Two machines in different zones that send heartbeats to a scripted controller. The controller sends each
+/// queued command once, in the response to the next heartbeat from its zone.
 class MachinesCheck : public testing::Test {
   protected:
     MachinesCheck() {
@@ -38,39 +38,40 @@
         for (const char* zone : {"a", "b"}) machines.create(type, zone);
     }
 
-    void submitKnown(const JobSpec& spec) { rules.jobs[spec.id].spec = spec; }
-    void startOn(const std::string& zone, std::uint32_t task, std::uint64_t attempt) {
-        commands[zone].push_back({CommandKind::start, {kJob, task, attempt}, Seconds(0)});
+    void registerJob(const JobSpec& spec) { oracle.jobs[spec.id].spec = spec; }
+    void queueStart(const std::string& zone, std::uint32_t task, std::uint64_t attempt) {
+        pendingCommands[zone].push_back({CommandKind::start, {kJob, task, attempt}, Seconds(0)});
     }
-    void stepUntil(const std::function<bool()>& holds) {
-        while (!holds()) {
+    void stepUntil(const std::function<bool()>& condition) {
+        while (!condition()) {
             machines.step(Clock::now());
-            io.run_for(kStep);
+            io.run_for(kStepDuration);
         }
     }
-    void stepUntilBroken(const std::string& rule) {
-        stepUntil([&] { return !rules.broken.empty(); });
-        EXPECT_TRUE(firstBrokenRule(rules).starts_with(rule)) << firstBrokenRule(rules);
+    void stepUntilViolation(const std::string& expectedPrefix) {
+        stepUntil([&] { return !oracle.violations.empty(); });
+        EXPECT_TRUE(firstViolation(oracle).starts_with(expectedPrefix)) << firstViolation(oracle);
     }
-    void stepUntilStarted(std::uint64_t starts) {
-        stepUntil([&] { return machines.starts(kJob) == starts; });
+    void stepUntilStarted(std::uint64_t startCount) {
+        stepUntil([&] { return machines.startCount(kJob) == startCount; });
     }
 
     asio::io_context io{1};
-    Rules rules;
+    TestOracle oracle;
     protocol::Settings settings;
     protocol::MachineType type;
-    std::map<std::string, std::vector<WorkerCommand>> commands;  // by zone, not sent yet
+    std::map<std::string, std::vector<WorkerCommand>> pendingCommands;  // by zone
     bool dependencyDone = false;
     ScriptedController controller{io};
     Machines machines{
-        io, rules, settings, {controller.address()}, [this](const std::string&) { return dependencyDone; }};
+        io, oracle, settings, {controller.endpoint()}, [this](const std::string&) { return dependencyDone; }};
 
   private:
     Response answerHeartbeat(const Request& request) {
         const auto heartbeat = protocol::decodeHeartbeat(request.body);
         Response response;
-        response.body = protocol::encodeHeartbeatResponse(1, std::exchange(commands[heartbeat.zone], {}));
+        response.body =
+            protocol::encodeHeartbeatResponse(1, std::exchange(pendingCommands[heartbeat.zone], {}));
         return response;
     }
 };
@@ -80,52 +81,52 @@
 TEST_F(MachinesCheck, StartsThatKeepTheRulesBreakNone) {
     auto spec = makeSmallJob(kJob, {kDependent});
     spec.zone = "a";
-    submitKnown(spec);
+    registerJob(spec);
     dependencyDone = true;
-    startOn("a", 0, 1);
-    startOn("a", 1, 2);
+    queueStart("a", 0, 1);
+    queueStart("a", 1, 2);
     stepUntilStarted(2);
-    EXPECT_EQ(rules.broken, std::vector<std::string>());
+    EXPECT_EQ(oracle.violations, std::vector<std::string>());
 }
 
 TEST_F(MachinesCheck, TaskOnTwoMachinesBreaksRanTwice) {
-    submitKnown(makeSmallJob(kJob));
-    startOn("a", 0, 1);
+    registerJob(makeSmallJob(kJob));
+    queueStart("a", 0, 1);
     stepUntilStarted(1);
-    startOn("b", 0, 2);
-    stepUntilBroken("ran_twice");
+    queueStart("b", 0, 2);
+    stepUntilViolation("ran_twice");
 }
 
 TEST_F(MachinesCheck, StartBeforeADependencyIsDoneBreaksTooEarly) {
-    submitKnown(makeSmallJob(kJob, {kDependent}));
-    startOn("a", 0, 1);
-    stepUntilBroken("too_early");
+    registerJob(makeSmallJob(kJob, {kDependent}));
+    queueStart("a", 0, 1);
+    stepUntilViolation("too_early");
 }
 
 TEST_F(MachinesCheck, StartInAnotherZoneBreaksWrongPlace) {
     auto spec = makeSmallJob(kJob);
     spec.zone = "a";
-    submitKnown(spec);
-    startOn("b", 0, 1);
-    stepUntilBroken("wrong_place");
+    registerJob(spec);
+    queueStart("b", 0, 1);
+    stepUntilViolation("wrong_place");
 }
 
 TEST_F(MachinesCheck, StartAfterACancellationBreaksRanCancelled) {
-    submitKnown(makeSmallJob(kJob));
-    rules.noteCancelled(kJob, Clock::now());
-    startOn("a", 0, 1);
-    stepUntilBroken("ran_cancelled: a start of");
+    registerJob(makeSmallJob(kJob));
+    oracle.markCancelConfirmed(kJob, Clock::now());
+    queueStart("a", 0, 1);
+    stepUntilViolation("ran_cancelled: a start of");
 }
 
 TEST_F(MachinesCheck, TaskLeftAfterACancellationBreaksRanCancelled) {
-    submitKnown(makeSmallJob(kJob));
-    startOn("a", 0, 1);
+    registerJob(makeSmallJob(kJob));
+    queueStart("a", 0, 1);
     stepUntilStarted(1);
-    rules.noteCancelled(kJob, Clock::now());
-    stepUntilBroken("ran_cancelled: a task of");
+    oracle.markCancelConfirmed(kJob, Clock::now());
+    stepUntilViolation("ran_cancelled: a task of");
 }
 
 TEST_F(MachinesCheck, StartOfAnUnknownJobIsReported) {
-    startOn("a", 0, 1);
-    stepUntilBroken("a start of an unknown task");
+    queueStart("a", 0, 1);
+    stepUntilViolation("start command for an unknown task");
 }
--- a/tests/upgrade/record_upgrade_test.cpp
+++ b/tests/upgrade/record_upgrade_test.cpp
@@ -1,4 +1,4 @@
-// What is stored during an upgrade: records of jobs, and bitmaps of their completed tasks.
+// Upgrade tests of the stored data: job records, and bitmaps of completed tasks.
 #include "upgrade/upgrade_fixture.h"
 
 using namespace burlpoint::tests;
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Two jobs whose records are larger than the next limit, accepted by a version that does not know it.
+/// Submits two jobs whose records exceed the next value limit, to a version that does not know this limit and
+/// so accepts them. Returns their ids.
 std::vector<std::string> submitJobsWithLargeRecords(Upgrade& test, std::size_t controller) {
     std::vector<std::string> ids{test.newJobId(), test.newJobId()};
     for (const auto& id : ids) {
@@ -20,50 +21,51 @@
 
 }  // namespace
 
-// Records and bitmaps that one version writes are read by the other, and nothing is lost when the key-value
-// store takes less than before. The bitmap of the large job is larger than the next limit.
+// Guards against records or bitmaps that one version writes and the other misreads, and against their loss
+// when the key-value store lowers its limits. The bitmap of the large job exceeds the next value limit.
 TEST_P(Upgrade, RecordsAndBitmapsAreReadByBothVersions) {
-    ValueLimits limits;
-    limits.nowKb = 4;
-    limits.nextKb = 1;
-    limits.nextOperations = 16;
+    StoreLimits limits;
+    limits.currentValueKb = 4;
+    limits.nextValueKb = 1;
+    limits.nextTxnOps = 16;
     startOldCluster(limits);
-    const auto first = *cluster->leader();
-    const auto newOne = nextAfter(first), oldOne = nextAfter(first, 2);
-    const std::string large = "wk-2", small = "wk-3";
+    const auto firstLeader = *cluster->leader();
+    const auto newController = nextAfter(firstLeader), oldController = nextAfter(firstLeader, 2);
+    const std::string largeJob = "wk-2", smallJob = "wk-3";
     std::vector<std::string> largeRecords;
-    if (!GetParam().knowsPipelines) largeRecords = submitJobsWithLargeRecords(*this, oldOne);
-    // The large job takes all room that there is, and its tasks hold it until they may complete.
-    submit(withHighPriority(makeArrayOfSmallTasks(small, 40)), newOne);
-    submit(makeArrayOfSmallTasks(large, 4400), first);
-    completeUpTo(large, 1500);
-    completeUpTo(small, 10);
+    if (!GetParam().supportsPipelines) largeRecords = submitJobsWithLargeRecords(*this, oldController);
+    // The large job takes all remaining capacity, and its tasks keep it until the test lets them complete.
+    submit(withHighPriority(makeArrayOfSmallTasks(smallJob, 40)), newController);
+    submit(makeArrayOfSmallTasks(largeJob, 4400), firstLeader);
+    completeUpTo(largeJob, 1500);
+    completeUpTo(smallJob, 10);
 
-    cluster->start(newOne, kNewVersion);
-    cluster->makeLeader(newOne);
-    cluster->start(first, oldVersion());
-    cluster->start(oldOne, oldVersion());
-    completeUpTo(large, 2500);
-    completeUpTo(small, 20);
-    // A version that knows the next limits cuts bitmaps for these from the start.
-    EXPECT_EQ(cluster->stored.partsWritten() > 0, !GetParam().knowsPipelines);
+    cluster->start(newController, kNewVersion);
+    cluster->makeLeader(newController);
+    cluster->start(firstLeader, oldVersion());
+    cluster->start(oldController, oldVersion());
+    completeUpTo(largeJob, 2500);
+    completeUpTo(smallJob, 20);
+    // A version that reads the next limits sizes its chunks for them from the start and writes no parts.
+    EXPECT_EQ(cluster->storeCheck.partialChunksWritten() > 0, !GetParam().supportsPipelines);
 
-    // Production knows no parts: it runs such tasks once more, so it may count fewer of them as done.
-    cluster->makeLeader(oldOne);
-    cluster->start(newOne, kNewVersion);
-    cluster->start(first, oldVersion());
-    completeOnMachines(large, 3500);
-    completeUpTo(small, 30);
+    // The production version does not read partial chunks: it reruns their tasks, so it may report fewer
+    // tasks as done.
+    cluster->makeLeader(oldController);
+    cluster->start(newController, kNewVersion);
+    cluster->start(firstLeader, oldVersion());
+    completeOnMachines(largeJob, 3500);
+    completeUpTo(smallJob, 30);
 
-    cluster->makeLeader(newOne);
+    cluster->makeLeader(newController);
     upgradeAll();
-    cluster->lowerLimits();
+    cluster->applyNextLimits();
     if (!largeRecords.empty()) {
-        cluster->users.cancel(largeRecords.front(), first);
+        cluster->users.cancel(largeRecords.front(), firstLeader);
         waitUntilCancelled(largeRecords.front());
     }
-    completeUpTo(large, 4000);
-    cluster->makeLeader(nextAfter(newOne));
+    completeUpTo(largeJob, 4000);
+    cluster->makeLeader(nextAfter(newController));
     upgradeAll();
     finishAndCheck();
 }
--- a/tests/upgrade/rules.h
+++ b/tests/upgrade/rules.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// What is true of the jobs of an upgrade test, and the rules that were broken. The stand-ins for users,
-// machines and the cloud share one object of this. Used on the test's one thread.
+// The test oracle of the upgrade tests: the actual state of the jobs, and the invariant violations found so
+// far. The stubs of the users, the machines and the cloud share one oracle. Single-threaded: used only on the
+// test's thread.
 
 #include <algorithm>
 #include <cstdint>
@@ -16,44 +17,48 @@
 
 namespace burlpoint::tests {
 
-/// What is true of the jobs, whatever any controller says, and the rules that were broken.
-class Rules {
+/// The actual state of the jobs, independent of what any controller reports, and the recorded violations.
+class TestOracle {
   public:
     struct JobFacts {
         protocol::JobSpec spec;
         bool accepted = false;
-        bool cancelRequested = false;           // of it, or of one that it needs
-        std::optional<Time> cancelConfirmed{};  // its user, or that of one that it needs, was told
-        std::optional<protocol::JobState> terminalState{};  // as some controller told its user
-        std::set<std::uint32_t> completed{};                // tasks
-        std::uint32_t completionLimit = 0;  // so many tasks end once they have run for a while
+        bool cancelRequested = false;                       // for the job or a dependency
+        std::optional<Time> cancelConfirmed{};              // when a user was first told of the cancellation
+        std::optional<protocol::JobState> terminalState{};  // as a controller reported it to a user
+        std::set<std::uint32_t> completed{};                // task numbers
+        std::uint32_t completionLimit = 0;                  // number of tasks that the workers may complete
         bool allCompleted() const { return completed.size() == spec.tasks; }
     };
 
-    /// Records a broken rule unless `holds`.
-    void require(bool holds, const std::string& rule) {
-        if (!holds) broken.push_back(rule);
+    /// Records `violation` unless the condition holds.
+    void require(bool condition, const std::string& violation) {
+        if (!condition) violations.push_back(violation);
     }
     JobFacts& job(const std::string& id) { return jobs.at(id); }
 
-    void noteCancelRequested(const std::string& id) {
+    /// Marks the job and all its direct and indirect dependents.
+    void markCancelRequested(const std::string& id) {
         for (auto* affected : withDependents(id)) affected->cancelRequested = true;
     }
-    void noteCancelled(const std::string& id, Time now) {
+    /// Marks the job and all its direct and indirect dependents; earlier confirmations keep their time.
+    void markCancelConfirmed(const std::string& id, Time now) {
         for (auto* affected : withDependents(id))
             if (!affected->cancelConfirmed) affected->cancelConfirmed = now;
     }
 
     std::map<std::string, JobFacts> jobs;
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
 
   private:
+    /// The job and all its direct and indirect dependents.
     std::vector<JobFacts*> withDependents(const std::string& id) {
         std::vector<JobFacts*> found{&jobs.at(id)};
         for (std::size_t at = 0; at < found.size(); ++at)
             for (auto& [other, facts] : jobs) {
-                const auto& needs = facts.spec.dependencies;
-                const bool dependent = std::count(needs.begin(), needs.end(), found[at]->spec.id) > 0;
+                const auto& dependencies = facts.spec.dependencies;
+                const bool dependent =
+                    std::count(dependencies.begin(), dependencies.end(), found[at]->spec.id) > 0;
                 if (dependent && std::count(found.begin(), found.end(), &facts) == 0) found.push_back(&facts);
             }
         return found;
--- a/tests/upgrade/store_check.h
+++ b/tests/upgrade/store_check.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Checks what the controllers of an upgrade test store, by the key-value store's log. Used on the test's one
-// thread.
+// Checks what the controllers of an upgrade test write to the key-value store, by the store's log of changes.
+// Single-threaded: used only on the test's thread.
 
 #include <map>
 #include <string>
@@ -13,38 +13,42 @@
 
 namespace burlpoint::tests {
 
-/// Fencing tokens only rise and none is used twice. Records of jobs stay, and terminal states never change.
-/// Stored bits are those of completed tasks, and stay until the job is over.
+/// Checks these invariants of the stored data: fencing tokens strictly increase, and each is used by one
+/// leader only; job records are never deleted, and a terminal state never changes; a set bit in a bitmap
+/// belongs to a completed task, and bits are kept until the job has a terminal state.
 class StoreCheck {
   public:
-    StoreCheck(Rules& rules, const Store& store) : rules_(rules), store_(store) {}
+    StoreCheck(TestOracle& oracle, const Store& store) : oracle_(oracle), store_(store) {}
 
-    /// Looks at what has changed since the last call.
+    /// Checks the changes since the last call.
     void step();
+    /// True if the job's record is stored with the state done.
     bool isDone(const std::string& job) const;
-    std::size_t leaderships() const { return leaderships_; }
-    /// Bitmap values that cover a part of a chunk, written so far.
-    std::size_t partsWritten() const { return partsWritten_; }
+    /// How often a leader's key has been written, which each new leader does once.
+    std::size_t leaderTerms() const { return leaderTerms_; }
+    /// The number of bitmap values written so far that cover only a part of a chunk.
+    std::size_t partialChunksWritten() const { return partialChunksWritten_; }
 
   private:
-    struct Bits {
+    struct ChunkRange {  // the tasks that one bitmap value covers
         std::size_t first = 0, count = 0;
-        bool isPart = false;
+        bool isPartialChunk = false;
     };
 
     void checkToken(const Store::Event& event);
     void checkLeader(const Store::Event& event);
     void checkJob(const std::string& id, const Store::Event& event);
-    void checkBits(const std::string& id, const std::string& range, const Store::Event& event);
+    void checkBitmap(const std::string& id, const std::string& range, const Store::Event& event);
     std::optional<storage::JobRecord> record(const std::string& id) const;
-    static Bits parseRange(const std::string& range, std::size_t chunkTasks);
+    /// Parses the end of a bitmap key: a chunk number, or FIRST-END for a part of a chunk.
+    static ChunkRange parseRange(const std::string& range, std::size_t chunkTasks);
 
-    Rules& rules_;
+    TestOracle& oracle_;
     const Store& store_;
-    std::size_t seen_ = 0, leaderships_ = 0, partsWritten_ = 0;
+    std::size_t processedEvents_ = 0, leaderTerms_ = 0, partialChunksWritten_ = 0;
     std::uint64_t fencingToken_ = 0, leaderToken_ = 0;
     std::map<std::string, storage::TerminalState> storedStates_;
-    std::map<std::string, std::vector<bool>> bits_;  // by key
+    std::map<std::string, std::vector<bool>> bitmaps_;  // by key
 };
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/store_check_test.cpp
+++ b/tests/upgrade/store_check_test.cpp
@@ -1,4 +1,4 @@
-// The checks of what is stored.
+// Tests of `StoreCheck`: each invariant of the stored data is violated once and has to be reported.
 #include "upgrade/store_check.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 class StoredCheck : public testing::Test {
   protected:
-    StoredCheck() { rules.jobs[kJob].spec = makeSmallJob(kJob); }
+    StoredCheck() { oracle.jobs[kJob].spec = makeSmallJob(kJob); }
 
     void write(const std::string& key, std::optional<std::string> value) {
         std::vector<std::string> failed;
@@ -29,14 +29,14 @@
         record.chunkTasks = 4;
         write(storage::keys::job(id), storage::encodeJob(record));
     }
-    void writeBits(const std::vector<bool>& bits) {
+    void writeBitmap(const std::vector<bool>& bits) {
         write(storage::keys::doneChunk(kJob, 0), storage::encodeBits(bits, 0, bits.size()));
     }
-    void complete(std::initializer_list<std::uint32_t> tasks) { rules.job(kJob).completed = tasks; }
+    void complete(std::initializer_list<std::uint32_t> tasks) { oracle.job(kJob).completed = tasks; }
 
-    Rules rules;
+    TestOracle oracle;
     Store store;
-    StoreCheck check{rules, store};
+    StoreCheck check{oracle, store};
 };
 
 }  // namespace
@@ -46,68 +46,72 @@
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
     writeRecord(TerminalState::none);
     complete({0});
-    writeBits({true, false});
+    writeBitmap({true, false});
     complete({0, 1});
     writeRecord(TerminalState::done);
     write(storage::keys::doneChunk(kJob, 0), std::nullopt);
     write(storage::keys::kToken, storage::encodeToken(2));
-    EXPECT_EQ(rules.broken, std::vector<std::string>());
-    EXPECT_EQ(check.leaderships(), 1u);
+    EXPECT_EQ(oracle.violations, std::vector<std::string>());
+    EXPECT_EQ(check.leaderTerms(), 1u);
     EXPECT_TRUE(check.isDone(kJob));
 }
 
 TEST_F(StoredCheck, LowerTokenIsReported) {
     write(storage::keys::kToken, storage::encodeToken(2));
     write(storage::keys::kToken, storage::encodeToken(1));
-    EXPECT_EQ(firstBrokenRule(rules), "the token went from 2 to 1");
+    EXPECT_EQ(firstViolation(oracle), "the fencing token went from 2 to 1");
 }
 
 TEST_F(StoredCheck, TokenUsedByTwoLeadersIsReported) {
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
     write(storage::keys::kLeader, storage::encodeLeader({"two", 1}));
-    EXPECT_EQ(firstBrokenRule(rules), "token 1 of two was used before");
+    EXPECT_EQ(firstViolation(oracle), "fencing token 1 of two was used before");
 }
 
 TEST_F(StoredCheck, ChangedTerminalStateIsReported) {
     writeRecord(TerminalState::cancelled);
     writeRecord(TerminalState::none);
-    EXPECT_EQ(firstBrokenRule(rules), std::string("the stored end of ") + kJob + " has changed");
+    EXPECT_EQ(firstViolation(oracle), std::string("the stored terminal state of ") + kJob + " has changed");
 }
 
 TEST_F(StoredCheck, DeletedRecordIsReported) {
     writeRecord(TerminalState::none);
     write(storage::keys::job(kJob), std::nullopt);
-    EXPECT_EQ(firstBrokenRule(rules), std::string("the record of ") + kJob + " was deleted");
+    EXPECT_EQ(firstViolation(oracle), std::string("the record of ") + kJob + " was deleted");
 }
 
 TEST_F(StoredCheck, RecordOfAnUnsubmittedJobIsReported) {
     writeRecord(TerminalState::none, kDependent);
-    EXPECT_EQ(firstBrokenRule(rules), std::string("a record of ") + kDependent + ", which nobody submitted");
+    EXPECT_EQ(firstViolation(oracle),
+              std::string("a record of ") + kDependent + ", which was never submitted");
 }
 
 TEST_F(StoredCheck, DoneRecordBeforeTheLastTaskBreaksNotDone) {
     complete({0});
     writeRecord(TerminalState::done);
-    EXPECT_EQ(firstBrokenRule(rules), std::string("not_done: ") + kJob + " is stored as done");
+    EXPECT_EQ(firstViolation(oracle),
+              std::string("not_done: ") + kJob + " is stored as done with incomplete tasks");
 }
 
 TEST_F(StoredCheck, BitOfAnOpenTaskBreaksNotDone) {
     writeRecord(TerminalState::none);
-    writeBits({true, false});
-    EXPECT_EQ(firstBrokenRule(rules), std::string("not_done: the bit of ") + kJob + "/0");
+    writeBitmap({true, false});
+    EXPECT_EQ(firstViolation(oracle),
+              std::string("not_done: a bit is set for the incomplete task ") + kJob + "/0");
 }
 
 TEST_F(StoredCheck, LostBitIsReported) {
     writeRecord(TerminalState::none);
     complete({0});
-    writeBits({true, false});
-    writeBits({false, false});
-    EXPECT_EQ(firstBrokenRule(rules), std::string("the bit of ") + kJob + "/0 was lost");
+    writeBitmap({true, false});
+    writeBitmap({false, false});
+    EXPECT_EQ(firstViolation(oracle), std::string("the bit of ") + kJob + "/0 was cleared");
 }
 
 TEST_F(StoredCheck, BitsDeletedBeforeTheEndAreReported) {
     writeRecord(TerminalState::none);
-    writeBits({false, false});
+    writeBitmap({false, false});
     write(storage::keys::doneChunk(kJob, 0), std::nullopt);
-    EXPECT_EQ(firstBrokenRule(rules), std::string("bits of ") + kJob + " were deleted too early");
+    EXPECT_EQ(firstViolation(oracle),
+              std::string("the bitmap of ") + kJob + " was deleted before a terminal state");
 }
--- a/tests/upgrade/upgrade_fixture.cpp
+++ b/tests/upgrade/upgrade_fixture.cpp
@@ -40,51 +40,52 @@
     return spec;
 }
 
-// --- the cluster ------------------------------------------------------------------------------------------
+// --- cluster ----------------------------------------------------------------------------------------------
 
-void Upgrade::startOldCluster(ValueLimits limits) {
+void Upgrade::startOldCluster(StoreLimits limits) {
     cluster = std::make_unique<Cluster>(limits);
     cluster->startAll(oldVersion());
-    cluster->until("a controller leads", [&] { return cluster->stored.leaderships() > 0; });
-    cluster->users.submit(makeJob(kService, JobKind::service, 3), 0);
-    waitUntilRunning(kService, 3);
+    cluster->waitUntil("a controller leads", [&] { return cluster->storeCheck.leaderTerms() > 0; });
+    cluster->users.submit(makeJob(kServiceJob, JobKind::service, 3), 0);
+    waitUntilRunning(kServiceJob, 3);
 }
 
 void Upgrade::upgradeAll() {
     for (std::size_t i = 0; i < Cluster::kControllers; ++i) {
-        if (cluster->version(i) == kNewVersion && cluster->runs(i)) continue;
+        if (cluster->version(i) == kNewVersion && cluster->isRunning(i)) continue;
         cluster->start(i, kNewVersion);
-        cluster->awaitLeader();
+        cluster->waitForLeader();
     }
 }
 
 void Upgrade::finishAndCheck() {
-    auto& rules = cluster->rules;
-    for (auto& [id, facts] : rules.jobs) facts.completionLimit = kAllTasks;
-    cluster->until("every job that nobody cancelled is answered to be done", [&] { return allJobsEnded(); });
-    waitUntilRunning(kService, 3);
-    cluster->users.cancel(kService, *cluster->leader());
-    waitUntilCancelled(kService);
-    waitUntilGone(kService);
+    auto& oracle = cluster->oracle;
+    for (auto& [id, facts] : oracle.jobs) facts.completionLimit = kAllTasks;
+    cluster->waitUntil("every job that was not cancelled is reported as done",
+                       [&] { return allJobsEnded(); });
+    waitUntilRunning(kServiceJob, 3);
+    cluster->users.cancel(kServiceJob, *cluster->leader());
+    waitUntilCancelled(kServiceJob);
+    waitUntilNoActiveTasks(kServiceJob);
     cluster->users.forgetAnswers();
-    cluster->until("all controllers answer with the same terminal states",
-                   [&] { return allControllersAgreeOnEnds(); });
-    EXPECT_EQ(rules.broken, std::vector<std::string>());
-    for (const auto& [id, facts] : rules.jobs) EXPECT_TRUE(cluster->machines.isGone(id)) << id;
+    cluster->waitUntil("all controllers report the same terminal states",
+                       [&] { return allControllersAgreeOnTerminalStates(); });
+    EXPECT_EQ(oracle.violations, std::vector<std::string>());
+    for (const auto& [id, facts] : oracle.jobs) EXPECT_TRUE(cluster->machines.hasNoActiveTasks(id)) << id;
 }
 
 bool Upgrade::allJobsEnded() const {
-    for (const auto& [id, facts] : cluster->rules.jobs) {
-        const bool goesOn = facts.spec.kind == JobKind::service && !facts.cancelRequested;
-        if (!goesOn && !facts.terminalState) return false;
+    for (const auto& [id, facts] : cluster->oracle.jobs) {
+        const bool keepsRunning = facts.spec.kind == JobKind::service && !facts.cancelRequested;
+        if (!keepsRunning && !facts.terminalState) return false;
     }
     return true;
 }
 
-bool Upgrade::allControllersAgreeOnEnds() const {
-    for (const auto& [id, facts] : cluster->rules.jobs)
+bool Upgrade::allControllersAgreeOnTerminalStates() const {
+    for (const auto& [id, facts] : cluster->oracle.jobs)
         for (std::size_t i = 0; i < Cluster::kControllers; ++i)
-            if (!facts.terminalState || !cluster->users.wasAnswered(i, id, *facts.terminalState))
+            if (!facts.terminalState || !cluster->users.hasAnswered(i, id, *facts.terminalState))
                 return false;
     return true;
 }
@@ -93,8 +94,8 @@
 
 void Upgrade::submit(const JobSpec& spec, std::size_t controller, std::uint32_t completionLimit) {
     cluster->users.submit(spec, controller);
-    cluster->rules.job(spec.id).completionLimit = completionLimit;
-    cluster->until(spec.id + " is accepted", [&] { return cluster->rules.job(spec.id).accepted; });
+    cluster->oracle.job(spec.id).completionLimit = completionLimit;
+    cluster->waitUntil(spec.id + " is accepted", [&] { return cluster->oracle.job(spec.id).accepted; });
 }
 
 std::string Upgrade::submitRunningJob(std::size_t controller) {
@@ -108,7 +109,7 @@
 void Upgrade::completeAJobThroughEachController() {
     std::vector<std::string> ids;
     for (std::size_t i = 0; i < Cluster::kControllers; ++i) {
-        if (!cluster->runs(i)) continue;
+        if (!cluster->isRunning(i)) continue;
         ids.push_back(newJobId());
         submit(makeJob(ids.back(), JobKind::array, 2), i, kAllTasks);
     }
@@ -116,51 +117,52 @@
 }
 
 void Upgrade::completeUpTo(const std::string& id, std::uint32_t tasks) {
-    cluster->rules.job(id).completionLimit = tasks;
-    cluster->until(std::to_string(tasks) + " tasks of " + id + " are answered to be done",
-                   [&] { return cluster->users.highestDoneCount(id) >= tasks; });
+    cluster->oracle.job(id).completionLimit = tasks;
+    cluster->waitUntil(std::to_string(tasks) + " tasks of " + id + " are reported as done",
+                       [&] { return cluster->users.highestDoneCount(id) >= tasks; });
 }
 
 void Upgrade::completeOnMachines(const std::string& id, std::uint32_t tasks) {
-    cluster->rules.job(id).completionLimit = tasks;
-    cluster->until(std::to_string(tasks) + " tasks of " + id + " have completed",
-                   [&] { return cluster->rules.job(id).completed.size() >= tasks; });
+    cluster->oracle.job(id).completionLimit = tasks;
+    cluster->waitUntil(std::to_string(tasks) + " tasks of " + id + " have completed",
+                       [&] { return cluster->oracle.job(id).completed.size() >= tasks; });
 }
 
 void Upgrade::complete(const std::string& id) {
-    cluster->rules.job(id).completionLimit = kAllTasks;
+    cluster->oracle.job(id).completionLimit = kAllTasks;
     waitUntilDone(id);
 }
 
 void Upgrade::waitUntilRunning(const std::string& id, std::uint32_t tasks) {
-    cluster->until(std::to_string(tasks) + " tasks of " + id + " run",
-                   [&] { return cluster->machines.count(id, TaskState::running) == tasks; });
+    cluster->waitUntil(std::to_string(tasks) + " tasks of " + id + " run",
+                       [&] { return cluster->machines.countTasks(id, TaskState::running) == tasks; });
 }
 
 void Upgrade::waitUntilDone(const std::string& id) {
-    cluster->until(id + " is answered to be done",
-                   [&] { return cluster->rules.job(id).terminalState == JobState::done; });
+    cluster->waitUntil(id + " is reported as done",
+                       [&] { return cluster->oracle.job(id).terminalState == JobState::done; });
 }
 
 void Upgrade::waitUntilCancelled(const std::string& id) {
-    cluster->until("the cancellation of " + id + " is confirmed",
-                   [&] { return cluster->rules.job(id).cancelConfirmed.has_value(); });
+    cluster->waitUntil("the cancellation of " + id + " is confirmed",
+                       [&] { return cluster->oracle.job(id).cancelConfirmed.has_value(); });
 }
 
-void Upgrade::waitUntilGone(const std::string& id) {
-    cluster->until("no task of " + id + " is left", [&] { return cluster->machines.isGone(id); });
+void Upgrade::waitUntilNoActiveTasks(const std::string& id) {
+    cluster->waitUntil("no task of " + id + " is active",
+                       [&] { return cluster->machines.hasNoActiveTasks(id); });
 }
 
 void Upgrade::waitUntilAllControllersAnswer(const std::string& id, JobState state) {
-    cluster->until("all controllers answer with the state of " + id, [&] {
+    cluster->waitUntil("all controllers report the expected state of " + id, [&] {
         for (std::size_t i = 0; i < Cluster::kControllers; ++i)
-            if (!cluster->users.wasAnswered(i, id, state)) return false;
+            if (!cluster->users.hasAnswered(i, id, state)) return false;
         return true;
     });
 }
 
 void Upgrade::expectNeverStarted(const std::vector<std::string>& ids) {
-    for (const auto& id : ids) EXPECT_EQ(cluster->machines.starts(id), 0u) << id;
+    for (const auto& id : ids) EXPECT_EQ(cluster->machines.startCount(id), 0u) << id;
 }
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/upgrade_fixture.h
+++ b/tests/upgrade/upgrade_fixture.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// What the upgrade tests have in common. Processes of an older version are replaced a few at a time, some die
-// before their turn and come back old, and both versions serve side by side on the same data, whichever
-// leads. Each test starts a cluster of its own.
+// The fixture of the upgrade tests. A test replaces the processes of an older version by the current one step
+// by step. Some processes crash before they are replaced and restart in the old version, so that both
+// versions serve the same data at the same time under leaders of either version. Each test starts its own
+// cluster.
 
 #include <gtest/gtest.h>
 
@@ -16,11 +17,11 @@
 
 namespace burlpoint::tests {
 
-/// The version that an upgrade starts from.
+/// The version from which an upgrade starts.
 struct OldVersion {
     std::string label;
     Version version;
-    bool knowsPipelines = false;  // and the key-value store's next limits
+    bool supportsPipelines = false;  // and reads the next limits of the key-value store
 };
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name that GoogleTest calls
@@ -28,53 +29,56 @@
 
 extern const Version kNewVersion;
 constexpr auto kAllTasks = protocol::kMaxTasks;
-constexpr char kService[] = "wk-1";  // runs during the whole test and keeps machines in use
+constexpr char kServiceJob[] = "wk-1";  // runs during the whole test, so that machines stay in use
 
 protocol::JobSpec makeJob(const std::string& id, protocol::JobKind kind, std::uint32_t tasks,
                           std::vector<std::string> dependencies = {});
-/// An array whose tasks take so little that a machine runs some hundreds of them.
+/// An array job whose tasks are so small that a machine runs hundreds of them at a time.
 protocol::JobSpec makeArrayOfSmallTasks(const std::string& id, std::uint32_t tasks);
 protocol::JobSpec withHighPriority(protocol::JobSpec spec);
 
-/// Everything is public, for the functions of the files that hold the tests.
+/// All helpers are public, because free functions in the test files use them.
 class Upgrade : public testing::TestWithParam<OldVersion> {
   public:
-    // --- the cluster ---
+    // --- cluster ---
 
-    /// Starts all controllers in the old version, and the service.
-    void startOldCluster(ValueLimits limits = {});
-    /// Replaces every controller that is not new yet, one after the other.
+    /// Starts all controllers in the old version, submits the service job, and waits until it runs.
+    void startOldCluster(StoreLimits limits = {});
+    /// Starts the new version on every controller that does not run it yet, one after the other.
     void upgradeAll();
     const Version& oldVersion() const { return GetParam().version; }
-    /// The controller so many places after this one.
-    static std::size_t nextAfter(std::size_t controller, std::size_t places = 1) {
-        return (controller + places) % Cluster::kControllers;
+    /// The index of the controller `offset` places after this one, modulo their number.
+    static std::size_t nextAfter(std::size_t controller, std::size_t offset = 1) {
+        return (controller + offset) % Cluster::kControllers;
     }
-    /// Lets every job end, cancels the service, waits until every controller answers with the same terminal
-    /// states, and expects that no rule was broken and no task is left.
+    /// Lets all jobs complete, cancels the service job, and waits until every controller answers with the
+    /// same terminal states. Expects no violations and no active tasks.
     void finishAndCheck();
 
     // --- jobs ---
 
     std::string newJobId() { return "wk-" + std::to_string(++lastId_); }
-    /// Waits until the job is accepted. So many of its tasks complete; the others run on until they may.
+    /// Submits a job and waits until it is accepted. Workers complete at most `completionLimit` of its tasks;
+    /// the others keep running until the limit is raised.
     void submit(const protocol::JobSpec& spec, std::size_t controller, std::uint32_t completionLimit = 0);
-    /// Submits an array and waits until all its tasks run. Returns its id.
+    /// Submits an array job, waits until all its tasks run, and returns its id.
     std::string submitRunningJob(std::size_t controller);
-    /// Submits a small job through each controller that runs, and waits until all of them are done.
+    /// Submits a small job through each running controller, and waits until all these jobs are done.
     void completeAJobThroughEachController();
-    /// Lets so many tasks of the job complete, and waits until a controller answers with that count.
+    /// Raises the job's completion limit to `tasks`, and waits until a controller reports that many tasks as
+    /// done.
     void completeUpTo(const std::string& id, std::uint32_t tasks);
-    /// Lets so many tasks of the job complete, and waits until they have, whatever controllers answer.
+    /// Raises the job's completion limit to `tasks`, and waits until that many have completed on the
+    /// machines, whatever the controllers report.
     void completeOnMachines(const std::string& id, std::uint32_t tasks);
-    /// Lets the whole job complete, and waits until a controller answers that it is done.
+    /// Lets all tasks of the job complete, and waits until a controller reports the job as done.
     void complete(const std::string& id);
 
     void waitUntilRunning(const std::string& id, std::uint32_t tasks);
     void waitUntilDone(const std::string& id);
     void waitUntilCancelled(const std::string& id);
-    /// No task of the job is left on any machine.
-    void waitUntilGone(const std::string& id);
+    /// Waits until no machine has a task of the job that has not exited.
+    void waitUntilNoActiveTasks(const std::string& id);
     void waitUntilAllControllersAnswer(const std::string& id, protocol::JobState state);
     void expectNeverStarted(const std::vector<std::string>& ids);
 
@@ -82,9 +86,9 @@
 
   private:
     bool allJobsEnded() const;
-    bool allControllersAgreeOnEnds() const;
+    bool allControllersAgreeOnTerminalStates() const;
 
-    std::uint64_t lastId_ = 1000;  // above the ids that tests choose themselves
+    std::uint64_t lastId_ = 1000;  // above all ids that tests choose literally
 };
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/upgrade_tests_main.cpp
+++ b/tests/upgrade/upgrade_tests_main.cpp
@@ -1,4 +1,4 @@
-// The versions that the upgrade tests start from, and the entry point.
+// The entry point of the upgrade tests, and the old versions from which they start.
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
--- a/tests/upgrade/users.h
+++ b/tests/upgrade/users.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The users of the upgrade tests, who speak the protocol over HTTP and check every answer. Used on the test's
-// one thread.
+// The users of the upgrade tests: HTTP clients that submit, cancel and poll jobs, and check every response.
+// Single-threaded: used only on the test's thread.
 
 #include <map>
 #include <set>
@@ -17,57 +17,59 @@
 
 namespace burlpoint::tests {
 
-/// They submit and cancel jobs at chosen controllers, and all the time ask each controller about each
-/// accepted job and submit it again. Every answer is checked against what users were told before they asked.
+/// Submits and cancels jobs at chosen controllers, and continuously polls and resubmits each accepted job at
+/// each controller. Every response is checked against what users had been answered before the request was
+/// sent.
 class Users {
   public:
-    Users(asio::io_context& io, Rules& rules, std::vector<Controller> controllers);
+    Users(asio::io_context& io, TestOracle& oracle, std::vector<ControllerEndpoint> controllers);
 
-    /// Repeats the submission at this controller until it is accepted.
+    /// Submits the job at this controller, and retries until it is accepted.
     void submit(const protocol::JobSpec& spec, std::size_t controller);
-    /// Repeats the cancellation at this controller until it is confirmed.
+    /// Cancels the job at this controller, and retries until the cancellation is confirmed.
     void cancel(const std::string& id, std::size_t controller);
     void step(Time now);
 
-    /// The highest count of done tasks of the job that a controller has answered with.
+    /// The highest number of done tasks of the job in any controller's response so far.
     std::uint32_t highestDoneCount(const std::string& id) const;
-    /// This controller has answered, since `forgetAnswers`, that the job is in this state.
-    bool wasAnswered(std::size_t controller, const std::string& id, protocol::JobState state) const;
-    void forgetAnswers() { answers_.clear(); }
+    /// True if this controller has answered since the last `forgetAnswers` that the job is in this state.
+    bool hasAnswered(std::size_t controller, const std::string& id, protocol::JobState state) const;
+    void forgetAnswers() { answeredStates_.clear(); }
 
   private:
-    struct Known {  // to users, when a request leaves
+    struct KnownState {  // what users had been answered when a request was sent
         bool accepted = false;
-        bool cancelled = false;  // confirmed, of this job or of one that it needs
+        bool cancelled = false;  // confirmed for the job or one of its dependencies
         std::optional<protocol::JobState> terminalState;
     };
-    struct Action {  // a submission or cancellation that is repeated until it is answered
-        bool cancels = false;
+    struct Action {  // a submission or cancellation that is retried until it succeeds
+        bool isCancellation = false;
         std::string id;
         std::size_t controller = 0;
-        Time next{};
-        bool underWay = false, over = false;
+        Time nextAttemptAt{};
+        bool inFlight = false, isComplete = false;
     };
 
-    Known known(const std::string& id) const;
+    KnownState knownState(const std::string& id) const;
     void send(const std::shared_ptr<Action>& action, Time now);
-    void finished(Action& action, const Known& before, const transport::HttpResult& outcome);
+    void handleActionResponse(Action& action, const KnownState& knownBefore,
+                              const transport::HttpResult& outcome);
     void sendNextRequest();
-    void askForUnknownJob(std::size_t controller);
+    void pollUnknownJob(std::size_t controller);
     void poll(const std::string& id, std::size_t controller);
-    void repeat(const std::string& id, std::size_t controller);
-    void check(const std::string& id, std::size_t controller, const Known& before,
-               const transport::HttpResult& outcome);
-    void checkState(const std::string& id, const Known& before, protocol::JobState state);
+    void resubmit(const std::string& id, std::size_t controller);
+    void checkResponse(const std::string& id, std::size_t controller, const KnownState& knownBefore,
+                       const transport::HttpResult& outcome);
+    void checkState(const std::string& id, const KnownState& knownBefore, protocol::JobState state);
 
-    Rules& rules_;
-    const std::vector<Controller> controllers_;
+    TestOracle& oracle_;
+    const std::vector<ControllerEndpoint> controllers_;
     transport::HttpClient http_;
     std::vector<std::shared_ptr<Action>> actions_;
     std::map<std::string, std::uint32_t> highestDoneCounts_;
-    std::set<std::tuple<std::size_t, std::string, protocol::JobState>> answers_;
-    std::size_t requests_ = 0, openRequests_ = 0;
-    Time nextRequest_{};
+    std::set<std::tuple<std::size_t, std::string, protocol::JobState>> answeredStates_;
+    std::size_t requestsSent_ = 0, inFlightRequests_ = 0;
+    Time nextRequestAt_{};
 };
 
 }  // namespace burlpoint::tests
--- a/tests/upgrade/users_check_test.cpp
+++ b/tests/upgrade/users_check_test.cpp
@@ -1,4 +1,5 @@
-// The checks of what users are told.
+// Tests of the checks in `Users`: each invariant of the controllers' responses is violated once and has to be
+// reported.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -25,42 +26,45 @@
 class UsersCheck : public testing::Test {
   protected:
     UsersCheck() {
-        controller.script = [this](const Request& request) { return answerTruthfully(request); };
+        controller.script = [this](const Request& request) { return answerCorrectly(request); };
     }
 
-    /// A job that the controller has accepted and whose tasks have all completed.
-    void submitCompleted(const std::string& id, std::vector<std::string> dependencies = {}) {
+    /// Submits a job, waits until the controller accepts it, and marks all its tasks as completed.
+    void submitCompletedJob(const std::string& id, std::vector<std::string> dependencies = {}) {
         users.submit(makeSmallJob(id, std::move(dependencies)), 0);
-        stepUntil([&] { return rules.job(id).accepted; });
-        for (std::uint32_t task = 0; task < rules.job(id).spec.tasks; ++task)
-            rules.job(id).completed.insert(task);
+        stepUntil([&] { return oracle.job(id).accepted; });
+        for (std::uint32_t task = 0; task < oracle.job(id).spec.tasks; ++task)
+            oracle.job(id).completed.insert(task);
     }
-    void stepUntil(const std::function<bool()>& holds) {
-        while (!holds()) {
+    void stepUntil(const std::function<bool()>& condition) {
+        while (!condition()) {
             users.step(Clock::now());
-            io.run_for(kStep);
+            io.run_for(kStepDuration);
         }
     }
-    void stepUntilBroken(const std::string& rule) {
-        stepUntil([&] { return !rules.broken.empty(); });
-        EXPECT_TRUE(firstBrokenRule(rules).starts_with(rule)) << firstBrokenRule(rules);
+    void stepUntilViolation(const std::string& expectedPrefix) {
+        stepUntil([&] { return !oracle.violations.empty(); });
+        EXPECT_TRUE(firstViolation(oracle).starts_with(expectedPrefix)) << firstViolation(oracle);
     }
-    void stepForRequests(std::size_t count) {
-        stepUntil([&, until = controller.answered + count] { return controller.answered >= until; });
+    void stepUntilRequestsAnswered(std::size_t count) {
+        stepUntil([&, until = controller.answeredRequests + count] {
+            return controller.answeredRequests >= until;
+        });
     }
-    Response answerTruthfully(const Request& request) const {
+    Response answerCorrectly(const Request& request) const {
         Response response;
-        const auto id = idOf(request);
-        if (!rules.jobs.contains(id)) {
+        const auto id = jobIdOf(request);
+        if (!oracle.jobs.contains(id)) {
             response.status = 404;
             return response;
         }
-        const bool first = request.path == protocol::paths::kSubmissions && !rules.jobs.at(id).accepted;
+        const bool first = request.path == protocol::paths::kSubmissions && !oracle.jobs.at(id).accepted;
         response.status = first ? 201 : 200;
-        response.body = protocol::jobReply(id, states.contains(id) ? states.at(id) : JobState::queued);
+        response.body =
+            protocol::jobReply(id, answeredStates.contains(id) ? answeredStates.at(id) : JobState::queued);
         return response;
     }
-    static std::string idOf(const Request& request) {
+    static std::string jobIdOf(const Request& request) {
         if (request.path == protocol::paths::kSubmissions)
             return protocol::decodeSpec(protocol::unpackBody(request.body).get()).id;
         const auto start = std::string(protocol::paths::kSubmissions).size() + 1;
@@ -68,92 +72,92 @@
     }
 
     asio::io_context io{1};
-    Rules rules;
-    std::map<std::string, JobState> states;  // as the controller answers
+    TestOracle oracle;
+    std::map<std::string, JobState> answeredStates;  // by job, as the controller answers them
     ScriptedController controller{io};
-    Users users{io, rules, {controller.address()}};
+    Users users{io, oracle, {controller.endpoint()}};
 };
 
 }  // namespace
 
 TEST_F(UsersCheck, TruthfulAnswersBreakNoRule) {
-    submitCompleted(kJob);
-    submitCompleted(kDependent, {kJob});
-    stepForRequests(30);
-    states[kJob] = JobState::done;
-    stepUntil([&] { return rules.job(kJob).terminalState.has_value(); });
-    states[kDependent] = JobState::cancelled;
+    submitCompletedJob(kJob);
+    submitCompletedJob(kDependent, {kJob});
+    stepUntilRequestsAnswered(30);
+    answeredStates[kJob] = JobState::done;
+    stepUntil([&] { return oracle.job(kJob).terminalState.has_value(); });
+    answeredStates[kDependent] = JobState::cancelled;
     users.cancel(kDependent, 0);
-    stepUntil([&] { return rules.job(kDependent).cancelConfirmed.has_value(); });
-    stepForRequests(30);
-    EXPECT_EQ(rules.broken, std::vector<std::string>());
+    stepUntil([&] { return oracle.job(kDependent).cancelConfirmed.has_value(); });
+    stepUntilRequestsAnswered(30);
+    EXPECT_EQ(oracle.violations, std::vector<std::string>());
 }
 
 TEST_F(UsersCheck, DoneJobAnsweredAsRunningBreaksWentBack) {
-    submitCompleted(kJob);
-    states[kJob] = JobState::done;
-    stepUntil([&] { return rules.job(kJob).terminalState.has_value(); });
-    states[kJob] = JobState::running;
-    stepUntilBroken("went_back");
+    submitCompletedJob(kJob);
+    answeredStates[kJob] = JobState::done;
+    stepUntil([&] { return oracle.job(kJob).terminalState.has_value(); });
+    answeredStates[kJob] = JobState::running;
+    stepUntilViolation("went_back");
 }
 
 TEST_F(UsersCheck, UnrequestedCancellationBreaksWentBack) {
-    submitCompleted(kJob);
-    states[kJob] = JobState::cancelled;
-    stepUntilBroken("went_back");
+    submitCompletedJob(kJob);
+    answeredStates[kJob] = JobState::cancelled;
+    stepUntilViolation("went_back");
 }
 
 TEST_F(UsersCheck, PendingDependentOfACancelledJobBreaksOrphaned) {
-    submitCompleted(kJob);
-    submitCompleted(kDependent, {kJob});
-    states[kJob] = JobState::cancelled;
+    submitCompletedJob(kJob);
+    submitCompletedJob(kDependent, {kJob});
+    answeredStates[kJob] = JobState::cancelled;
     users.cancel(kJob, 0);
-    stepUntilBroken(std::string("orphaned: ") + kDependent);
+    stepUntilViolation(std::string("orphaned: ") + kDependent);
 }
 
 TEST_F(UsersCheck, DoneJobWithAnOpenTaskBreaksNotDone) {
-    submitCompleted(kJob);
-    rules.job(kJob).completed.erase(1);
-    states[kJob] = JobState::done;
-    stepUntilBroken("not_done");
+    submitCompletedJob(kJob);
+    oracle.job(kJob).completed.erase(1);
+    answeredStates[kJob] = JobState::done;
+    stepUntilViolation("not_done");
 }
 
 TEST_F(UsersCheck, AcceptedJobAnsweredWith404BreaksForgotten) {
-    submitCompleted(kJob);
+    submitCompletedJob(kJob);
     controller.script = [](const Request& request) {
         Response response;
         response.status = request.method == "GET" ? 404 : 503;
         return response;
     };
-    stepUntilBroken("forgotten");
+    stepUntilViolation("forgotten");
 }
 
 TEST_F(UsersCheck, AcceptedJobAcceptedAsNewBreaksForgotten) {
-    submitCompleted(kJob);
+    submitCompletedJob(kJob);
     controller.script = [this](const Request& request) {
-        auto response = answerTruthfully(request);
+        auto response = answerCorrectly(request);
         if (request.method == "POST") response.status = 201;
         return response;
     };
-    stepUntilBroken("forgotten");
+    stepUntilViolation("forgotten");
 }
 
 TEST_F(UsersCheck, StateOfAnUnsubmittedJobBreaksInvented) {
-    submitCompleted(kJob);
+    submitCompletedJob(kJob);
     controller.script = [](const Request& request) {
         Response response;
-        response.body = protocol::jobReply(idOf(request), JobState::queued);
+        response.body = protocol::jobReply(jobIdOf(request), JobState::queued);
         return response;
     };
-    stepUntilBroken("invented");
+    stepUntilViolation("invented");
 }
 
 TEST_F(UsersCheck, AnswerForAnotherJobIsReported) {
-    submitCompleted(kJob);
+    submitCompletedJob(kJob);
     controller.script = [this](const Request& request) {
-        auto response = answerTruthfully(request);
+        auto response = answerCorrectly(request);
         if (response.status == 200) response.body = protocol::jobReply(kDependent, JobState::queued);
         return response;
     };
-    stepUntilBroken(std::string(kJob) + " at scripted answered for another job");
+    stepUntilViolation(std::string(kJob) + " at scripted answered for another job");
 }
