--- a/tests/command_line.sh
+++ b/tests/command_line.sh
@@ -1,22 +1,25 @@
 #!/bin/bash
-# The program's command line: what it prints and how it ends.
+# Tests the command line of burlpointd: the exit status and the output of each option, and the errors reported
+# for invalid settings and policy files and for settings that cannot be read.
+# Usage: command_line.sh BURLPOINTD
 set -u
-program=$1
-work=$(mktemp -d)
-trap 'rm -rf "$work"' EXIT
+burlpointd=$1
+work_dir=$(mktemp -d)
+trap 'rm -rf "$work_dir"' EXIT
 failures=0
 expect() {  # expected status, expected text, arguments...
-    local status=$1 text=$2
+    local expected_status=$1 expected_text=$2
     shift 2
-    local out
-    out=$("$program" "$@" 2>&1)
-    local got=$?
-    if [[ $got -ne $status || $out != *"$text"* ]]; then
-        echo "burlpointd $*: status $got, output: $out (wanted status $status and \"$text\")"
+    local output
+    output=$("$burlpointd" "$@" 2>&1)
+    local actual_status=$?
+    if [[ $actual_status -ne $expected_status || $output != *"$expected_text"* ]]; then
+        echo "burlpointd $*: got exit status $actual_status, output: $output" \
+            "(expected exit status $expected_status, output with \"$expected_text\")"
         failures=$((failures + 1))
     fi
 }
-cat >"$work/good.toml" <<'T'
+cat >"$work_dir/good.toml" <<'TOML'
 label = "one"
 area = "north"
 bind = "127.0.0.1:0"
@@ -47,16 +50,17 @@
 core_share = 0.1
 mem_mb = 100.0
 max_connections = 500
-T
-sed 's/^report_s.*/report_s = "soon"/' "$work/good.toml" >"$work/bad.toml"
-echo '<burlpoint><idle-keep-s>30</idle-keep-s></burlpoint>' >"$work/good.xml"
-echo '<burlpoint><colour>red</colour></burlpoint>' >"$work/bad.xml"
+TOML
+sed 's/^report_s.*/report_s = "soon"/' "$work_dir/good.toml" >"$work_dir/bad.toml"
+echo '<burlpoint><idle-keep-s>30</idle-keep-s></burlpoint>' >"$work_dir/good.xml"
+echo '<burlpoint><colour>red</colour></burlpoint>' >"$work_dir/bad.xml"
 expect 0 "--config" --help
 expect 0 "burlpointd " --version
-expect 0 "good" --config "$work/good.toml" --check
-expect 0 "good" --config "$work/good.toml" --policy "$work/good.xml" --check
-expect 1 "cluster.workers.report_s" --config "$work/bad.toml"
-expect 1 "<colour>: unknown element" --config "$work/good.toml" --policy "$work/bad.xml" --check
-expect 1 "cannot be read" --config "$work/none.toml"
-[[ $("$program" 2>&1 >/dev/null) == *"--config"* ]] || { echo "no arguments: no hint"; failures=$((failures + 1)); }
+expect 0 "good" --config "$work_dir/good.toml" --check
+expect 0 "good" --config "$work_dir/good.toml" --policy "$work_dir/good.xml" --check
+expect 1 "cluster.workers.report_s" --config "$work_dir/bad.toml"
+expect 1 "<colour>: unknown element" --config "$work_dir/good.toml" --policy "$work_dir/bad.xml" --check
+expect 1 "cannot be read" --config "$work_dir/none.toml"
+[[ $("$burlpointd" 2>&1 >/dev/null) == *"--config"* ]] ||
+    { echo "burlpointd without arguments: stderr does not mention --config"; failures=$((failures + 1)); }
 [[ $failures -eq 0 ]]
--- a/tests/documented_tests.sh
+++ b/tests/documented_tests.sh
@@ -1,15 +1,18 @@
 #!/bin/bash
-# Checks that every test which the documents name as `Suite.Name` exists.
-# Usage: documented_tests.sh TEST_PROGRAM DOCUMENTS_FOLDER
+# Checks that every test named in the documentation as `Suite.Name` exists in the test program.
+# Usage: documented_tests.sh TEST_PROGRAM DOCUMENTATION_DIR
 set -euo pipefail
 
-program=$1
-documents=$2
+test_program=$1
+documentation_dir=$2
 
-# "Suite." lines head the indented names of that suite; what follows a name is a comment.
-existing=$("$program" --gtest_list_tests | awk '/^[^ ]/ {suite = $1; next} {print suite $1}')
-named=$(grep -ohE '`[A-Z][A-Za-z]+\.[A-Z][A-Za-z]+`' "$documents"/*.md | tr -d '`' | sort -u)
-[ -n "$named" ] || { echo "no document names a test" >&2; exit 1; }
+# --gtest_list_tests prints each suite as a line "Suite." followed by the indented names of its tests. Text
+# after a name is a comment.
+existing_tests=$("$test_program" --gtest_list_tests |
+    awk '/^[^ ]/ {suite = $1; next} {print suite $1}')
+documented_tests=$(grep -ohE '`[A-Z][A-Za-z]+\.[A-Z][A-Za-z]+`' "$documentation_dir"/*.md |
+    tr -d '`' | sort -u)
+[ -n "$documented_tests" ] || { echo "no test name found in $documentation_dir" >&2; exit 1; }
 
-missing=$(comm -23 <(printf '%s\n' "$named") <(printf '%s\n' "$existing" | sort -u))
-[ -z "$missing" ] || { printf 'no such test: %s\n' $missing >&2; exit 1; }
+missing=$(comm -23 <(printf '%s\n' "$documented_tests") <(printf '%s\n' "$existing_tests" | sort -u))
+[ -z "$missing" ] || { printf 'documented test not found: %s\n' $missing >&2; exit 1; }
