--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -1,5 +1,5 @@
-// Writes every action that leaders decide in generated histories, and the bytes of fixed messages and
-// records, to standard output. Two versions of the sources that behave alike write the same;
+// Writes every action that leaders decide on in generated histories, and the encodings of fixed messages and
+// records, to standard output. Two versions of the sources with the same behaviour write the same output;
 // tools/compare-traces compares them. Usage: decision_trace [HISTORIES]
 #include <spdlog/spdlog.h>
 
@@ -41,7 +41,8 @@
     return out;
 }
 
-// The trace has to stay the same when types and fields are renamed, so it uses words and numbers of its own.
+// The trace must not change when types and fields are renamed, so its words are fixed here and do not follow
+// their names.
 std::string describe(const std::vector<WorkerCommand>& commands) {
     return hex(protocol::encodeHeartbeatResponse(0, commands));
 }
@@ -81,12 +82,12 @@
 std::vector<HistoryKind> historyKinds() {
     Faults crashing;
     crashing.leaderCrashesPerSecond = 0.12;
-    Faults cutOff;
-    cutOff.workerPartitionsPerSecond = 0.03;
-    cutOff.workerHangsPerSecond = 0.02;
-    cutOff.lateExecutionProbability = 0.12;
-    cutOff.messageLossProbability = 0.1;
-    cutOff.leaderCrashesPerSecond = 0.03;
+    Faults partitioned;
+    partitioned.workerPartitionsPerSecond = 0.03;
+    partitioned.workerHangsPerSecond = 0.02;
+    partitioned.lateExecutionProbability = 0.12;
+    partitioned.messageLossProbability = 0.1;
+    partitioned.leaderCrashesPerSecond = 0.03;
     Faults lateCopies;
     lateCopies.inboundLinkFailuresPerSecond = 0.02;
     lateCopies.heartbeatDuplicateProbability = 0.4;
@@ -97,25 +98,25 @@
     return {{"every-failure", {}, randomJob},
             {"pipelines", {}, randomJobWithDependencies},
             {"crashing-leaders", crashing, randomJob},
-            {"cut-off-workers", cutOff, randomJob},
+            {"cut-off-workers", partitioned, randomJob},
             {"late-copies", lateCopies, randomJobWithDependencies}};
 }
 
-/// Plays the history of that number; false if a rule was broken in it.
+/// Runs the history with the given number. Returns whether it ended without a failure.
 bool traceHistory(std::uint64_t number, const HistoryKind& kind) {
     std::cout << "history " << number << " " << kind.name << "\n";
     SimulatedCluster cluster(seedOf(number), kind.faults);
     const auto& environment = cluster.environment;
-    const auto began = environment.now();
+    const auto startTime = environment.now();
     cluster.leaders.onAction = [&](const coordination::Action& action) {
-        const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(environment.now() - began);
+        const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(environment.now() - startTime);
         std::cout << at.count() << " " << std::visit([](const auto& a) { return describe(a); }, action)
                   << "\n";
     };
-    const auto wrong = playHistory(cluster, Seconds(100), {}, kind.generateJob);
+    const auto failure = runHistory(cluster, Seconds(100), {}, kind.generateJob);
     std::cout << "starts " << cluster.occurrences.startedTasks << " take-overs "
-              << cluster.occurrences.failovers << " verdict " << wrong << "\n";
-    return wrong.empty();
+              << cluster.occurrences.failovers << " verdict " << failure << "\n";
+    return failure.empty();
 }
 
 JobSpec fullSpec() {
@@ -169,12 +170,12 @@
     for (const auto state : {TaskState::fetching, TaskState::waiting, TaskState::running, TaskState::saving})
         heartbeat.tasks.push_back(
             {{"wk-1", static_cast<std::uint32_t>(state), 7}, state, ExitReason::none, false});
-    for (const auto why : {ExitReason::done, ExitReason::stopped, ExitReason::peers, ExitReason::alone,
-                           ExitReason::error, ExitReason::noRoom, ExitReason::busy, ExitReason::unknown})
-        heartbeat.tasks.push_back({{"wk-2", static_cast<std::uint32_t>(why), 8},
+    for (const auto reason : {ExitReason::done, ExitReason::stopped, ExitReason::peers, ExitReason::alone,
+                              ExitReason::error, ExitReason::noRoom, ExitReason::busy, ExitReason::unknown})
+        heartbeat.tasks.push_back({{"wk-2", static_cast<std::uint32_t>(reason), 8},
                                    TaskState::exited,
-                                   why,
-                                   why == ExitReason::stopped});
+                                   reason,
+                                   reason == ExitReason::stopped});
     writeEncoding("heartbeat", protocol::encodeHeartbeat(heartbeat));
     const std::vector<WorkerCommand> commands{
         {protocol::CommandKind::start, {"wk-1", 0, 1}, Seconds(0)},
@@ -236,8 +237,8 @@
     traceOtherMessages();
     traceRecords();
     const auto kinds = historyKinds();
-    bool good = true;
+    bool allSucceeded = true;
     for (std::uint64_t number = 1; number <= histories; ++number)
-        good = traceHistory(number, kinds[number % kinds.size()]) && good;
-    return good ? EXIT_SUCCESS : EXIT_FAILURE;
+        allSucceeded = traceHistory(number, kinds[number % kinds.size()]) && allSucceeded;
+    return allSucceeded ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/tests/simulation/combined_failures/cancellations_and_pipelines_test.cpp
+++ b/tests/simulation/combined_failures/cancellations_and_pipelines_test.cpp
@@ -15,25 +15,25 @@
 Scenario pipelineScenario() {
     Scenario scenario;
     scenario.generateJob = randomJobWithDependencies;
-    scenario.prepare = [](SimulatedCluster& cluster) { cluster.workers.longestRun = Seconds(6); };
+    scenario.prepare = [](SimulatedCluster& cluster) { cluster.workers.maxRunTime = Seconds(6); };
     scenario.countOccurrences = [](const Occurrences& occurrences) {
         return occurrences.startsAfterDependencies;
     };
     return scenario;
 }
 
-void askAboutAllJobs(SimulatedCluster& cluster) {
-    for (const auto& [id, spec] : cluster.jobs) cluster.users.ask(id);
+void queryAllJobs(SimulatedCluster& cluster) {
+    for (const auto& [id, spec] : cluster.jobs) cluster.users.queryStatus(id);
 }
 
-/// Cancels, with a chance of one half each, the first job whose tasks have all completed and that is not
-/// stored as done yet.
-void cancelAJobThatEnds(SimulatedCluster& cluster) {
+/// Cancels at most one job whose tasks have all completed and whose end is not stored yet. Each such job is
+/// passed over with a probability of one half.
+void cancelCompletedUnstoredJob(SimulatedCluster& cluster) {
     for (const auto& [id, spec] : cluster.jobs) {
-        const bool ends = spec.kind != protocol::JobKind::service &&
-                          cluster.environment.jobs.allTasksCompleted(id) &&
-                          cluster.store.terminalStateOf(id) == storage::TerminalState::none;
-        if (ends && cluster.random.below(2) == 0) return cluster.users.cancel(id);
+        const bool completedButNotStored = spec.kind != protocol::JobKind::service &&
+                                           cluster.environment.jobs.allTasksCompleted(id) &&
+                                           cluster.store.terminalStateOf(id) == storage::TerminalState::none;
+        if (completedButNotStored && cluster.random.below(2) == 0) return cluster.users.cancel(id);
     }
 }
 
@@ -49,19 +49,20 @@
     checkScenario(scenario);
 }
 
-// Dependencies end while leaders come and go and transactions are carried out late.
+// Dependencies finish while leaders change every 9 s and transactions are applied late.
 TEST(History, DependentJobsStartOnlyAfterTheirDependenciesAreStored) {
     auto scenario = pipelineScenario();
     scenario.faults.unansweredWriteProbability = 0.1;
     scenario.faults.taskErrorProbability = 0.02;
     scenario.script = [](SimulatedCluster& cluster, int second) {
         if (second % 9 == 4) cluster.leaders.endLeadership(cluster.random.seconds(0.1, 4));
-        if (second % 5 == 0) askAboutAllJobs(cluster);
+        if (second % 5 == 0) queryAllJobs(cluster);
     };
     checkScenario(scenario);
 }
 
-// Jobs are cancelled at the moment at which their last task ends, and while no leader hears of it.
+// Jobs are cancelled when their last task has just completed, also while the leader has lost the store or
+// there is none.
 TEST(History, DependentsOfACancelledJobNeverStartAndAreCancelledOnEveryController) {
     auto scenario = pipelineScenario();
     scenario.faults.unansweredWriteProbability = 0.05;
@@ -69,11 +70,11 @@
         return occurrences.cancellationsByDependency;
     };
     scenario.script = [](SimulatedCluster& cluster, int second) {
-        cancelAJobThatEnds(cluster);
+        cancelCompletedUnstoredJob(cluster);
         if (second % 17 == 8) cluster.leaders.loseStore(Seconds(6));
         if (second % 23 == 11) cluster.leaders.endLeadership(cluster.random.seconds(0.1, 6));
         if (second % 31 == 20) cluster.beginStoreOutage(cluster.random.seconds(2, 15));
-        askAboutAllJobs(cluster);
+        queryAllJobs(cluster);
     };
     checkScenario(scenario);
 }
@@ -81,14 +82,14 @@
 TEST(History, PipelinesFinishAcrossStoreOutagesAndLoweredLimits) {
     auto scenario = pipelineScenario();
     scenario.prepare = [](SimulatedCluster& cluster) {
-        cluster.workers.longestRun = Seconds(6);
+        cluster.workers.maxRunTime = Seconds(6);
         cluster.store.lowerLimits(Seconds(20 + cluster.random.below(50)), {3, 1024, 4});
         if (cluster.random.below(2) == 0) cluster.settings.nextStoreLimits = protocol::StoreLimits{4, 1, 3};
     };
     scenario.script = [](SimulatedCluster& cluster, int second) {
         if (second % 30 == 12) cluster.beginStoreOutage(cluster.random.seconds(2, 20));
         if (second % 19 == 6) cluster.leaders.endLeadership(cluster.random.seconds(0.1, 6));
-        if (second % 5 == 0) askAboutAllJobs(cluster);
+        if (second % 5 == 0) queryAllJobs(cluster);
     };
     checkScenario(scenario);
 }
--- a/tests/simulation/combined_failures/capacity_and_zones_test.cpp
+++ b/tests/simulation/combined_failures/capacity_and_zones_test.cpp
@@ -1,4 +1,4 @@
-// Too little room, and zones that lose machines or are cut off.
+// Insufficient capacity, and zones that lose machines or are partitioned.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -19,7 +19,7 @@
     };
     scenario.prepare = [](SimulatedCluster& cluster) {
         cluster.workers.maxMachines = 4;
-        cluster.workers.slowestFetch = Seconds(15);
+        cluster.workers.maxFetchTime = Seconds(15);
     };
     scenario.faults.leaderCrashesPerSecond = 0.01;
     checkScenario(scenario);
@@ -36,7 +36,7 @@
         return spec;
     };
     scenario.faults.leaderCrashesPerSecond = 0.01;
-    scenario.moreHistories = {235};
+    scenario.regressionHistories = {235};
     scenario.script = [](SimulatedCluster& cluster, int second) {
         if (second % 8 != 6) return;
         forHalfOfBusyMachines(cluster, [&](const std::string& machine) {
@@ -57,12 +57,12 @@
     scenario.script = [](SimulatedCluster& cluster, int second) {
         if (second % 60 != 20) return;
         auto& random = cluster.random;
-        cluster.cutZone(random.below(2) == 0 ? "a" : "b",
-                        cluster.settings.workerLease + random.seconds(1, 12), random.below(2) == 0);
+        cluster.partitionZone(random.below(2) == 0 ? "a" : "b",
+                              cluster.settings.workerLease + random.seconds(1, 12), random.below(2) == 0);
         cancelRunningJobs(cluster, 2);
     };
     scenario.countOccurrences = [](const Occurrences& occurrences) {
-        return occurrences.answersInsideCutZone;
+        return occurrences.answersInsidePartitionedZone;
     };
     checkScenario(scenario);
 }
--- a/tests/simulation/combined_failures/late_messages_test.cpp
+++ b/tests/simulation/combined_failures/late_messages_test.cpp
@@ -1,4 +1,4 @@
-// Messages and transactions that arrive or are carried out late, or only one way.
+// Messages that arrive late or in one direction only, and transactions that are applied late.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -42,7 +42,7 @@
     scenario.faults.workerDeathsPerSecond = 0.01;
     scenario.faults.workerRestartsPerSecond = 0.01;
     scenario.faults.leaderCrashesPerSecond = 0.01;
-    scenario.moreHistories = {136};
+    scenario.regressionHistories = {136};
     scenario.countOccurrences = [](const Occurrences& occurrences) { return occurrences.lateWritesRejected; };
     checkScenario(scenario);
 }
@@ -56,7 +56,7 @@
     scenario.script = [](SimulatedCluster& cluster, int second) {
         if (second % 15 != 12) return;
         const double longestHang = cluster.settings.workerLease.count() * 1.1;
-        for (int i = 0; i < 4; ++i) {  // cancelled as their machines begin to hang
+        for (int i = 0; i < 4; ++i) {  // their machines start to hang as the jobs are cancelled
             const auto id = chooseRunningJob(cluster);
             if (id.empty()) return;
             for (const auto& machine : cluster.workers.workersWithTasks(id))
--- a/tests/simulation/combined_failures/leader_changes_test.cpp
+++ b/tests/simulation/combined_failures/leader_changes_test.cpp
@@ -1,4 +1,4 @@
-// Leaders that come and go, together with other failures.
+// Leader changes combined with other faults.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
@@ -70,8 +70,8 @@
 TEST(History, RulesHoldWhenTasksOfSmallJobsEndBeforeAndAfterAFailover) {
     Scenario scenario;
     scenario.prepare = [](SimulatedCluster& cluster) {
-        cluster.workers.shortestRun = Seconds(1);
-        cluster.workers.longestRun = Seconds(45);
+        cluster.workers.minRunTime = Seconds(1);
+        cluster.workers.maxRunTime = Seconds(45);
     };
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
         auto spec = randomJob(cluster, number);
@@ -106,7 +106,7 @@
         if (second % 25 == 16 || second % 25 == 19) cancelRunningJobs(cluster, 1);
     };
     scenario.countOccurrences = [](const Occurrences& occurrences) {
-        return occurrences.failoversAtTeamMaximum;
+        return occurrences.failoversNearTeamQuota;
     };
     checkScenario(scenario);
 }
--- a/tests/simulation/combined_failures/scenario.cpp
+++ b/tests/simulation/combined_failures/scenario.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr int kHistories = 50;
-constexpr std::size_t kEnoughOccurrences = 10;  // over all histories of a scenario
+constexpr std::size_t kMinOccurrences = 10;  // over all histories of a scenario
 
 }  // namespace
 
-Faults fewFaults() {
+Faults backgroundFaults() {
     auto faults = Faults::none();
     faults.messageLossProbability = 0.02;
     faults.lateExecutionProbability = 0.02;
@@ -31,20 +31,22 @@
 
 void checkScenario(const Scenario& scenario) {
     int histories = kHistories;
-    if (const char* more = std::getenv("BURLPOINT_SCENARIO_SEEDS")) histories = std::atoi(more);
-    auto numbers = scenario.moreHistories;
+    if (const char* historyCount = std::getenv("BURLPOINT_SCENARIO_SEEDS"))
+        histories = std::atoi(historyCount);
+    auto numbers = scenario.regressionHistories;
     for (int number = 1; number <= histories; ++number) numbers.push_back(number);
     std::size_t occurrences = 0;
     for (const int number : numbers) {
         SimulatedCluster cluster(seedOf(static_cast<std::uint64_t>(number)), scenario.faults);
         if (number % 2 == 0) cluster.settings.workerLease = Seconds(30);
         if (scenario.prepare) scenario.prepare(cluster);
-        const auto wrong =
-            playHistory(cluster, scenario.time, scenario.script, scenario.generateJob, scenario.maxJobs);
-        ASSERT_EQ(wrong, "") << "seed " << number;
+        const auto failure =
+            runHistory(cluster, scenario.time, scenario.script, scenario.generateJob, scenario.maxJobs);
+        ASSERT_EQ(failure, "") << "seed " << number;
         occurrences += scenario.countOccurrences(cluster.occurrences);
     }
-    EXPECT_GE(occurrences, kEnoughOccurrences) << "the histories miss what they are about";
+    EXPECT_GE(occurrences, kMinOccurrences)
+        << "the histories did not exercise the targeted situation often enough";
 }
 
 std::string chooseRunningJob(SimulatedCluster& cluster) {
@@ -69,8 +71,8 @@
 }
 
 void useLongTasks(SimulatedCluster& cluster) {
-    cluster.workers.shortestRun = Seconds(10);
-    cluster.workers.longestRun = Seconds(50);
+    cluster.workers.minRunTime = Seconds(10);
+    cluster.workers.maxRunTime = Seconds(50);
 }
 
 }  // namespace burlpoint::tests
--- a/tests/simulation/combined_failures/scenario.h
+++ b/tests/simulation/combined_failures/scenario.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// Combinations of failures. Each test plays one combination in many histories from fixed seeds, with little
-// else going wrong; the simulated cluster checks the rules all the time. Holds no state.
+// Scenarios that combine specific faults. Each test runs one scenario in many histories from fixed seeds,
+// with only rare faults of other kinds. The simulated cluster checks the invariants throughout. Holds no
+// state.
 
 #include <cstddef>
 #include <functional>
@@ -13,35 +14,36 @@
 
 namespace burlpoint::tests {
 
-/// A few of the usual faults, so that no two histories are alike.
-simulation::Faults fewFaults();
+/// Low rates of common faults, which make the histories of a scenario differ.
+simulation::Faults backgroundFaults();
 
 struct Scenario {
-    simulation::Faults faults = fewFaults();
+    simulation::Faults faults = backgroundFaults();
     Seconds time{100};
     FaultScript script;
     JobGenerator generateJob = randomJob;
     std::function<void(simulation::SimulatedCluster&)> prepare;
     int maxJobs = kMaxJobs;
-    /// How often what the scenario is about took place in a history.
+    /// Counts how often the targeted situation occurred in a history.
     std::function<std::size_t(const simulation::Occurrences&)> countOccurrences =
         [](const simulation::Occurrences& occurrences) { return occurrences.failovers; };
-    /// Numbers of histories that once showed a fault, beside the first few.
-    std::vector<int> moreHistories = {};
+    /// Numbers of further histories to run, which have exposed defects before.
+    std::vector<int> regressionHistories = {};
 };
 
-/// Plays the scenario's histories, half of them with a worker lease that is long against the time in which a
-/// cancelled task must be gone. Fails the test if a rule is broken, or if what the scenario is about took
-/// place too seldom. BURLPOINT_SCENARIO_SEEDS sets another number of histories.
+/// Runs the scenario's histories. Half of them use a worker lease of 30 s instead of 12 s, which leaves
+/// little of the `cancelTimeout` of 45 s. Fails the test if an invariant is violated or if the targeted
+/// situation occurred too rarely. The environment variable BURLPOINT_SCENARIO_SEEDS overrides the number of
+/// histories.
 void checkScenario(const Scenario& scenario);
 
-// --- what scripts do ---
+// --- helpers for fault scripts ---
 
-/// Cancels so many random jobs that have a task on a machine.
+/// Cancels up to `count` random jobs that have a task on a machine.
 void cancelRunningJobs(simulation::SimulatedCluster& cluster, int count);
-/// A job that has a task on a machine and has not ended; empty if there is none.
+/// A random job that has a task on a machine and has not ended; empty if there is none.
 std::string chooseRunningJob(simulation::SimulatedCluster& cluster);
-/// Does that to about half of the machines with tasks on them.
+/// Calls `causeFault` for each machine with tasks, with a probability of one half.
 void forHalfOfBusyMachines(simulation::SimulatedCluster& cluster,
                            const std::function<void(const std::string& machine)>& causeFault);
 /// Lets tasks run for 10 to 50 s.
--- a/tests/simulation/combined_failures/store_outages_test.cpp
+++ b/tests/simulation/combined_failures/store_outages_test.cpp
@@ -1,4 +1,4 @@
-// A key-value store that is slow, or that refuses the leader or everybody, while jobs are cancelled.
+// A key-value store that is slow, or that refuses the leader or all clients, while jobs are cancelled.
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
--- a/tests/simulation/environment.cpp
+++ b/tests/simulation/environment.cpp
@@ -8,15 +8,15 @@
 
 }  // namespace
 
-void JobLedger::noteCompleted(const std::string& job, std::uint32_t task) {
+void JobGroundTruth::markCompleted(const std::string& job, std::uint32_t task) {
     completedTasks.insert(taskName(job, task));
 }
 
-bool JobLedger::isCompleted(const std::string& job, std::uint32_t task) const {
+bool JobGroundTruth::isCompleted(const std::string& job, std::uint32_t task) const {
     return completedTasks.contains(taskName(job, task));
 }
 
-bool JobLedger::allTasksCompleted(const std::string& job) const {
+bool JobGroundTruth::allTasksCompleted(const std::string& job) const {
     for (std::uint32_t task = 0; task < specs.at(job).tasks; ++task)
         if (!isCompleted(job, task)) return false;
     return true;
--- a/tests/simulation/environment.h
+++ b/tests/simulation/environment.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// What all parts of a simulated cluster share: settings, faults, random numbers, simulated time, the jobs
-// that users submitted, and what the checks have found.
+// The state that all parts of a simulated cluster share: settings, fault rates, random numbers, simulated
+// time, the submitted jobs, counters of the situations that tests target, and the invariant violations found.
 
 #include <cstddef>
 #include <map>
@@ -20,31 +20,32 @@
 
 namespace burlpoint::simulation {
 
-/// What is true of the jobs, whatever any controller says.
-struct JobLedger {
-    std::map<std::string, protocol::JobSpec> specs;  // by job id, of all accepted jobs
-    std::map<std::string, Time> cancelledAt;  // by job id, of jobs cancelled with one they need as well
+/// The true state of the jobs, recorded independently of what any controller reports.
+struct JobGroundTruth {
+    std::map<std::string, protocol::JobSpec> specs;  // of all accepted jobs, by job id
+    std::map<std::string, Time> cancelledAt;  // by job id; includes jobs cancelled through a dependency
     std::set<std::string> completedTasks;     // as "job/task"
 
-    void noteCompleted(const std::string& job, std::uint32_t task);
+    void markCompleted(const std::string& job, std::uint32_t task);
     bool isCompleted(const std::string& job, std::uint32_t task) const;
     bool allTasksCompleted(const std::string& job) const;
 };
 
-/// How often what a test is about took place.
+/// Counts how often the situations that tests target occurred, so that a test can fail if its histories did
+/// not exercise them.
 struct Occurrences {
     std::size_t startedTasks = 0;
-    std::size_t failovers = 0;                        // the first leader is counted too
-    std::size_t lateWritesRejected = 0;               // newer writes came before them
-    std::size_t heartbeatsSeenByNextLeader = 0;       // copies held back until a new leader had acted
-    std::size_t heartbeatsOfEarlierIncarnations = 0;  // of these, from before the worker's last restart
-    std::size_t commandsAfterRecovery = 0;            // carried out as a machine went on
-    std::size_t commandsWithoutOutboundLink = 0;      // carried out by a machine that reached no controller
-    std::size_t cancellationsAtJobEnd = 0;            // between a job's last result and its stored end
-    std::size_t cancellationsOnUnreachableMachines = 0;  // machines with tasks of the cancelled job
+    std::size_t failovers = 0;                        // elections, that of the first leader included
+    std::size_t lateWritesRejected = 0;               // late transactions whose conditions no longer held
+    std::size_t heartbeatsSeenByNextLeader = 0;       // copies delivered only after the next election
+    std::size_t heartbeatsOfEarlierIncarnations = 0;  // of these, sent before a restart of the worker
+    std::size_t commandsAfterRecovery = 0;            // executed once a hang or partition had ended
+    std::size_t commandsWithoutOutboundLink = 0;      // executed while the worker reached no controller
+    std::size_t cancellationsAtJobEnd = 0;  // after the last task completed, before the end was stored
+    std::size_t cancellationsOnUnreachableMachines = 0;  // per such machine with tasks of the job
     std::size_t cancellationsDelayedByOutage = 0;
-    std::size_t answersInsideCutZone = 0;    // by a leader inside a zone that is cut off
-    std::size_t failoversAtTeamMaximum = 0;  // with a team near its maximum and machines out of reach
+    std::size_t answersInsidePartitionedZone = 0;  // heartbeat responses of a leader inside the zone
+    std::size_t failoversNearTeamQuota = 0;        // per team near its quota, with unreachable machines
     std::size_t startsAfterDependencies = 0;
     std::size_t cancellationsByDependency = 0;
 };
@@ -58,9 +59,9 @@
     Faults faults;
     RandomSource random;
     EventQueue events;
-    JobLedger jobs;
+    JobGroundTruth jobs;
     Occurrences occurrences;
-    std::vector<std::string> brokenRules;  // in words; empty as long as all is well
+    std::vector<std::string> violations;  // one description each; empty if all invariants held
 
     Time now() const { return events.now(); }
 };
--- a/tests/simulation/event_queue.h
+++ b/tests/simulation/event_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Simulated time, and what is to happen at later moments of it.
+// The clock of a simulated cluster and the events scheduled on it.
 
 #include <functional>
 #include <map>
@@ -17,7 +17,7 @@
     void schedule(Clock::duration delay, std::function<void()> event) {
         events_.emplace(now_ + delay, std::move(event));
     }
-    /// Runs the events that are due, those scheduled meanwhile included, in the order of their times.
+    /// Runs all due events in order of time, including due events that are scheduled by these.
     void runDue() {
         while (!events_.empty() && events_.begin()->first <= now_) {
             const auto event = std::move(events_.begin()->second);
--- a/tests/simulation/faults.h
+++ b/tests/simulation/faults.h
@@ -1,41 +1,42 @@
 #pragma once
 
-// How often each kind of fault happens in a simulated cluster. A plain value without state of its own.
+// The rate of each kind of fault in a simulated cluster, as a plain value.
 
 namespace burlpoint::simulation {
 
-/// `...Probability` is the chance for each message, request or task; `...PerSecond` is the expected number of
-/// events a second, for each worker or for the leader. A fault that is 0 by default draws no random number
-/// while it is 0, so histories generated without it stay as they are.
+/// `...Probability` is the probability per message, request or task; `...PerSecond` is the expected number of
+/// events per second, for each worker or for the leader. A fault whose default is 0 draws no random number
+/// while it is 0, so the histories of existing seeds do not change when such a fault is added.
 struct Faults {
     // --- messages and requests ---
 
     double messageLossProbability = 0.03;
-    /// A direct command, transaction or cloud request is carried out much later.
+    /// A direct command, transaction or cloud request gets no response in time and is executed up to 40 s
+    /// later, a transaction only with a probability of 0.7. A heartbeat is delayed by up to 10 s, its
+    /// response by up to 8 s.
     double lateExecutionProbability = 0.03;
-    /// A second copy of a heartbeat arrives, up to several leases later.
+    /// A second copy of a heartbeat arrives up to 50 s later, which is several lease durations.
     double heartbeatDuplicateProbability = 0.05;
-    /// A copy of a heartbeat arrives only once a new leader has acted.
+    /// A copy of a heartbeat is held back and arrives only after the next leader has been elected.
     double heartbeatHeldForNextLeaderProbability = 0;
-    /// A transaction gets no answer and is carried out 2 to 12 s later.
+    /// A transaction gets no response and is applied 2 to 12 s later.
     double unansweredWriteProbability = 0;
-    /// A command, or an answer to a heartbeat, waits until its machine no longer hangs and is no longer cut
-    /// off.
+    /// A direct command or a heartbeat response is held back until its machine's hang or partition has ended.
     double messageHeldUntilRecoveryProbability = 0;
 
     // --- workers ---
 
     double workerDeathsPerSecond = 0.002;
-    double workerHangsPerSecond = 0.003;  // each up to the length of a lease and beyond
-    /// A worker and the controllers cannot reach each other.
+    double workerHangsPerSecond = 0.003;  // each for 1 to 18 s; the default lease is 12 s
+    /// The network between a worker and the controllers fails in both directions.
     double workerPartitionsPerSecond = 0.005;
-    /// A worker's heartbeats arrive, but nothing reaches the worker.
+    /// The network fails towards a worker only: its heartbeats arrive, but it receives nothing.
     double inboundLinkFailuresPerSecond = 0.003;
-    /// A worker reaches no controller, but direct commands reach it.
+    /// The network fails from a worker only: its heartbeats are lost, but it receives direct commands.
     double outboundLinkFailuresPerSecond = 0;
-    /// A worker ends and is back at once with a higher incarnation.
+    /// A worker agent restarts at once with a higher incarnation; its tasks are lost.
     double workerRestartsPerSecond = 0.001;
-    /// The same, but the worker counts its incarnations and heartbeats from the beginning.
+    /// A worker agent restarts with its incarnation, heartbeat sequence number and fencing token reset.
     double workerCounterResetsPerSecond = 0.0005;
     double spotInterruptionsPerSecond = 0.002;
     double taskErrorProbability = 0.02;
@@ -43,12 +44,12 @@
     // --- the leader and the users ---
 
     double leaderCrashesPerSecond = 0.01;
-    /// The leader loses the key-value store, but not its workers.
+    /// The leader loses its connection to the key-value store, but not to its workers.
     double leaderStoreLossesPerSecond = 0.003;
-    /// As a job's last task ends, its user cancels the job, asks about it and submits it again.
+    /// When a job's last task completes, its user cancels the job, queries its status and resubmits it.
     double userActionsAtJobEndProbability = 0;
 
-    /// Nothing fails.
+    /// All rates are 0.
     static Faults none() { return {0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}; }
 };
 
--- a/tests/simulation/histories.cpp
+++ b/tests/simulation/histories.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-std::uint32_t randomCount(SimulatedCluster& cluster, int most) {
-    return 1 + static_cast<std::uint32_t>(cluster.random.below(most));
+std::uint32_t randomCount(SimulatedCluster& cluster, int maxCount) {
+    return 1 + static_cast<std::uint32_t>(cluster.random.below(maxCount));
 }
 
 void makeService(SimulatedCluster& cluster, JobSpec& spec) {
@@ -54,35 +54,37 @@
     });
 }
 
-/// Which job has not ended, or is stored as done with a task that has not completed; empty if none.
+/// Describes a job that has not ended, or that is stored as done although a task has not completed; empty if
+/// there is none.
 std::string findUnfinishedJob(const SimulatedCluster& cluster) {
     for (const auto& [id, spec] : cluster.jobs) {
         const auto state = cluster.store.terminalStateOf(id);
-        if (state == TerminalState::none) return "not over: " + cluster.explain(id);
+        if (state == TerminalState::none) return "not ended: " + cluster.explain(id);
         if (state == TerminalState::done && !cluster.environment.jobs.allTasksCompleted(id))
             return "not_done: " + id;
     }
     return "";
 }
 
-/// Returns what went wrong; empty if nothing did.
+/// Ends the faults, cancels the services and waits until all jobs have ended. Returns a description of the
+/// failure; empty on success.
 std::string endFaultsAndFinish(SimulatedCluster& cluster) {
-    if (!cluster.brokenRules.empty()) return joinLines(cluster.brokenRules);
+    if (!cluster.violations.empty()) return joinLines(cluster.violations);
     if (cluster.occurrences.startedTasks == 0) return "nothing_ran";
     cluster.endFaults();
     for (const auto& [id, spec] : cluster.jobs)
         if (spec.kind == JobKind::service) cluster.users.cancel(id);
-    // Long tasks, one after the other at a team's quota, take that much longer.
-    const int rounds = static_cast<int>(30 * std::max(1.0, cluster.workers.longestRun / Seconds(12)));
+    // A team's quota may force tasks to run one after the other, so the limit grows with their run time.
+    const int rounds = static_cast<int>(30 * std::max(1.0, cluster.workers.maxRunTime / Seconds(12)));
     for (int round = 0; round < rounds; ++round) {
         cluster.run(Seconds(10));
         if (allJobsEnded(cluster)) break;
     }
     cluster.run(cluster.settings.cancelTimeout);
-    if (!cluster.brokenRules.empty()) return joinLines(cluster.brokenRules);
+    if (!cluster.violations.empty()) return joinLines(cluster.violations);
     if (auto unfinished = findUnfinishedJob(cluster); !unfinished.empty()) return unfinished;
-    if (const auto left = cluster.workers.describeRunningTasks(); !left.empty())
-        return "still running: " + left;
+    if (const auto remainingTasks = cluster.workers.describeRunningTasks(); !remainingTasks.empty())
+        return "still running: " + remainingTasks;
     return "";
 }
 
@@ -96,7 +98,7 @@
     auto& random = cluster.random;
     JobSpec spec;
     spec.id = jobId(number);
-    spec.jobClass = std::string("c");  // GCC 12 warns falsely of an assigned literal here
+    spec.jobClass = std::string("c");  // GCC 12 gives a false warning for an assigned literal
     spec.team = cluster.settings.teams[static_cast<std::size_t>(random.below(3))].name;
     spec.image = "image-" + std::to_string(random.below(3));
     spec.imageGb = 1 + random.below(4);
@@ -133,18 +135,18 @@
     return spec;
 }
 
-std::string playHistory(SimulatedCluster& cluster, Seconds time, const FaultScript& script,
-                        const JobGenerator& generateJob, int maxJobs) {
+std::string runHistory(SimulatedCluster& cluster, Seconds time, const FaultScript& script,
+                       const JobGenerator& generateJob, int maxJobs) {
     auto& random = cluster.random;
     auto& users = cluster.users;
     int submitted = 0;
     const int seconds = static_cast<int>(time.count());
-    for (int second = 0; second < seconds && cluster.brokenRules.empty(); ++second) {
+    for (int second = 0; second < seconds && cluster.violations.empty(); ++second) {
         if (submitted < maxJobs && random.below(4) == 0) users.submit(generateJob(cluster, ++submitted));
         if (submitted > 0 && random.below(25) == 0) users.cancel(jobId(1 + random.below(submitted)));
         if (submitted > 0) {
             const auto id = jobId(1 + second % submitted);
-            users.ask(id);
+            users.queryStatus(id);
             const auto known = cluster.jobs.find(id);
             if (known != cluster.jobs.end() && second % 3 == 0) users.submit(JobSpec(known->second));
         }
--- a/tests/simulation/histories.h
+++ b/tests/simulation/histories.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// What all generated histories have in common: random jobs, a script of faults, and the check at the end that
-// nothing is left undone. Holds no state; all random numbers come from the simulated cluster.
+// Generates and runs histories of a simulated cluster: submits random jobs, injects faults by a script, and
+// checks at the end that all jobs have ended. Holds no state; all random numbers come from the cluster's own
+// source.
 
 #include <functional>
 #include <string>
@@ -11,26 +12,26 @@
 
 namespace burlpoint::tests {
 
-/// Makes the job of that number; its id is `jobId(number)`.
+/// Generates the job with the given number; its id is `jobId(number)`.
 using JobGenerator = std::function<protocol::JobSpec(simulation::SimulatedCluster&, int number)>;
-/// Called once a simulated second; brings about the faults that a test is about.
+/// Called once per simulated second to inject the faults that a test targets.
 using FaultScript = std::function<void(simulation::SimulatedCluster&, int second)>;
 
-constexpr int kMaxJobs = 40;  // of a history, unless a test says otherwise
+constexpr int kMaxJobs = 40;  // per history, by default
 
 std::string jobId(int number);
-/// The seed of the history of that number. Consecutive numbers give seeds far apart.
+/// The seed of the history with the given number. Consecutive numbers give widely spaced seeds.
 std::uint64_t seedOf(std::uint64_t number);
 
-/// A service, a gang or an array of random size, owner and placement constraints.
+/// Generates a service, a gang or an array with random size, team and placement constraints.
 protocol::JobSpec randomJob(simulation::SimulatedCluster& cluster, int number);
-/// The same, with up to three dependencies on jobs that came before it.
+/// Like `randomJob`, with up to three dependencies on jobs submitted earlier.
 protocol::JobSpec randomJobWithDependencies(simulation::SimulatedCluster& cluster, int number);
 
-/// Lets users submit, cancel, ask and submit again for `time`, with the script's faults. Then ends all
-/// faults: what was not cancelled has to get done, and no task may be left. Returns what went wrong; empty if
-/// nothing did.
-std::string playHistory(simulation::SimulatedCluster& cluster, Seconds time, const FaultScript& script,
-                        const JobGenerator& generateJob = randomJob, int maxJobs = kMaxJobs);
+/// Runs the cluster for `time` while users submit, cancel, query and resubmit jobs and the script injects
+/// faults. Then ends all faults, cancels the services, and requires that every job ends and that no task is
+/// left running. Returns a description of the failure, or an empty string on success.
+std::string runHistory(simulation::SimulatedCluster& cluster, Seconds time, const FaultScript& script,
+                       const JobGenerator& generateJob = randomJob, int maxJobs = kMaxJobs);
 
 }  // namespace burlpoint::tests
--- a/tests/simulation/history_test.cpp
+++ b/tests/simulation/history_test.cpp
@@ -1,5 +1,5 @@
-// Histories in which faults are drawn at random. Some tests draw the seeds too (rapidcheck); the simulated
-// cluster checks the rules all the time.
+// Histories with random faults. The property tests draw the seeds with rapidcheck. The simulated cluster
+// checks the invariants throughout.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -19,22 +19,24 @@
 
 void checkRandomHistory(const Faults& faults, Seconds time, const JobGenerator& generateJob = randomJob) {
     SimulatedCluster cluster(randomSeed(), faults);
-    RC_ASSERT(playHistory(cluster, time, {}, generateJob) == "");
+    RC_ASSERT(runHistory(cluster, time, {}, generateJob) == "");
 }
 
 }  // namespace
 
-// Each failure that PROTOCOL names, drawn at random and together, over many leaderships.
+// The default fault rates, which cover the failures named in the protocol description. All of them occur at
+// random in the same history, over several leaderships.
 RC_GTEST_PROP(History, RulesHoldUnderEveryFailure, ()) { checkRandomHistory({}, Seconds(150)); }
 
-// Leaders follow each other at once, some within a fraction of a second.
+// Leaders crash every 8 s on average; the next one is elected 0.2 to 8 s later.
 RC_GTEST_PROP(History, RulesHoldWhileLeadersKeepCrashing, ()) {
     Faults faults;
     faults.leaderCrashesPerSecond = 0.12;
     checkRandomHistory(faults, Seconds(100));
 }
 
-// Workers are cut off with tasks that no leader hears of; their heartbeats and commands arrive late.
+// Workers are partitioned or hang while their tasks run, so no leader learns of the tasks; heartbeats and
+// commands arrive late.
 RC_GTEST_PROP(History, RulesHoldWhileWorkersAreCutOff, ()) {
     Faults faults;
     faults.workerPartitionsPerSecond = 0.03;
@@ -45,8 +47,8 @@
     checkRandomHistory(faults, Seconds(100));
 }
 
-// Machines that send heartbeats and receive nothing, copies of heartbeats that come long after, workers that
-// restart, some with their counters reset, and leaders that lose the store while workers still reach them.
+// Workers send heartbeats but receive nothing, copies of heartbeats arrive up to 50 s late, workers restart,
+// some with their counters reset, and leaders lose the store while workers still reach them.
 RC_GTEST_PROP(History, RulesHoldWithUnreachableMachinesDuplicateHeartbeatsAndRestarts, ()) {
     Faults faults;
     faults.inboundLinkFailuresPerSecond = 0.02;
@@ -58,16 +60,17 @@
     checkRandomHistory(faults, Seconds(120));
 }
 
-// Jobs with dependencies, in chains, fans and diamonds, under all of the above.
+// Jobs with dependencies, in chains, fans and diamonds, under the default faults.
 RC_GTEST_PROP(History, RulesHoldForPipelinesUnderEveryFailure, ()) {
     checkRandomHistory({}, Seconds(150), randomJobWithDependencies);
 }
 
-// The key-value store lowers its limits at some moment, announced in the settings or not, under all else. A
-// history with few changes may not meet the limits, so that is counted over all histories.
+// The key-value store lowers its limits during the history, in half of the histories announced in the
+// settings, under the default faults. A history with few writes may not reach the limits, so refusals are
+// counted over all histories.
 TEST(History, RulesHoldAcrossLoweredLimits) {
     constexpr std::uint64_t kHistories = 100;
-    constexpr std::size_t kEnoughRefusals = 50;
+    constexpr std::size_t kMinRefusals = 50;
     std::size_t tooLarge = 0, tooMany = 0, tooLargeThoughAnnounced = 0;
     for (std::uint64_t number = 1; number <= kHistories; ++number) {
         SimulatedCluster cluster(seedOf(number), {});
@@ -80,13 +83,13 @@
         cluster.store.lowerLimits(Seconds(5 + cluster.random.below(85)), limits);
         const auto generateJob =
             number % 4 < 2 ? JobGenerator(randomJob) : JobGenerator(randomJobWithDependencies);
-        ASSERT_EQ(playHistory(cluster, Seconds(100), {}, generateJob), "") << "seed " << number;
+        ASSERT_EQ(runHistory(cluster, Seconds(100), {}, generateJob), "") << "seed " << number;
         const auto& store = cluster.store.contents();
         tooMany += store.tooMany;
         tooLarge += store.tooLarge;
         if (announced) tooLargeThoughAnnounced += store.tooLarge;
     }
-    EXPECT_GE(tooMany, kEnoughRefusals);
-    EXPECT_GE(tooLarge, kEnoughRefusals);
-    EXPECT_EQ(tooLargeThoughAnnounced, 0u);  // an announced limit is kept to from the start
+    EXPECT_GE(tooMany, kMinRefusals);
+    EXPECT_GE(tooLarge, kMinRefusals);
+    EXPECT_EQ(tooLargeThoughAnnounced, 0u);  // an announced limit is respected from the start
 }
--- a/tests/simulation/random_source.h
+++ b/tests/simulation/random_source.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The random numbers of one simulated cluster. A history is repeated exactly from its seed, so the order of
-// the draws is part of what a seed means.
+// The random number generator of one simulated cluster. A history is reproduced exactly from its seed, so any
+// change to the order of the draws changes the history that a seed stands for.
 
 #include <cstdint>
 #include <random>
@@ -14,15 +14,15 @@
   public:
     explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
 
-    /// At least 0 and less than 1.
+    /// A uniform value in [0, 1).
     double fraction() { return std::uniform_real_distribution<>(0, 1)(generator_); }
-    /// At least 0 and less than `bound`.
+    /// A uniform integer in [0, bound).
     int below(int bound) { return std::uniform_int_distribution<>(0, bound - 1)(generator_); }
     bool chance(double probability) { return fraction() < probability; }
-    /// Draws nothing while the probability is 0.
-    bool chanceIfPossible(double probability) { return probability > 0 && chance(probability); }
+    /// Like `chance`, but draws no random number if the probability is 0.
+    bool chanceUnlessZero(double probability) { return probability > 0 && chance(probability); }
     Seconds seconds(double from, double to) { return Seconds(from + (to - from) * fraction()); }
-    /// Between two numbers of seconds.
+    /// A uniform delay between two numbers of seconds.
     Clock::duration delay(double from, double to) {
         return toClockDuration(Seconds(std::uniform_real_distribution<>(from, to)(generator_)));
     }
--- a/tests/simulation/requester.h
+++ b/tests/simulation/requester.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The leadership that sent a message or request, as the network, the store and the cloud see it. A value; the
-// leadership may be gone before the answer comes.
+// The leadership that sent a message or request, as the network, the store and the cloud see it. It is copied
+// into pending events, because the leadership may have ended before the response arrives.
 
 #include <cstdint>
 #include <functional>
@@ -14,9 +14,9 @@
 
 struct Requester {
     std::uint64_t fencingToken = 0;
-    bool insideCutZone = false;  // in the zone that is cut off, if one is
+    bool insidePartitionedZone = false;  // whether the leader is in the zone that is partitioned
     bool reachesStore = true;
-    /// Gives the leadership an event after a delay, unless it is gone by then.
+    /// Delivers an event to the leadership after a delay, unless the leadership has ended by then.
     std::function<void(Clock::duration delay, coordination::LeaderEvent event)> respond;
 };
 
--- a/tests/simulation/rule_checker.cpp
+++ b/tests/simulation/rule_checker.cpp
@@ -16,14 +16,14 @@
 
 namespace {
 
-constexpr double kRounding = 1e-6;
-constexpr auto kUndisturbed = 30s;  // a worker without faults for this long is expected to take tasks
-constexpr auto kLongestWait = 90s;  // of a job beside room for it
-constexpr auto kNewsDelay = 1s;     // a leader that reaches the store knows of a cancellation after this
+constexpr double kRoundingTolerance = 1e-6;
+constexpr auto kFaultFreeTime = 30s;               // a worker without faults for this long must accept tasks
+constexpr auto kMaxWaitTime = 90s;                 // of a job that could start
+constexpr auto kCancellationPropagationTime = 1s;  // until a leader that reaches the store knows of it
 
-std::string nameOf(const Attempt& attempt) { return attempt.job + "/" + std::to_string(attempt.task); }
+std::string taskName(const Attempt& attempt) { return attempt.job + "/" + std::to_string(attempt.task); }
 
-std::uint32_t mostInOneZone(const JobSpec& spec) { return (spec.tasks + 1) / 2; }
+std::uint32_t maxTasksPerZone(const JobSpec& spec) { return (spec.tasks + 1) / 2; }
 
 bool typeAllowed(const JobSpec& spec, const std::string& type) {
     return !spec.types || std::find(spec.types->begin(), spec.types->end(), type) != spec.types->end();
@@ -31,14 +31,14 @@
 
 }  // namespace
 
-std::optional<Clock::duration> RuleChecker::cancelledFor(const std::string& job) const {
+std::optional<Clock::duration> RuleChecker::timeSinceCancellation(const std::string& job) const {
     const auto found = environment_.jobs.cancelledAt.find(job);
     if (found == environment_.jobs.cancelledAt.end()) return std::nullopt;
     return environment_.now() - found->second;
 }
 
-bool RuleChecker::cancelTimeoutIsOver(const std::string& job) const {
-    const auto time = cancelledFor(job);
+bool RuleChecker::cancelTimeoutExpired(const std::string& job) const {
+    const auto time = timeSinceCancellation(job);
     return time && *time > environment_.settings.cancelTimeout;
 }
 
@@ -46,7 +46,7 @@
     const auto& specs = environment_.jobs.specs;
     const auto& spec = specs.at(attempt.job);
     double teamCpus = spec.cpus, teamGpus = spec.gpus;
-    std::map<std::string, std::uint32_t> tasksInZones{{worker.zone, 1}};
+    std::map<std::string, std::uint32_t> tasksPerZone{{worker.zone, 1}};
     for (const auto& [id, other] : workers_.all()) {
         if (!workers_.holdsLease(other)) continue;
         for (const auto& [otherAttempt, task] : other.tasks) {
@@ -57,44 +57,45 @@
                 teamGpus += otherSpec.gpus;
             }
             if (otherAttempt.job != attempt.job) continue;
-            ++tasksInZones[other.zone];
+            ++tasksPerZone[other.zone];
             if (otherAttempt.task == attempt.task)
-                report("ran_twice: " + nameOf(attempt) + " on " + id + " and " + worker.id);
+                report("ran_twice: " + taskName(attempt) + " on " + id + " and " + worker.id);
         }
     }
-    if (!store_.dependenciesDone(attempt.job)) report("too_early: " + nameOf(attempt));
+    if (!store_.dependenciesDone(attempt.job)) report("too_early: " + taskName(attempt));
     environment_.occurrences.startsAfterDependencies += !spec.dependencies.empty();
-    if (isOverQuota(spec, teamCpus, teamGpus)) report("quota: " + nameOf(attempt));
-    checkZones(worker, attempt, std::move(tasksInZones));
-    if (cancelTimeoutIsOver(attempt.job)) report("ran_cancelled: " + nameOf(attempt));
+    if (isOverQuota(spec, teamCpus, teamGpus)) report("quota: " + taskName(attempt));
+    checkZones(worker, attempt, std::move(tasksPerZone));
+    if (cancelTimeoutExpired(attempt.job)) report("ran_cancelled: " + taskName(attempt));
 }
 
 void RuleChecker::checkZones(const SimulatedWorker& worker, const Attempt& attempt,
-                             std::map<std::string, std::uint32_t> tasksInZones) {
+                             std::map<std::string, std::uint32_t> tasksPerZone) {
     const auto& spec = environment_.jobs.specs.at(attempt.job);
     const bool zoneAllowed = (!spec.zone || *spec.zone == worker.zone) &&
-                             (!spec.singleZone || tasksInZones.size() == 1) &&
-                             (!spec.spreadZones || tasksInZones[worker.zone] <= mostInOneZone(spec));
+                             (!spec.singleZone || tasksPerZone.size() == 1) &&
+                             (!spec.spreadZones || tasksPerZone[worker.zone] <= maxTasksPerZone(spec));
     const bool machineAllowed = typeAllowed(spec, worker.type) && (!worker.spot || spec.spot);
-    if (!zoneAllowed || !machineAllowed) report("wrong_place: " + nameOf(attempt) + " on " + worker.id);
+    if (!zoneAllowed || !machineAllowed) report("wrong_place: " + taskName(attempt) + " on " + worker.id);
 }
 
 bool RuleChecker::isOverQuota(const JobSpec& spec, double cpus, double gpus) const {
     const auto* team = environment_.settings.team(spec.team);
-    return (team->maxCpus > 0 && cpus > team->maxCpus + kRounding) ||
-           (team->maxGpus > 0 && gpus > team->maxGpus + kRounding);
+    return (team->maxCpus > 0 && cpus > team->maxCpus + kRoundingTolerance) ||
+           (team->maxGpus > 0 && gpus > team->maxGpus + kRoundingTolerance);
 }
 
 void RuleChecker::checkStartCommand(const protocol::WorkerCommand& command,
                                     bookkeeping::StateReplica& replica, bool leaderReachesStore) {
     if (command.kind != protocol::CommandKind::start) return;
-    const auto cancelled = cancelledFor(command.attempt.job);
-    if (!cancelled) return;
+    const auto sinceCancellation = timeSinceCancellation(command.attempt.job);
+    if (!sinceCancellation) return;
     const auto* job = replica.find(command.attempt.job);
     const bool known = job && job->terminalState != TerminalState::none;
-    const bool reachesStore = leaderReachesStore && !store_.isOut();
-    const bool shouldBeKnown = reachesStore && *cancelled > kNewsDelay + toClockDuration(store_.latency());
-    if (known || shouldBeKnown) report("started after its cancellation: " + command.attempt.job);
+    const bool reachesStore = leaderReachesStore && !store_.isUnavailable();
+    const bool shouldBeKnown =
+        reachesStore && *sinceCancellation > kCancellationPropagationTime + toClockDuration(store_.latency());
+    if (known || shouldBeKnown) report("start sent after the cancellation of " + command.attempt.job);
 }
 
 void RuleChecker::checkAcknowledgement(const Attempt& attempt) {
@@ -107,16 +108,16 @@
     if (found != values.end())
         storage::decodeBits(protocol::unpackBody(found->second.data).get(), done, chunk * record.chunkTasks,
                             record.chunkTasks);
-    if (!done[attempt.task]) report("acknowledged before it was stored: " + nameOf(attempt));
+    if (!done[attempt.task]) report("acknowledged before the result was stored: " + taskName(attempt));
 }
 
 void RuleChecker::checkCancelledTasks() {
     for (const auto& [id, worker] : workers_.all()) {
         if (worker.tasks.empty() || !workers_.holdsLease(worker)) continue;
         for (const auto& [attempt, task] : worker.tasks) {
-            if (task.state == TaskState::exited || !cancelTimeoutIsOver(attempt.job)) continue;
+            if (task.state == TaskState::exited || !cancelTimeoutExpired(attempt.job)) continue;
             if (reportedCancelled_.insert(attempt).second)
-                report("ran_cancelled: " + nameOf(attempt) + " on " + id);
+                report("ran_cancelled: " + taskName(attempt) + " on " + id);
         }
     }
 }
@@ -134,15 +135,15 @@
             continue;
         }
         const auto state = storage::decodeJob(protocol::unpackBody(*event.data).get()).terminalState;
-        auto& before = storedStates_[job];
-        if (before != TerminalState::none && state != before) report("went_back: " + job);
+        auto& previousState = storedStates_[job];
+        if (previousState != TerminalState::none && state != previousState) report("went_back: " + job);
         if (state == TerminalState::cancelled && !environment_.jobs.cancelledAt.contains(job))
             report("went_back: nobody cancelled " + job);
         if (state == TerminalState::done && !store_.dependenciesDone(job))
-            report("done before what it needs: " + job);
-        const bool newlyDone = state == TerminalState::done && before != TerminalState::done;
+            report("stored as done before its dependencies: " + job);
+        const bool newlyDone = state == TerminalState::done && previousState != TerminalState::done;
         if (newlyDone && !environment_.jobs.allTasksCompleted(job)) report("not_done: " + job);
-        before = state;
+        previousState = state;
     }
 }
 
@@ -163,30 +164,30 @@
 
 bool RuleChecker::mayHost(const SimulatedWorker& worker, const JobSpec& spec) const {
     const auto now = environment_.now();
-    const bool undisturbed = workers_.holdsLease(worker) && now - worker.lastFault >= kUndisturbed &&
-                             now - worker.bootAt >= kUndisturbed;
+    const bool faultFree = workers_.holdsLease(worker) && now - worker.lastFault >= kFaultFreeTime &&
+                           now - worker.bootAt >= kFaultFreeTime;
     const bool spotAllowed = !worker.spot || spec.spot;
     const bool zoneAllowed = !spec.zone || *spec.zone == worker.zone;
-    return undisturbed && spotAllowed && zoneAllowed && typeAllowed(spec, worker.type);
+    return faultFree && spotAllowed && zoneAllowed && typeAllowed(spec, worker.type);
 }
 
-std::uint32_t RuleChecker::roomFor(const JobSpec& spec, Usage& usage) const {
-    std::map<std::string, std::uint32_t> roomInZones;
+std::uint32_t RuleChecker::placeableTasks(const JobSpec& spec, Usage& usage) const {
+    std::map<std::string, std::uint32_t> placeablePerZone;
     for (const auto& [id, worker] : workers_.all()) {
         if (!mayHost(worker, spec)) continue;
         const auto& type = environment_.machineTypes.at(worker.type == "gpu" ? 1 : 0);
-        const auto left = bookkeeping::sizeOf(type) - usage.machines[id];
-        roomInZones[worker.zone] += left.times(needOf(spec));
+        const auto freeResources = bookkeeping::sizeOf(type) - usage.machines[id];
+        placeablePerZone[worker.zone] += freeResources.times(needOf(spec));
     }
     std::uint32_t total = 0, largest = 0;
-    for (const auto& [zone, room] : roomInZones) {
-        largest = std::max(largest, room);
-        total += spec.spreadZones ? std::min(room, mostInOneZone(spec)) : room;
+    for (const auto& [zone, placeable] : placeablePerZone) {
+        largest = std::max(largest, placeable);
+        total += spec.spreadZones ? std::min(placeable, maxTasksPerZone(spec)) : placeable;
     }
     return spec.singleZone ? largest : total;
 }
 
-bool RuleChecker::couldBegin(const JobSpec& spec, Usage& usage) const {
+bool RuleChecker::couldStart(const JobSpec& spec, Usage& usage) const {
     if (usage.runningJobs.contains(spec.id) || store_.terminalStateOf(spec.id) != TerminalState::none ||
         environment_.jobs.allTasksCompleted(spec.id) || !store_.dependenciesDone(spec.id))
         return false;
@@ -194,19 +195,19 @@
     const std::uint32_t wanted = spec.kind == JobKind::gang ? spec.tasks : 1;
     const auto use = usage.teams[spec.team];
     if (isOverQuota(spec, use.cpus + need.cpus * wanted, use.gpus + need.gpus * wanted)) return false;
-    return roomFor(spec, usage) >= wanted;
+    return placeableTasks(spec, usage) >= wanted;
 }
 
 void RuleChecker::checkWaitingJobs(const std::function<std::string(const std::string&)>& explain) {
     auto usage = currentUsage();
     for (const auto& [id, spec] : environment_.jobs.specs) {
-        if (!couldBegin(spec, usage)) {
+        if (!couldStart(spec, usage)) {
             waitingSince_.erase(id);
             continue;
         }
         const auto since = waitingSince_.try_emplace(id, environment_.now()).first->second;
-        if (environment_.now() - since > kLongestWait && reportedWaiting_.insert(id).second)
-            report("waits beside room: " + explain(id));
+        if (environment_.now() - since > kMaxWaitTime && reportedWaiting_.insert(id).second)
+            report("waiting although it could start: " + explain(id));
     }
 }
 
--- a/tests/simulation/rule_checker.h
+++ b/tests/simulation/rule_checker.h
@@ -1,7 +1,8 @@
 #pragma once
 
-// The rules that must hold at every moment of a simulated history. Broken ones are added to the environment's
-// list. It keeps what it has seen before, to notice what changes that must not.
+// Checks the invariants that must hold at every moment of a simulated history and adds violations to
+// `Environment::violations`. Keeps the terminal states seen in the store so far, to detect changes to them,
+// and how long jobs have been waiting.
 
 #include <cstddef>
 #include <functional>
@@ -25,55 +26,62 @@
     RuleChecker(Environment& environment, const SimulatedStore& store, const SimulatedWorkers& workers)
         : environment_(environment), store_(store), workers_(workers) {}
 
-    // --- at single events ---
+    // --- called at single events ---
 
-    /// A task begins to fetch its image or to run: it runs nowhere else, and quotas, placement constraints,
-    /// dependencies and cancellations allow it.
+    /// To be called when a task starts to fetch its image or finishes fetching it. The task must not be on
+    /// any other worker, and quotas, placement constraints, dependencies and cancellations must allow it.
     void checkPlacement(const SimulatedWorker& worker, const protocol::Attempt& attempt);
-    /// A start leaves a leader that could know of a cancellation of its job. Starts that were under way by
-    /// then may still arrive; their tasks have to be gone in time like the others.
+    /// To be called when a leader sends a command. A start must not be sent once the leader knows, or has had
+    /// time to learn, of the cancellation of its job. A start sent before that may still arrive; its task is
+    /// subject to `checkCancelledTasks`.
     void checkStartCommand(const protocol::WorkerCommand& command, bookkeeping::StateReplica& replica,
                            bool leaderReachesStore);
-    /// A worker may be told to forget a result once the store has it, or the job is over.
+    /// A result may be acknowledged, so that the worker forgets it, only once it is stored or the job's
+    /// terminal state is.
     void checkAcknowledgement(const protocol::Attempt& attempt);
 
-    // --- at each step of time ---
+    // --- called at each time step ---
 
-    /// A cancelled task is gone within the time set, whether or not its machine can be reached or runs.
+    /// The tasks of a cancelled job must have exited within `cancelTimeout`, even on unreachable or hung
+    /// machines.
     void checkCancelledTasks();
-    /// What was accepted stays in the store, and terminal states stay as they are.
+    /// Records of accepted jobs must stay in the store, and terminal states must not change. A job may be
+    /// stored as cancelled only if a user cancelled it or a dependency, and as done only if its dependencies
+    /// are stored as done and all its tasks have completed.
     void checkStoredRecords();
-    /// Once the faults are over, no job waits for long that has room and may run. `explain` says in words why
-    /// a job may be waiting.
+    /// After the end of the faults, a job that could start must not wait longer than 90 s. `explain`
+    /// describes the state of a waiting job for the failure message.
     void checkWaitingJobs(const std::function<std::string(const std::string& job)>& explain);
 
   private:
-    /// What the tasks on the workers hold at one moment.
+    /// The resources that tasks on workers with a valid lease use at one moment.
     struct Usage {
         std::map<std::string, bookkeeping::Resources> teams, machines;
-        std::set<std::string> runningJobs;  // with a task somewhere
+        std::set<std::string> runningJobs;  // jobs with at least one task on a worker
     };
 
-    void report(const std::string& brokenRule) { environment_.brokenRules.push_back(brokenRule); }
-    /// The time that the job has been cancelled for, or none.
-    std::optional<Clock::duration> cancelledFor(const std::string& job) const;
-    bool cancelTimeoutIsOver(const std::string& job) const;
+    void report(const std::string& violation) { environment_.violations.push_back(violation); }
+    /// The time since the job was cancelled; none if it was not.
+    std::optional<Clock::duration> timeSinceCancellation(const std::string& job) const;
+    /// Whether the job was cancelled more than `cancelTimeout` ago.
+    bool cancelTimeoutExpired(const std::string& job) const;
     void checkZones(const SimulatedWorker& worker, const protocol::Attempt& attempt,
-                    std::map<std::string, std::uint32_t> tasksInZones);
+                    std::map<std::string, std::uint32_t> tasksPerZone);
     bool isOverQuota(const protocol::JobSpec& spec, double cpus, double gpus) const;
 
     Usage currentUsage() const;
-    /// The worker has had no fault for a while and the job's placement constraints allow its machine.
+    /// Whether the worker has had no fault for 30 s and the job's placement constraints allow its machine.
     bool mayHost(const SimulatedWorker& worker, const protocol::JobSpec& spec) const;
-    /// How many more tasks of the job have room beside what runs, in the zones that it may have.
-    std::uint32_t roomFor(const protocol::JobSpec& spec, Usage& usage) const;
-    /// Nothing of the job runs, and its team's quota and the machines' room let it begin.
-    bool couldBegin(const protocol::JobSpec& spec, Usage& usage) const;
+    /// How many more tasks of the job fit into free resources, within its zone constraints.
+    std::uint32_t placeableTasks(const protocol::JobSpec& spec, Usage& usage) const;
+    /// Whether the job is neither finished nor waiting for dependencies, has no task on a worker, and could
+    /// start one (a gang: all of them) within its team's quota and the free resources.
+    bool couldStart(const protocol::JobSpec& spec, Usage& usage) const;
 
     Environment& environment_;
     const SimulatedStore& store_;
     const SimulatedWorkers& workers_;
-    std::size_t checkedEvents_ = 0;  // of the store's log
+    std::size_t checkedEvents_ = 0;  // number of entries of the store's log
     std::map<std::string, storage::TerminalState> storedStates_;
     std::set<protocol::Attempt> reportedCancelled_;
     std::map<std::string, Time> waitingSince_;
--- a/tests/simulation/simulated_cloud.cpp
+++ b/tests/simulation/simulated_cloud.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr auto kRequestTimeout = 6s;  // a leader waits no longer for the cloud
+constexpr auto kRequestTimeout = 6s;  // after this the leader gets a response with an unknown outcome
 
 }  // namespace
 
--- a/tests/simulation/simulated_cloud.h
+++ b/tests/simulation/simulated_cloud.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The cloud of a simulated cluster: makes and deletes machines on request, sometimes long after the leader
-// has stopped waiting, and lists them.
+// The cloud provider of a simulated cluster. Creates, deletes and lists machines on request; some requests
+// are executed long after the leader's timeout.
 
 #include <map>
 #include <string>
@@ -24,12 +24,12 @@
     void listTypes(const Requester& leader);
 
   private:
-    /// The machines of the request, which are created only once.
+    /// Creates the requested machines unless that was done before, and returns their ids.
     const std::vector<std::string>& fulfil(const protocol::InstanceRequest& request);
 
     Environment& environment_;
     SimulatedWorkers& workers_;
-    std::map<std::string, std::vector<std::string>> machinesOfRequests_;  // by the request's name
+    std::map<std::string, std::vector<std::string>> machinesOfRequests_;  // by request name
 };
 
 }  // namespace burlpoint::simulation
--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr auto kStep = 100ms;
-constexpr auto kBetweenWaitingChecks = 1s;
+constexpr auto kTimeStep = 100ms;
+constexpr auto kWaitingCheckInterval = 1s;
 
 }  // namespace
 
@@ -22,11 +22,11 @@
     workers.hooks.resultAcknowledged = [this](const protocol::Attempt& attempt) {
         rules_.checkAcknowledgement(attempt);
     };
-    workers.hooks.userActsAtJobEnd = [this](const std::string& job) { users.actAtJobEnd(job); };
+    workers.hooks.userActsAtJobEnd = [this](const std::string& job) { users.cancelQueryAndResubmit(job); };
     network_.hooks.heartbeatArrived = [this](const protocol::Heartbeat& heartbeat, std::uint64_t request) {
         leaders.receiveHeartbeat(heartbeat, request);
     };
-    network_.hooks.commandAnswered = [this](const protocol::WorkerCommand& command) {
+    network_.hooks.commandSentInResponse = [this](const protocol::WorkerCommand& command) {
         rules_.checkStartCommand(command, leaders.replica(), leaders.reachesStore());
     };
 }
@@ -34,18 +34,18 @@
 void SimulatedCluster::run(Seconds time) {
     const auto end = environment.now() + toClockDuration(time);
     while (environment.now() < end) {
-        environment.events.advance(kStep);
+        environment.events.advance(kTimeStep);
         step();
         rules_.checkStoredRecords();
         rules_.checkCancelledTasks();
         if (!faultsEnded_ || environment.now() < nextWaitingCheck_) continue;
-        nextWaitingCheck_ = environment.now() + kBetweenWaitingChecks;
+        nextWaitingCheck_ = environment.now() + kWaitingCheckInterval;
         rules_.checkWaitingJobs([this](const std::string& job) { return explain(job); });
     }
 }
 
 void SimulatedCluster::step() {
-    const double seconds = Seconds(kStep).count();
+    const double seconds = Seconds(kTimeStep).count();
     store.step();
     environment.events.runDue();
     leaders.step(seconds);
@@ -57,9 +57,9 @@
     leaders.readStoreBeforeOutage();
 }
 
-void SimulatedCluster::cutZone(const std::string& zone, Seconds time, bool leaderInside) {
-    network_.cutZone(zone, time);
-    if (leaderInside) leaders.moveIntoCutZone();
+void SimulatedCluster::partitionZone(const std::string& zone, Seconds time, bool leaderInside) {
+    network_.partitionZone(zone, time);
+    if (leaderInside) leaders.moveIntoPartitionedZone();
 }
 
 void SimulatedCluster::endFaults() {
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -1,8 +1,9 @@
 #pragma once
 
-// A whole cluster in simulated time: leaders that come and go, workers, a cloud, a key-value store, users,
-// and a network that loses, delays and reorders whatever the protocol lets it. The rules are checked at each
-// step and at each start of a task. A history is a function of the seed, the faults and what the test does.
+// A complete cluster in simulated time: a sequence of leaders, workers, a cloud, a key-value store, users,
+// and a network that loses, delays, duplicates and reorders messages as far as the protocol allows. The
+// invariants are checked at each time step and at each start of a task. A history is deterministic: it
+// depends only on the seed, the fault rates and the calls that the test makes.
 
 #include <cstdint>
 #include <map>
@@ -39,22 +40,24 @@
   public:
     SimulatedLeaders leaders{environment, store, workers, network_, cloud_};
 
-    // What tests use most.
+    // Shortcuts to members that tests use often.
     protocol::Settings& settings{environment.settings};
     RandomSource& random{environment.random};
     const Occurrences& occurrences{environment.occurrences};
-    const std::vector<std::string>& brokenRules{environment.brokenRules};
+    const std::vector<std::string>& violations{environment.violations};
     const std::map<std::string, protocol::JobSpec>& jobs{environment.jobs.specs};
 
     void run(Seconds time);
-    /// The store refuses everybody. A leader that has not lost it before goes on by its peers' votes.
+    /// The store refuses all requests. A leader that could reach it until now keeps its leadership, as it
+    /// would by the votes of its peers.
     void beginStoreOutage(Seconds time);
-    /// Cuts the zone off from everything else. With `leaderInside` the leader is in it, without the store.
-    void cutZone(const std::string& zone, Seconds time, bool leaderInside);
-    /// No further faults; those that began go on to their end. From a while later on nothing may wait for
-    /// long.
+    /// Partitions the zone from the rest of the cluster. With `leaderInside` the leader is in the partitioned
+    /// zone and loses the store.
+    void partitionZone(const std::string& zone, Seconds time, bool leaderInside);
+    /// Injects no further faults; those that have begun run to their end. From now on jobs that could start
+    /// must not wait for long.
     void endFaults();
-    /// Why a job may not be getting on, for a failure's message.
+    /// Describes the state of a job for a failure message.
     std::string explain(const std::string& job) const;
 
   private:
--- a/tests/simulation/simulated_leaders.cpp
+++ b/tests/simulation/simulated_leaders.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint64_t kRecountEvery = 16;  // events; a recount takes long
+constexpr std::uint64_t kRecountInterval = 16;  // events; a recount is too slow to run after each
 
 }  // namespace
 
@@ -19,25 +19,26 @@
     auto& random = environment_.random;
     const auto& faults = environment_.faults;
     const auto now = environment_.now();
-    if (!leadership_ && now >= nextElection_ && !store_.isOut()) elect();
+    if (!leadership_ && now >= nextElection_ && !store_.isUnavailable()) elect();
     if (leadership_ && random.chance(faults.leaderCrashesPerSecond * seconds)) crash();
     if (leadership_ && leadership_->reachesStore() &&
         random.chance(faults.leaderStoreLossesPerSecond * seconds))
         leadership_->leaseEnd = now + random.delay(1, 8);
     if (leadership_ && now >= leadership_->leaseEnd) crash();
     if (!leadership_) return;
-    const auto longestPause = 400ms + toClockDuration(store_.latency());
-    const bool reads = random.chance(0.5) || now - leadership_->lastRead >= longestPause;
-    if (reads && leadership_->reachesStore() && !store_.isOut()) readStore(*leadership_);
+    const auto maxReadInterval = 400ms + toClockDuration(store_.latency());
+    const bool readIsDue = random.chance(0.5) || now - leadership_->lastRead >= maxReadInterval;
+    if (readIsDue && leadership_->reachesStore() && !store_.isUnavailable()) readStore(*leadership_);
     handle(coordination::Tick{});
 }
 
 void SimulatedLeaders::elect() {
     ++environment_.occurrences.failovers;
-    noteTeamsAtMaximum();
+    countTeamsNearQuota();
     auto leadership = std::make_shared<Leadership>();
     leadership->fencingToken = store_.fencingToken() + 1;
-    store_.commitAtOnce({}, {{storage::keys::kToken, storage::encodeToken(leadership->fencingToken), 0}});
+    store_.commitImmediately({},
+                             {{storage::keys::kToken, storage::encodeToken(leadership->fencingToken), 0}});
     readStore(*leadership);
     leadership->leader = std::make_unique<coordination::Leader>(environment_.settings, environment_.policy,
                                                                 leadership->replica, leadership->fencingToken,
@@ -48,7 +49,8 @@
 
 void SimulatedLeaders::crash() {
     leadership_.reset();
-    // Back at once, or another controller after the lease; messages on the way are not lost by this.
+    // Either the controller restarts at once, or another one takes over once the lease has expired. Messages
+    // in flight are not lost.
     auto& random = environment_.random;
     nextElection_ = environment_.now() + (random.chance(0.3) ? Clock::duration(200ms) : random.delay(1, 8));
 }
@@ -63,9 +65,9 @@
         leadership_->leaseEnd = environment_.now() + environment_.random.delay(0.5, longest.count());
 }
 
-void SimulatedLeaders::moveIntoCutZone() {
+void SimulatedLeaders::moveIntoPartitionedZone() {
     if (!leadership_) return;
-    leadership_->insideCutZone = true;
+    leadership_->insidePartitionedZone = true;
     loseStore(Seconds(8));
 }
 
@@ -73,12 +75,12 @@
     if (leadership_ && leadership_->reachesStore()) readStore(*leadership_);
 }
 
-void SimulatedLeaders::noteTeamsAtMaximum() {
+void SimulatedLeaders::countTeamsNearQuota() {
     std::map<std::string, double> cpusOfTeams;
-    bool someOutOfReach = false;
+    bool someUnreachable = false;
     for (const auto& [id, worker] : workers_.all()) {
         if (!workers_.holdsLease(worker)) continue;
-        someOutOfReach |= !worker.tasks.empty() && !workers_.findReachable(id);
+        someUnreachable |= !worker.tasks.empty() && !workers_.findReachable(id);
         for (const auto& [attempt, task] : worker.tasks) {
             const auto& spec = environment_.jobs.specs.at(attempt.job);
             if (task.state != protocol::TaskState::exited) cpusOfTeams[spec.team] += spec.cpus;
@@ -87,8 +89,8 @@
     constexpr double kCpusOfLargestTask = 3;
     for (const auto& [name, cpus] : cpusOfTeams) {
         const double maximum = environment_.settings.team(name)->maxCpus;
-        const bool nearMaximum = maximum > 0 && cpus + kCpusOfLargestTask > maximum;
-        environment_.occurrences.failoversAtTeamMaximum += someOutOfReach && nearMaximum;
+        const bool nearQuota = maximum > 0 && cpus + kCpusOfLargestTask > maximum;
+        environment_.occurrences.failoversNearTeamQuota += someUnreachable && nearQuota;
     }
 }
 
@@ -102,23 +104,23 @@
 
 void SimulatedLeaders::handle(LeaderEvent event) {
     if (!leadership_) return;
-    const auto leadership = leadership_;  // it may end while its actions are carried out
+    const auto leadership = leadership_;  // kept alive in case an action ends the leadership
     auto actions = leadership->leader->handle(std::move(event), environment_.now());
-    if (++handledEvents_ % kRecountEvery == 0) {
+    if (++handledEvents_ % kRecountInterval == 0) {
         const auto differences = tests::recount(leadership->leader->fleet(), leadership->replica);
-        if (!differences.empty()) environment_.brokenRules.push_back("recount: " + differences);
+        if (!differences.empty()) environment_.violations.push_back("recount: " + differences);
     }
     for (const auto& action : actions) {
         if (leadership_ != leadership) return;
         if (onAction) onAction(action);
-        std::visit([this](const auto& decided) { perform(decided); }, action);
+        std::visit([this](const auto& decidedAction) { perform(decidedAction); }, action);
     }
 }
 
 Requester SimulatedLeaders::requester() {
     Requester requester;
     requester.fencingToken = leadership_->fencingToken;
-    requester.insideCutZone = leadership_->insideCutZone;
+    requester.insidePartitionedZone = leadership_->insidePartitionedZone;
     requester.reachesStore = leadership_->reachesStore();
     requester.respond = [this, token = leadership_->fencingToken](Clock::duration delay, LeaderEvent event) {
         environment_.events.schedule(delay, [this, token, event = std::move(event)]() mutable {
@@ -131,7 +133,7 @@
 void SimulatedLeaders::perform(const coordination::RefreshReplica&) {
     environment_.events.schedule(20ms, [this, token = leadership_->fencingToken] {
         if (!leadership_ || leadership_->fencingToken != token) return;
-        if (!leadership_->reachesStore() || store_.isOut())
+        if (!leadership_->reachesStore() || store_.isUnavailable())
             return handle(coordination::ReplicaRefreshed{coordination::RefreshOutcome::failed});
         readStore(*leadership_);
         handle(coordination::ReplicaRefreshed{coordination::RefreshOutcome::refreshed});
@@ -139,7 +141,8 @@
 }
 
 void SimulatedLeaders::receiveHeartbeat(const protocol::Heartbeat& heartbeat, std::uint64_t request) {
-    if (leadership_ && network_.areConnected(workers_.at(heartbeat.machine), leadership_->insideCutZone))
+    if (leadership_ &&
+        network_.areConnected(workers_.at(heartbeat.machine), leadership_->insidePartitionedZone))
         handle(coordination::HeartbeatReceived{request, heartbeat});
 }
 
--- a/tests/simulation/simulated_leaders.h
+++ b/tests/simulation/simulated_leaders.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The leaders of a simulated cluster, one at a time: they are elected, lose the store, crash, and the next
-// one follows. Carries out what the present leader decides, through the network, the store and the cloud.
+// The leaders of a simulated cluster, one at a time: elects a leader, lets it lose the store or crash, and
+// elects the next. Executes the actions of the current leader through the network, the store and the cloud.
 
 #include <cstdint>
 #include <functional>
@@ -26,30 +26,32 @@
                      SimulatedNetwork& network, SimulatedCloud& cloud)
         : environment_(environment), store_(store), workers_(workers), network_(network), cloud_(cloud) {}
 
-    /// Called with each action that a leader decides, before it is carried out; for recording decisions.
+    /// Called with each action that a leader decides on, before it is executed. Used to record decisions.
     std::function<void(const coordination::Action&)> onAction;
 
-    /// Elections, crashes, reading the store, and the leader's own tick.
+    /// Advances elections, crashes, store reads and the leader's own tick by one time step.
     void step(double seconds);
     void receiveHeartbeat(const protocol::Heartbeat& heartbeat, std::uint64_t request);
 
-    // --- brought about by a test ---
+    // --- faults injected by a test ---
 
-    /// The leader ends; the next begins after the pause.
+    /// Ends the leadership; the next election takes place after the pause.
     void endLeadership(Seconds pause);
-    /// The store refuses the leader alone from now on. Its leader lease ends within 0.5 s to `longest`.
+    /// The leader loses its connection to the store for good. Its lease, and with it its leadership, ends
+    /// after a random time between 0.5 s and `longest`.
     void loseStore(Seconds longest);
-    /// The leader, if there is one, is inside the zone that is cut off, without the store.
-    void moveIntoCutZone();
-    /// Lets the leader see all there is, as one that goes on by its peers' votes in an outage has to.
+    /// Places the leader, if there is one, inside the partitioned zone, where it cannot reach the store.
+    void moveIntoPartitionedZone();
+    /// Brings the leader's replica up to date, which a leader must be to keep its leadership by its peers'
+    /// votes during a store outage.
     void readStoreBeforeOutage();
 
-    // --- what the present leader knows ---
+    // --- state of the current leader ---
 
     bool exists() const { return leadership_ != nullptr; }
     bookkeeping::StateReplica& replica() { return leadership_->replica; }
     bool reachesStore() const { return leadership_->reachesStore(); }
-    /// What the leader knows of a job and of all machines, in words.
+    /// Describes the leader's view of a job and of all machines.
     std::string describe(const std::string& job) const;
 
   private:
@@ -57,10 +59,10 @@
     struct Leadership {
         std::uint64_t fencingToken = 0;
         bookkeeping::StateReplica replica;
-        std::size_t replicaPosition = 0;  // in the store's log
+        std::size_t replicaPosition = 0;  // up to which the store's log was read
         Time lastRead{};
-        bool insideCutZone = false;
-        Time leaseEnd = Time::max();  // set once it has lost the store
+        bool insidePartitionedZone = false;
+        Time leaseEnd = Time::max();  // set once the leader has lost the store
         std::unique_ptr<coordination::Leader> leader;
 
         bool reachesStore() const { return leaseEnd == Time::max(); }
@@ -68,10 +70,12 @@
 
     void elect();
     void crash();
-    void noteTeamsAtMaximum();
+    /// Counts teams near their CPU quota in `failoversNearTeamQuota` if a machine with tasks is unreachable.
+    void countTeamsNearQuota();
     void readStore(Leadership& leadership);
-    /// Gives the leader an event and carries out what it decides.
+    /// Passes an event to the leader and executes the actions that it decides on.
     void handle(coordination::LeaderEvent event);
+    /// The current leadership as the sender of a request.
     Requester requester();
 
     void perform(const coordination::AnswerHeartbeat& action) {
@@ -91,7 +95,7 @@
     SimulatedWorkers& workers_;
     SimulatedNetwork& network_;
     SimulatedCloud& cloud_;
-    std::shared_ptr<Leadership> leadership_;  // null between two of them
+    std::shared_ptr<Leadership> leadership_;  // null while there is no leader
     Time nextElection_{};
     std::uint64_t handledEvents_ = 0;
 };
--- a/tests/simulation/simulated_network.cpp
+++ b/tests/simulation/simulated_network.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-constexpr auto kHeartbeatTimeout = 4s;    // a worker drops what comes later
-constexpr auto kCommandTimeout = 2500ms;  // a leader waits no longer for the answer to direct commands
+constexpr auto kHeartbeatResponseTimeout = 4s;    // a worker ignores later responses
+constexpr auto kCommandResponseTimeout = 2500ms;  // the leader's timeout for direct commands
 
 }  // namespace
 
-void SimulatedNetwork::cutZone(const std::string& zone, Seconds time) {
-    cutZone_ = zone;
-    zoneCutUntil_ = environment_.now() + toClockDuration(time);
+void SimulatedNetwork::partitionZone(const std::string& zone, Seconds time) {
+    partitionedZone_ = zone;
+    zonePartitionedUntil_ = environment_.now() + toClockDuration(time);
 }
 
 bool SimulatedNetwork::areConnected(const SimulatedWorker& worker, bool leaderInside) const {
-    return environment_.now() >= zoneCutUntil_ || leaderInside == (worker.zone == cutZone_);
+    return environment_.now() >= zonePartitionedUntil_ || leaderInside == (worker.zone == partitionedZone_);
 }
 
 SimulatedWorker* SimulatedNetwork::findReceiver(const std::string& id, bool leaderInside) {
@@ -51,23 +51,23 @@
         return request;
     }
     if (worker.outboundLinkDownUntil > now) return request;
-    if (random.chanceIfPossible(faults.heartbeatHeldForNextLeaderProbability)) {
-        heldHeartbeats_.push_back([this, heartbeat, copy = newRequest(worker)] {
+    if (random.chanceUnlessZero(faults.heartbeatHeldForNextLeaderProbability)) {
+        heldHeartbeats_.push_back([this, heartbeat, copyRequest = newRequest(worker)] {
             auto& occurrences = environment_.occurrences;
             ++occurrences.heartbeatsSeenByNextLeader;
             occurrences.heartbeatsOfEarlierIncarnations +=
                 heartbeat.incarnation < workers_.at(heartbeat.machine).incarnation;
-            hooks.heartbeatArrived(heartbeat, copy);
+            hooks.heartbeatArrived(heartbeat, copyRequest);
         });
     }
     if (random.chance(faults.heartbeatDuplicateProbability)) {
-        const auto copy = newRequest(worker);  // nobody waits for its answer
-        const double mostSeconds = random.chance(0.5) ? 3 : 50;
-        scheduleArrival(random.delay(0.1, mostSeconds), heartbeat, copy);
+        const auto copyRequest = newRequest(worker);  // the worker ignores the response to a copy
+        const double maxSeconds = random.chance(0.5) ? 3 : 50;
+        scheduleArrival(random.delay(0.1, maxSeconds), heartbeat, copyRequest);
     }
     if (random.chance(faults.messageLossProbability)) return request;
-    const double mostSeconds = random.chance(faults.lateExecutionProbability) ? 10 : 0.2;
-    scheduleArrival(random.delay(0, mostSeconds), heartbeat, request);
+    const double maxSeconds = random.chance(faults.lateExecutionProbability) ? 10 : 0.2;
+    scheduleArrival(random.delay(0, maxSeconds), heartbeat, request);
     return request;
 }
 
@@ -81,12 +81,13 @@
     return std::max(recovery - environment_.now(), Clock::duration(0));
 }
 
-void SimulatedNetwork::deliver(Clock::duration delay, const std::string& id, std::function<void()> arrive) {
+void SimulatedNetwork::deliver(Clock::duration delay, const std::string& id,
+                               std::function<void()> onArrival) {
     auto& events = environment_.events;
-    if (!environment_.random.chanceIfPossible(environment_.faults.messageHeldUntilRecoveryProbability))
-        return events.schedule(delay, std::move(arrive));
-    events.schedule(delay, [this, id, arrive = std::move(arrive)] {
-        environment_.events.schedule(timeToRecovery(workers_.at(id)), arrive);
+    if (!environment_.random.chanceUnlessZero(environment_.faults.messageHeldUntilRecoveryProbability))
+        return events.schedule(delay, std::move(onArrival));
+    events.schedule(delay, [this, id, onArrival = std::move(onArrival)] {
+        environment_.events.schedule(timeToRecovery(workers_.at(id)), onArrival);
     });
 }
 
@@ -96,23 +97,23 @@
     if (action.verdict == coordination::HeartbeatVerdict::refused ||
         random.chance(faults.messageLossProbability))
         return;
-    for (const auto& command : action.commands) hooks.commandAnswered(command);
-    const double mostSeconds = random.chance(faults.lateExecutionProbability) ? 8 : 0.2;
-    const auto delay = random.delay(0, mostSeconds);
+    for (const auto& command : action.commands) hooks.commandSentInResponse(command);
+    const double maxSeconds = random.chance(faults.lateExecutionProbability) ? 8 : 0.2;
+    const auto delay = random.delay(0, maxSeconds);
     deliver(delay, senders_.at(action.request).first,
             [this, action, leader] { receiveAnswer(action, leader); });
 }
 
 void SimulatedNetwork::receiveAnswer(const coordination::AnswerHeartbeat& action, const Requester& leader) {
     const auto& [id, incarnation] = senders_.at(action.request);
-    auto* worker = findReceiver(id, leader.insideCutZone);
+    auto* worker = findReceiver(id, leader.insidePartitionedZone);
     if (!worker || worker->unansweredRequest != action.request || worker->incarnation != incarnation ||
-        environment_.now() - worker->heartbeatSent > kHeartbeatTimeout)
+        environment_.now() - worker->heartbeatSent > kHeartbeatResponseTimeout)
         return;
     worker->unansweredRequest = 0;
     if (leader.fencingToken < worker->fencingToken) return;
     worker->adoptToken(leader.fencingToken);
-    environment_.occurrences.answersInsideCutZone += leader.insideCutZone;
+    environment_.occurrences.answersInsidePartitionedZone += leader.insidePartitionedZone;
     worker->leaseStart = worker->heartbeatSent;
     for (const auto& command : action.commands) workers_.execute(*worker, command);
 }
@@ -123,19 +124,19 @@
     const CommandsAnswered noAnswer{action.machine, std::nullopt, action.known};
     const bool late = random.chance(faults.lateExecutionProbability);
     if (late || random.chance(faults.messageLossProbability)) {
-        leader.respond(kCommandTimeout, noAnswer);
-    } else if (!findReceiver(action.machine, leader.insideCutZone)) {
-        if (random.chanceIfPossible(faults.messageHeldUntilRecoveryProbability))
+        leader.respond(kCommandResponseTimeout, noAnswer);
+    } else if (!findReceiver(action.machine, leader.insidePartitionedZone)) {
+        if (random.chanceUnlessZero(faults.messageHeldUntilRecoveryProbability))
             executeAfterRecovery(action, leader);
-        return leader.respond(kCommandTimeout, noAnswer);
+        return leader.respond(kCommandResponseTimeout, noAnswer);
     }
     const auto delay = late ? random.delay(3, 40) : random.delay(0, 0.2);
     deliver(delay, action.machine, [this, late, action, leader] {
-        auto* worker = findReceiver(action.machine, leader.insideCutZone);
+        auto* worker = findReceiver(action.machine, leader.insidePartitionedZone);
         if (!worker) return;
-        const bool sends = worker->outboundLinkDownUntil <= environment_.now();
+        const bool outboundLinkUp = worker->outboundLinkDownUntil <= environment_.now();
         if (receiveCommands(*worker, action, leader.fencingToken))
-            environment_.occurrences.commandsWithoutOutboundLink += !sends;
+            environment_.occurrences.commandsWithoutOutboundLink += !outboundLinkUp;
         if (late) return;
         const auto answerDelay = environment_.random.delay(0, 0.2);
         leader.respond(answerDelay,
@@ -156,7 +157,7 @@
     const auto found = workers_.all().find(action.machine);
     if (found == workers_.all().end()) return;
     environment_.events.schedule(timeToRecovery(found->second), [this, action, leader] {
-        auto* worker = findReceiver(action.machine, leader.insideCutZone);
+        auto* worker = findReceiver(action.machine, leader.insidePartitionedZone);
         if (worker && receiveCommands(*worker, action, leader.fencingToken))
             ++environment_.occurrences.commandsAfterRecovery;
     });
--- a/tests/simulation/simulated_network.h
+++ b/tests/simulation/simulated_network.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The network between the leader and the workers of a simulated cluster. It loses, delays, duplicates and
-// holds back heartbeats, their answers and direct commands, and can cut off a zone.
+// The network between the leader and the workers of a simulated cluster. Loses, delays, duplicates and holds
+// back heartbeats, heartbeat responses and direct commands, and can partition a zone.
 
 #include <cstdint>
 #include <functional>
@@ -22,50 +22,56 @@
     SimulatedNetwork(Environment& environment, SimulatedWorkers& workers)
         : environment_(environment), workers_(workers) {}
 
-    /// How the other parts take part. All of them have to be set.
+    /// Callbacks to the other parts of the cluster. All of them must be set.
     struct Hooks {
         /// A heartbeat, or a copy of one, arrives at the controllers.
         std::function<void(const protocol::Heartbeat&, std::uint64_t request)> heartbeatArrived;
-        /// A command leaves with the answer to a heartbeat, and the answer is not lost.
-        std::function<void(const protocol::WorkerCommand&)> commandAnswered;
+        /// The leader sends a command in a heartbeat response, and the response is not lost on sending.
+        std::function<void(const protocol::WorkerCommand&)> commandSentInResponse;
     };
     Hooks hooks;
 
-    /// Cuts the zone off from everything outside.
-    void cutZone(const std::string& zone, Seconds time);
-    /// Messages pass between the worker and a leader that is inside the zone that is cut off, or outside.
+    /// Partitions the zone from the rest of the cluster for `time`. Only one zone is partitioned at a time.
+    void partitionZone(const std::string& zone, Seconds time);
+    /// Whether messages pass between the worker and a leader inside (`leaderInside`) or outside the
+    /// partitioned zone.
     bool areConnected(const SimulatedWorker& worker, bool leaderInside) const;
 
-    /// Sends a worker's heartbeat and returns the number of the request.
+    /// Sends a worker's heartbeat and returns its request number.
     std::uint64_t sendHeartbeat(const SimulatedWorker& worker, const protocol::Heartbeat& heartbeat);
-    /// From now on the copies that are held back for the next leader arrive.
+    /// Delivers the heartbeat copies that were held back for the next leader, each within 6 s.
     void releaseHeldHeartbeats();
     void answerHeartbeat(const coordination::AnswerHeartbeat& action, const Requester& leader);
     void sendCommands(const coordination::SendCommands& action, const Requester& leader);
 
   private:
+    /// Assigns a request number to a heartbeat of the worker.
     std::uint64_t newRequest(const SimulatedWorker& worker);
     void scheduleArrival(Clock::duration delay, const protocol::Heartbeat& heartbeat, std::uint64_t request);
-    /// The worker if a message of such a leader gets to it now; otherwise null.
+    /// The worker if a message from such a leader can reach it now; otherwise null.
     SimulatedWorker* findReceiver(const std::string& id, bool leaderInside);
-    /// Runs `arrive` after the delay, or, if the message is held up, once its machine has recovered.
-    void deliver(Clock::duration delay, const std::string& id, std::function<void()> arrive);
+    /// Runs `onArrival` after the delay, or, if the message is held back by a fault, after the delay and the
+    /// machine's recovery.
+    void deliver(Clock::duration delay, const std::string& id, std::function<void()> onArrival);
+    /// The remaining time of the worker's hang or partition; 0 if it has neither.
     Clock::duration timeToRecovery(const SimulatedWorker& worker) const;
     void receiveAnswer(const coordination::AnswerHeartbeat& action, const Requester& leader);
-    /// Carries out the commands unless they name an older token or another incarnation.
+    /// Executes the commands unless their fencing token is older than the worker's or they are for another
+    /// incarnation. Returns whether they were executed.
     bool receiveCommands(SimulatedWorker& worker, const coordination::SendCommands& action,
                          std::uint64_t fencingToken);
-    /// The leader no longer waits for these; they are carried out as the machine goes on.
+    /// Executes the commands once the machine has recovered. The leader has timed out by then and gets no
+    /// response.
     void executeAfterRecovery(const coordination::SendCommands& action, const Requester& leader);
 
     Environment& environment_;
     SimulatedWorkers& workers_;
-    Time zoneCutUntil_{};
-    std::string cutZone_;
+    Time zonePartitionedUntil_{};
+    std::string partitionedZone_;
     std::uint64_t lastRequest_ = 0;
-    /// By request: the worker that sent it, and its incarnation then.
+    /// The worker that sent each request and its incarnation at that time, by request number.
     std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> senders_;
-    std::vector<std::function<void()>> heldHeartbeats_;  // for the next leader
+    std::vector<std::function<void()>> heldHeartbeats_;  // arrivals held back for the next leader
 };
 
 }  // namespace burlpoint::simulation
--- a/tests/simulation/simulated_store.cpp
+++ b/tests/simulation/simulated_store.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr auto kWriteTimeout = 1500ms;  // a leader waits no longer for a transaction's answer
+constexpr auto kWriteTimeout = 1500ms;  // the leader's timeout for a transaction
 
 StateWritten refused() {
     StateWritten written;
@@ -24,8 +24,9 @@
 }  // namespace
 
 SimulatedStore::SimulatedStore(Environment& environment) : environment_(environment) {
-    commitAtOnce({}, {{storage::keys::kToken, storage::encodeToken(1), 0},
-                      {storage::keys::kTypes, protocol::encodeMachineTypes(environment.machineTypes), 0}});
+    commitImmediately({},
+                      {{storage::keys::kToken, storage::encodeToken(1), 0},
+                       {storage::keys::kTypes, protocol::encodeMachineTypes(environment.machineTypes), 0}});
 }
 
 void SimulatedStore::lowerLimits(Seconds after, tests::StubLimits limits) {
@@ -39,8 +40,8 @@
     nextRefill_ = environment_.now() + 1s;
 }
 
-void SimulatedStore::commitAtOnce(const std::vector<protocol::KeyCondition>& conditions,
-                                  const std::vector<protocol::KeyWrite>& writes) {
+void SimulatedStore::commitImmediately(const std::vector<protocol::KeyCondition>& conditions,
+                                       const std::vector<protocol::KeyWrite>& writes) {
     std::vector<std::string> failedKeys;
     store_.transact(conditions, writes, failedKeys);
 }
@@ -62,35 +63,37 @@
     const auto& faults = environment_.faults;
     auto& occurrences = environment_.occurrences;
     if (action.writes.size() > environment_.settings.maxTransactionWrites)
-        environment_.brokenRules.push_back("a transaction has more writes than its limit");
+        environment_.violations.push_back("a transaction has more writes than its limit");
     if (!requester.reachesStore || random.chance(faults.lateExecutionProbability)) {
         if (random.chance(0.7))
             environment_.events.schedule(random.delay(0, 25), [this, action] { apply(action); });
         return requester.respond(kWriteTimeout, StateWritten{});
     }
-    if (random.chanceIfPossible(faults.unansweredWriteProbability)) {
+    if (random.chanceUnlessZero(faults.unansweredWriteProbability)) {
         environment_.events.schedule(random.delay(2, 12), [this, action, &occurrences] {
             occurrences.lateWritesRejected += apply(action).revision == 0;
         });
         return requester.respond(kWriteTimeout, StateWritten{});
     }
     if (latency_ > Seconds(0)) return commitSlowly(action, requester);
-    if (isOut() || random.chance(faults.messageLossProbability)) return requester.respond(10ms, refused());
+    if (isUnavailable() || random.chance(faults.messageLossProbability))
+        return requester.respond(10ms, refused());
     environment_.events.schedule(random.delay(0, 0.1), [this, action, requester] {
         requester.respond(5ms, StateWritten{apply(action)});
     });
 }
 
-/// Carried out somewhere on the way there and back, whether or not the leader still waits.
+/// Delays the request and the response by random times up to the latency. The transaction is applied even if
+/// the leader has timed out.
 void SimulatedStore::commitSlowly(const coordination::WriteState& action, const Requester& requester) {
-    const auto there = environment_.random.delay(0, latency_.count());
-    const auto back = environment_.random.delay(0, latency_.count());
-    const bool inTime = there + back <= kWriteTimeout;
-    environment_.events.schedule(there, [this, action, requester, back, inTime] {
-        const auto written = isOut() ? refused() : StateWritten{apply(action)};
-        if (inTime) requester.respond(back, written);
+    const auto requestDelay = environment_.random.delay(0, latency_.count());
+    const auto responseDelay = environment_.random.delay(0, latency_.count());
+    const bool answeredInTime = requestDelay + responseDelay <= kWriteTimeout;
+    environment_.events.schedule(requestDelay, [this, action, requester, responseDelay, answeredInTime] {
+        const auto written = isUnavailable() ? refused() : StateWritten{apply(action)};
+        if (answeredInTime) requester.respond(responseDelay, written);
     });
-    if (!inTime) requester.respond(kWriteTimeout, StateWritten{});
+    if (!answeredInTime) requester.respond(kWriteTimeout, StateWritten{});
 }
 
 std::vector<bookkeeping::Change> SimulatedStore::readChanges(bookkeeping::StateReplica& replica,
@@ -117,16 +120,16 @@
     const auto stored = recordOf(job).terminalState;
     if (stored != TerminalState::none) return stored;
     const auto& dependencies = environment_.jobs.specs.at(job).dependencies;
-    const bool cancelled = std::any_of(dependencies.begin(), dependencies.end(), [&](const auto& needed) {
-        return terminalStateOf(needed) == TerminalState::cancelled;
+    const bool cancelled = std::any_of(dependencies.begin(), dependencies.end(), [&](const auto& dependency) {
+        return terminalStateOf(dependency) == TerminalState::cancelled;
     });
     return cancelled ? TerminalState::cancelled : stored;
 }
 
 bool SimulatedStore::dependenciesDone(const std::string& job) const {
     const auto& dependencies = environment_.jobs.specs.at(job).dependencies;
-    return std::all_of(dependencies.begin(), dependencies.end(), [&](const auto& needed) {
-        return recordOf(needed).terminalState == TerminalState::done;
+    return std::all_of(dependencies.begin(), dependencies.end(), [&](const auto& dependency) {
+        return recordOf(dependency).terminalState == TerminalState::done;
     });
 }
 
--- a/tests/simulation/simulated_store.h
+++ b/tests/simulation/simulated_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The key-value store of a simulated cluster, with its faults: outages, slow answers, transactions that are
-// carried out late, and lower limits from some moment on.
+// The key-value store of a simulated cluster, with its faults: outages, slow responses, transactions that are
+// applied late, and limits that are lowered during a history.
 
 #include <optional>
 #include <string>
@@ -20,34 +20,38 @@
   public:
     explicit SimulatedStore(Environment& environment);
 
-    /// Refuses everybody for this time.
+    /// Refuses all requests for this time.
     void beginOutage(Seconds time) { outageUntil_ = environment_.now() + toClockDuration(time); }
-    bool isOut() const { return environment_.now() < outageUntil_; }
-    /// Each way of a transaction takes up to this long; a leader waits 1.5 s for the answer.
+    bool isUnavailable() const { return environment_.now() < outageUntil_; }
+    /// The request and the response of a transaction take up to this long each. The leader's timeout for a
+    /// transaction is 1.5 s.
     void setLatency(Seconds latency) { latency_ = latency; }
     Seconds latency() const { return latency_; }
-    /// From then on the store takes no more than this; `limits.changes` are those of a second.
+    /// Lowers the limits of the store after the given time; `limits.changes` is the number of writes per
+    /// second.
     void lowerLimits(Seconds after, tests::StubLimits limits);
-    /// Counts changes anew each second once the limits are lowered. Called at each step of time.
+    /// Applies lowered limits once they are due and renews the limit of writes each second. To be called at
+    /// each time step.
     void step();
 
-    /// A transaction of a leader, with all that can go wrong.
+    /// Applies a leader's transaction, subject to faults, and responds with the outcome.
     void commit(const coordination::WriteState& action, const Requester& requester);
-    /// A transaction of a user, which nothing delays. Does nothing if a condition fails.
-    void commitAtOnce(const std::vector<protocol::KeyCondition>& conditions,
-                      const std::vector<protocol::KeyWrite>& writes);
-    /// Applies what was written since `position` to the replica, and moves `position` to the end.
+    /// Applies a transaction of a user or an election, without delay or faults. Writes nothing if a condition
+    /// does not hold.
+    void commitImmediately(const std::vector<protocol::KeyCondition>& conditions,
+                           const std::vector<protocol::KeyWrite>& writes);
+    /// Applies the changes after `position` in the log to the replica and moves `position` to the end.
     std::vector<bookkeeping::Change> readChanges(bookkeeping::StateReplica& replica,
                                                  std::size_t& position) const;
 
     std::uint64_t fencingToken() const;
     storage::JobRecord recordOf(const std::string& job) const;
-    /// As stored, or cancelled with a job that it needs.
+    /// The stored state, or cancelled if no state is stored and a dependency is cancelled.
     storage::TerminalState terminalStateOf(const std::string& job) const;
-    /// All jobs that it needs are stored as done.
+    /// Whether all dependencies of the job are stored as done.
     bool dependenciesDone(const std::string& job) const;
     const tests::Store& contents() const { return store_; }
-    /// A key whose condition failed in the last transaction of a leader; empty if none did.
+    /// A key whose condition did not hold in a leader's last transaction; empty if all held.
     const std::string& lastFailedKey() const { return lastFailedKey_; }
 
   private:
@@ -59,7 +63,7 @@
     Time outageUntil_{};
     Seconds latency_{0};
     std::optional<tests::StubLimits> loweredLimits_;
-    Time nextRefill_{};  // of the changes that the lowered limits allow in a second
+    Time nextRefill_{};  // when the lowered limit of writes is renewed
     std::string lastFailedKey_;
 };
 
--- a/tests/simulation/simulated_tasks.cpp
+++ b/tests/simulation/simulated_tasks.cpp
@@ -1,4 +1,4 @@
-// The tasks of SimulatedWorkers: what becomes of them as time goes on, and at commands.
+// The tasks of `SimulatedWorkers`: their progress over time and the execution of commands.
 #include <algorithm>
 
 #include "simulation/simulated_workers.h"
@@ -10,22 +10,22 @@
 
 namespace {
 
-// Every machine type has as many CPUs; of GPUs only the type "gpu" has some.
+// Every machine type has 8 CPUs; only the type "gpu" has GPUs.
 constexpr double kMachineCpus = 8, kGpusOfGpuMachine = 2;
-constexpr double kRounding = 0.001;
+constexpr double kRoundingTolerance = 0.001;
 
 bool isGang(const protocol::JobSpec& spec) { return spec.kind == JobKind::gang && spec.tasks > 1; }
 
 }  // namespace
 
-void SimulatedWorkers::exit(SimulatedWorker& worker, SimulatedTask& task, ExitReason reason) {
+void SimulatedWorkers::markExited(SimulatedWorker& worker, SimulatedTask& task, ExitReason reason) {
     task.state = TaskState::exited;
     task.exitReason = reason;
-    worker.changed = true;
+    worker.changedSinceHeartbeat = true;
 }
 
-std::size_t SimulatedWorkers::gangMembers(const Attempt& attempt,
-                                          const std::function<bool(const SimulatedTask&)>& condition) const {
+std::size_t SimulatedWorkers::countGangMembers(
+    const Attempt& attempt, const std::function<bool(const SimulatedTask&)>& condition) const {
     std::size_t members = 0;
     for (const auto& [id, worker] : workers_) {
         if (!holdsLease(worker)) continue;
@@ -38,37 +38,39 @@
 void SimulatedWorkers::stepTask(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task) {
     const auto now = environment_.now();
     const auto& spec = environment_.jobs.specs.at(attempt.job);
-    if (task.state == TaskState::fetching && now >= task.phaseEnd) stepFetch(worker, attempt, task);
+    if (task.state == TaskState::fetching && now >= task.phaseEnd) finishFetch(worker, attempt, task);
     if (task.state == TaskState::waiting) stepGangWait(worker, attempt, task);
     if (task.state == TaskState::running && spec.kind != JobKind::service && now >= task.phaseEnd)
         return finishRun(worker, attempt, task);
-    if (task.state == TaskState::saving && now >= task.phaseEnd) exit(worker, task, ExitReason::stopped);
+    if (task.state == TaskState::saving && now >= task.phaseEnd)
+        markExited(worker, task, ExitReason::stopped);
     if (task.state != TaskState::running || !isGang(spec)) return;
-    // The rest of a gang that lost a task leaves after a while.
-    const auto others = gangMembers(attempt, [](const SimulatedTask& member) {
+    // If a member of the gang has failed, the other members exit after a random delay.
+    const auto remainingMembers = countGangMembers(attempt, [](const SimulatedTask& member) {
         return member.state != TaskState::exited || member.exitReason == ExitReason::done;
     });
-    if (others < spec.tasks && environment_.random.chance(0.05)) exit(worker, task, ExitReason::peers);
+    if (remainingMembers < spec.tasks && environment_.random.chance(0.05))
+        markExited(worker, task, ExitReason::peers);
 }
 
-void SimulatedWorkers::stepFetch(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task) {
-    worker.changed = true;
+void SimulatedWorkers::finishFetch(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task) {
+    worker.changedSinceHeartbeat = true;
     task.fetched = environment_.now();
-    const bool waits = isGang(environment_.jobs.specs.at(attempt.job));
-    task.state = waits ? TaskState::waiting : TaskState::running;
-    task.phaseEnd = environment_.now() + environment_.random.delay(shortestRun.count(), longestRun.count());
+    const bool isGangTask = isGang(environment_.jobs.specs.at(attempt.job));
+    task.state = isGangTask ? TaskState::waiting : TaskState::running;
+    task.phaseEnd = environment_.now() + environment_.random.delay(minRunTime.count(), maxRunTime.count());
     hooks.taskPlaced(worker, attempt);
 }
 
 void SimulatedWorkers::stepGangWait(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task) {
-    const auto ready = gangMembers(attempt, [](const SimulatedTask& member) {
+    const auto ready = countGangMembers(attempt, [](const SimulatedTask& member) {
         return member.state == TaskState::waiting || member.state == TaskState::running;
     });
     if (ready == environment_.jobs.specs.at(attempt.job).tasks) {
-        worker.changed = true;
+        worker.changedSinceHeartbeat = true;
         task.state = TaskState::running;
     } else if (environment_.now() - task.fetched > environment_.settings.gangWaitTimeout) {
-        exit(worker, task, ExitReason::alone);
+        markExited(worker, task, ExitReason::alone);
     }
 }
 
@@ -76,14 +78,14 @@
     auto& random = environment_.random;
     auto& jobs = environment_.jobs;
     const auto& faults = environment_.faults;
-    if (random.chance(faults.taskErrorProbability)) return exit(worker, task, ExitReason::error);
+    if (random.chance(faults.taskErrorProbability)) return markExited(worker, task, ExitReason::error);
     const auto& spec = jobs.specs.at(attempt.job);
     if (spec.kind == JobKind::gang)
-        for (std::uint32_t number = 0; number < spec.tasks; ++number) jobs.noteCompleted(attempt.job, number);
+        for (std::uint32_t number = 0; number < spec.tasks; ++number) jobs.markCompleted(attempt.job, number);
     else
-        jobs.noteCompleted(attempt.job, attempt.task);
-    exit(worker, task, ExitReason::done);
-    if (random.chanceIfPossible(faults.userActionsAtJobEndProbability) && jobs.allTasksCompleted(attempt.job))
+        jobs.markCompleted(attempt.job, attempt.task);
+    markExited(worker, task, ExitReason::done);
+    if (random.chanceUnlessZero(faults.userActionsAtJobEndProbability) && jobs.allTasksCompleted(attempt.job))
         hooks.userActsAtJobEnd(attempt.job);
 }
 
@@ -91,7 +93,7 @@
     const auto found = worker.tasks.find(command.attempt);
     const bool known = found != worker.tasks.end();
     const bool exited = known && found->second.state == TaskState::exited;
-    worker.changed = true;
+    worker.changedSinceHeartbeat = true;
     switch (command.kind) {
         case protocol::CommandKind::start:
             if (!known) start(worker, command.attempt);
@@ -106,7 +108,7 @@
     }
 }
 
-/// A task with checkpoints saves one first if the time of grace is enough for it.
+/// A running task with checkpoints saves one before it exits if the grace period is long enough.
 void SimulatedWorkers::stop(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task,
                             Seconds grace) {
     const auto& spec = environment_.jobs.specs.at(attempt.job);
@@ -115,12 +117,12 @@
         task.state = TaskState::saving;
         task.phaseEnd = environment_.now() + 1s;
     } else if (task.state != TaskState::saving || grace <= Seconds(0)) {
-        exit(worker, task, ExitReason::stopped);
+        markExited(worker, task, ExitReason::stopped);
     }
 }
 
-SimulatedWorkers::ExitReason SimulatedWorkers::refusalOf(const SimulatedWorker& worker,
-                                                         const Attempt& attempt) const {
+SimulatedWorkers::ExitReason SimulatedWorkers::startRefusal(const SimulatedWorker& worker,
+                                                            const Attempt& attempt) const {
     const auto& specs = environment_.jobs.specs;
     double cpus = specs.at(attempt.job).cpus, gpus = specs.at(attempt.job).gpus;
     for (const auto& [other, task] : worker.tasks) {
@@ -130,19 +132,19 @@
         gpus += specs.at(other.job).gpus;
     }
     const double machineGpus = worker.type == "gpu" ? kGpusOfGpuMachine : 0;
-    const bool fits = cpus <= kMachineCpus + kRounding && gpus <= machineGpus + kRounding;
+    const bool fits = cpus <= kMachineCpus + kRoundingTolerance && gpus <= machineGpus + kRoundingTolerance;
     return fits ? ExitReason::none : ExitReason::noRoom;
 }
 
 void SimulatedWorkers::start(SimulatedWorker& worker, const Attempt& attempt) {
     ++environment_.occurrences.startedTasks;
     SimulatedTask task;
-    task.exitReason = refusalOf(worker, attempt);
+    task.exitReason = startRefusal(worker, attempt);
     if (task.exitReason != ExitReason::none) {
         task.state = TaskState::exited;
     } else {
         hooks.taskPlaced(worker, attempt);
-        task.phaseEnd = environment_.now() + environment_.random.delay(0.3, slowestFetch.count());
+        task.phaseEnd = environment_.now() + environment_.random.delay(0.3, maxFetchTime.count());
     }
     worker.tasks[attempt] = task;
 }
--- a/tests/simulation/simulated_users.h
+++ b/tests/simulation/simulated_users.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// The users of a simulated cluster: they submit and cancel jobs through any controller that the store
-// answers, and compare what they are told with what they were told before.
+// The users of a simulated cluster. They submit, cancel and query jobs through a controller that reaches the
+// store, and check that terminal states reported to them never change.
 
 #include <cstddef>
 #include <map>
@@ -19,22 +19,25 @@
     SimulatedUsers(Environment& environment, SimulatedStore& store, SimulatedWorkers& workers)
         : environment_(environment), store_(store), workers_(workers) {}
 
-    /// Accepted unless the store is out. A repetition finds the record and changes nothing.
+    /// The job is accepted unless the store is unavailable or a dependency is unknown. Submitting it again
+    /// finds the record and changes nothing.
     void submit(const protocol::JobSpec& spec);
-    /// Repeated until it is confirmed.
+    /// Cancels the job unless it has ended. Retries each second while the store is unavailable.
     void cancel(const std::string& job);
-    /// Nobody is told the contrary of a terminal state that somebody was told.
-    void ask(const std::string& job);
-    /// Cancels the job, asks about it and submits it again, about now.
-    void actAtJobEnd(const std::string& job);
+    /// Checks that the job's record exists, that a controller's replica derives the stored state from it, and
+    /// that a terminal state reported before has not changed.
+    void queryStatus(const std::string& job);
+    /// Cancels the job, queries its status and resubmits it at random times: most within 1.5 s, some queries
+    /// within 60 s.
+    void cancelQueryAndResubmit(const std::string& job);
 
   private:
     Environment& environment_;
     SimulatedStore& store_;
     SimulatedWorkers& workers_;
-    std::map<std::string, storage::TerminalState> answers_;  // the last of each job
-    bookkeeping::StateReplica replica_;                      // of a controller that only answers users
-    std::size_t replicaPosition_ = 0;                        // in the store's log
+    std::map<std::string, storage::TerminalState> lastAnswers_;  // by job id
+    bookkeeping::StateReplica replica_;                          // of a controller that is not the leader
+    std::size_t replicaPosition_ = 0;                            // up to which the store's log was read
 };
 
 }  // namespace burlpoint::simulation
--- a/tests/simulation/simulated_workers.cpp
+++ b/tests/simulation/simulated_workers.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-constexpr auto kAnswerTimeout = 4s;     // a worker waits no longer for the answer to a heartbeat
-constexpr auto kShortestPause = 500ms;  // between heartbeats
-constexpr std::uint64_t kFirstId = 100'000;
+constexpr auto kHeartbeatResponseTimeout = 4s;  // a worker's timeout for the response to a heartbeat
+constexpr auto kMinHeartbeatInterval = 500ms;
+constexpr std::uint64_t kMachineIdBase = 100'000;
 
 }  // namespace
 
 void SimulatedWorker::adoptToken(std::uint64_t token) {
-    if (token > fencingToken) changed = true;
+    if (token > fencingToken) changedSinceHeartbeat = true;
     fencingToken = token;
 }
 
 std::string SimulatedWorkers::create(const std::string& type, const std::string& zone, bool spot) {
     SimulatedWorker worker;
-    worker.id = "m-" + std::to_string(kFirstId + ++created_);
+    worker.id = "m-" + std::to_string(kMachineIdBase + ++createdCount_);
     worker.type = type;
     worker.zone = zone;
     worker.spot = spot;
@@ -117,12 +117,12 @@
         ++worker.incarnation;
     }
     for (auto& [attempt, task] : worker.tasks) stepTask(worker, attempt, task);
-    if (worker.unansweredRequest && now - worker.heartbeatSent > kAnswerTimeout) {
+    if (worker.unansweredRequest && now - worker.heartbeatSent > kHeartbeatResponseTimeout) {
         worker.unansweredRequest = 0;
         worker.nextHeartbeat = now + 1s;
     }
     if (worker.unansweredRequest) return;
-    const bool early = worker.changed && now - worker.heartbeatSent >= kShortestPause;
+    const bool early = worker.changedSinceHeartbeat && now - worker.heartbeatSent >= kMinHeartbeatInterval;
     if (now >= worker.nextHeartbeat || early) sendHeartbeat(worker);
 }
 
@@ -135,7 +135,7 @@
         worker.partitionedUntil = now + random.delay(1, 25);
     if (random.chance(faults.inboundLinkFailuresPerSecond * seconds))
         worker.inboundLinkDownUntil = now + random.delay(3, 60);
-    if (random.chanceIfPossible(faults.outboundLinkFailuresPerSecond * seconds))
+    if (random.chanceUnlessZero(faults.outboundLinkFailuresPerSecond * seconds))
         worker.outboundLinkDownUntil = now + random.delay(3, 40);
     const auto faultsEnd = std::max({worker.hungUntil, worker.partitionedUntil, worker.inboundLinkDownUntil,
                                      worker.outboundLinkDownUntil});
@@ -150,16 +150,16 @@
         worker.interruptionAt = now + random.delay(3, 9);
 }
 
-/// All tasks end; a new lease begins. The caller sets the incarnation.
+/// Drops all tasks and starts a new lease. The caller sets the incarnation.
 void SimulatedWorkers::restartAgent(SimulatedWorker& worker) {
     worker.tasks.clear();
     worker.lastFault = worker.leaseStart = environment_.now();
     worker.unansweredRequest = 0;
-    worker.changed = true;
+    worker.changedSinceHeartbeat = true;
 }
 
 void SimulatedWorkers::sendHeartbeat(SimulatedWorker& worker) {
-    worker.changed = false;
+    worker.changedSinceHeartbeat = false;
     worker.heartbeatSent = environment_.now();
     worker.nextHeartbeat = environment_.now() + environment_.random.delay(1.5, 2.5);
     const auto heartbeat = nextHeartbeat(worker);
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -1,8 +1,7 @@
 #pragma once
 
-// The worker agents of a simulated cluster, with their machines and tasks: what a worker does by itself as
-// time goes on, how it carries out commands, and what befalls it. Sending and receiving is the network's
-// part.
+// The worker agents of a simulated cluster with their machines and tasks: their behaviour over time, the
+// execution of commands, and their faults. Messages are sent and delivered by `SimulatedNetwork`.
 
 #include <cstdint>
 #include <functional>
@@ -20,25 +19,26 @@
 struct SimulatedTask {
     protocol::TaskState state = protocol::TaskState::fetching;
     protocol::ExitReason exitReason = protocol::ExitReason::none;
-    Time phaseEnd{};  // of the fetch, the run or the checkpoint
-    Time fetched{};
+    Time phaseEnd{};  // end of the current fetch, run or checkpoint
+    Time fetched{};   // when the image fetch finished
 };
 
 struct SimulatedWorker {
     std::string id, type, zone;
     bool spot = false, booted = false, dead = false;
     Time bootAt{}, hungUntil{}, partitionedUntil{}, inboundLinkDownUntil{}, outboundLinkDownUntil{};
-    Time lastFault{};  // when something was last wrong with it
+    Time lastFault{};  // the last moment at which a fault affected the worker
     std::optional<Time> interruptionAt;
     double clockRate = 1;
     std::uint64_t incarnation = 1, sequence = 0, fencingToken = 0;
     std::map<protocol::Attempt, SimulatedTask> tasks;
     Time leaseStart{};                    // when the last answered heartbeat was sent
-    std::uint64_t unansweredRequest = 0;  // the heartbeat that it waits for, or 0
+    std::uint64_t unansweredRequest = 0;  // request number of the pending heartbeat; 0: none
     Time heartbeatSent{}, nextHeartbeat{};
-    bool changed = false;  // since the last heartbeat
+    bool changedSinceHeartbeat = false;  // lets the next heartbeat be sent early
 
-    /// Takes a token that came with commands; the next heartbeat shows a newer one early.
+    /// Adopts the fencing token of received commands. If it is newer, the next heartbeat, which reports it,
+    /// is sent early.
     void adoptToken(std::uint64_t token);
 };
 
@@ -46,26 +46,26 @@
   public:
     explicit SimulatedWorkers(Environment& environment) : environment_(environment) {}
 
-    /// How the parts around the workers take part. All of them have to be set.
+    /// Callbacks to the other parts of the cluster. All of them must be set.
     struct Hooks {
-        /// Sends a heartbeat and returns the number of the request.
+        /// Sends a heartbeat and returns its request number.
         std::function<std::uint64_t(const SimulatedWorker&, const protocol::Heartbeat&)> sendHeartbeat;
-        /// A task was started, or has fetched its image, on this worker.
+        /// A task was started on this worker, or has finished fetching its image.
         std::function<void(const SimulatedWorker&, const protocol::Attempt&)> taskPlaced;
-        /// A worker was told to forget the result of a completed task.
+        /// The leader acknowledged the result of a completed task, and the worker forgets it.
         std::function<void(const protocol::Attempt&)> resultAcknowledged;
-        /// The last task of this job has completed, and its user acts at that moment.
+        /// The last task of this job has completed, and its user is to cancel, query and resubmit it now.
         std::function<void(const std::string& job)> userActsAtJobEnd;
     };
     Hooks hooks;
 
-    // What machines and tasks are like.
-    Seconds shortestRun{2}, longestRun{12}, slowestFetch{3};
+    // Bounds of the random run and fetch times of tasks, and of the number of machines.
+    Seconds minRunTime{2}, maxRunTime{12}, maxFetchTime{3};
     std::size_t maxMachines = 12;
 
     // --- for the cloud ---
 
-    /// The new machine's id. It boots within some seconds.
+    /// Creates a machine, which boots within 0.5 to 8 s, and returns its id.
     std::string create(const std::string& type, const std::string& zone, bool spot);
     void remove(const std::string& id);
     std::size_t aliveCount() const;
@@ -76,7 +76,7 @@
     protocol::Heartbeat nextHeartbeat(SimulatedWorker& worker) const;
     void execute(SimulatedWorker& worker, const protocol::WorkerCommand& command);
 
-    // --- faults that a test brings about, each for a time from now on ---
+    // --- faults injected by a test; those with a `time` last that long from now on ---
 
     void hang(const std::string& id, Seconds time) { workers_.at(id).hungUntil = until(time); }
     void partition(const std::string& id, Seconds time) { workers_.at(id).partitionedUntil = until(time); }
@@ -86,20 +86,22 @@
     void breakOutboundLink(const std::string& id, Seconds time) {
         workers_.at(id).outboundLinkDownUntil = until(time);
     }
-    /// The machine is gone with its tasks.
+    /// The machine dies with its tasks.
     void kill(const std::string& id);
 
-    // --- what is true of them now ---
+    // --- current state ---
 
     const std::map<std::string, SimulatedWorker>& all() const { return workers_; }
     const SimulatedWorker& at(const std::string& id) const { return workers_.at(id); }
-    /// It runs and its lease, by its own clock, is not over: what it holds counts.
+    /// Whether the worker is up and its lease, by its own clock, has not expired. Only then do its tasks
+    /// count as running.
     bool holdsLease(const SimulatedWorker& worker) const;
-    /// The worker if it is up, neither hung nor partitioned; otherwise null.
+    /// The worker if it is up and neither hung nor partitioned; otherwise null.
     SimulatedWorker* findReachable(const std::string& id);
-    /// Workers with a task of the job that has not exited; of any job if `job` is empty.
+    /// The workers with a valid lease and a task of the job that has not exited; of any job if `job` is
+    /// empty.
     std::vector<std::string> workersWithTasks(const std::string& job) const;
-    /// All tasks that have not exited, in words.
+    /// Lists all tasks that have not exited, on workers with a valid lease.
     std::string describeRunningTasks() const;
 
   private:
@@ -109,27 +111,28 @@
 
     Time until(Seconds time) const { return environment_.now() + toClockDuration(time); }
     void stepWorker(SimulatedWorker& worker, double seconds);
-    /// What may befall a worker that is up: faults of its links, a restart, an interruption of its spot
-    /// machine.
+    /// Draws the random faults of a worker that is up: hangs, link failures, agent restarts and spot
+    /// interruptions.
     void drawFaults(SimulatedWorker& worker, double seconds);
     void restartAgent(SimulatedWorker& worker);
     void sendHeartbeat(SimulatedWorker& worker);
 
     void stepTask(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task);
-    void stepFetch(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task);
+    void finishFetch(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task);
     void stepGangWait(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task);
     void finishRun(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task);
-    static void exit(SimulatedWorker& worker, SimulatedTask& task, ExitReason reason);
-    /// How many tasks of the attempt's gang satisfy the condition, on workers that hold their lease.
-    std::size_t gangMembers(const Attempt& attempt,
-                            const std::function<bool(const SimulatedTask&)>& condition) const;
+    static void markExited(SimulatedWorker& worker, SimulatedTask& task, ExitReason reason);
+    /// Counts the tasks of the attempt's gang that satisfy the condition, on workers with a valid lease.
+    std::size_t countGangMembers(const Attempt& attempt,
+                                 const std::function<bool(const SimulatedTask&)>& condition) const;
     void start(SimulatedWorker& worker, const Attempt& attempt);
     void stop(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task, Seconds grace);
-    ExitReason refusalOf(const SimulatedWorker& worker, const Attempt& attempt) const;
+    /// Why the worker refuses to start the attempt; `none` if it does not.
+    ExitReason startRefusal(const SimulatedWorker& worker, const Attempt& attempt) const;
 
     Environment& environment_;
     std::map<std::string, SimulatedWorker> workers_;
-    std::uint64_t created_ = 0;
+    std::uint64_t createdCount_ = 0;
 };
 
 }  // namespace burlpoint::simulation
