--- a/tests/simulation/simulated_cluster.cpp
+++ b/tests/simulation/simulated_cluster.cpp
@@ -17,17 +17,17 @@
         return network_.sendHeartbeat(worker, heartbeat);
     };
     workers.hooks.taskPlaced = [this](const SimulatedWorker& worker, const protocol::Attempt& attempt) {
-        rules_.checkPlacement(worker, attempt);
+        invariantChecker_.checkPlacement(worker, attempt);
     };
     workers.hooks.resultAcknowledged = [this](const protocol::Attempt& attempt) {
-        rules_.checkAcknowledgement(attempt);
+        invariantChecker_.checkAcknowledgement(attempt);
     };
     workers.hooks.userActsAtJobEnd = [this](const std::string& job) { users.cancelQueryAndResubmit(job); };
     network_.hooks.heartbeatArrived = [this](const protocol::Heartbeat& heartbeat, std::uint64_t request) {
         leaders.receiveHeartbeat(heartbeat, request);
     };
     network_.hooks.commandSentInResponse = [this](const protocol::WorkerCommand& command) {
-        rules_.checkStartCommand(command, leaders.replica(), leaders.reachesStore());
+        invariantChecker_.checkStartCommand(command, leaders.replica(), leaders.reachesStore());
     };
 }
 
@@ -36,11 +36,11 @@
     while (environment.now() < end) {
         environment.events.advance(kTimeStep);
         step();
-        rules_.checkStoredRecords();
-        rules_.checkCancelledTasks();
+        invariantChecker_.checkStoredRecords();
+        invariantChecker_.checkCancelledTasks();
         if (!faultsEnded_ || environment.now() < nextWaitingCheck_) continue;
         nextWaitingCheck_ = environment.now() + kWaitingCheckInterval;
-        rules_.checkWaitingJobs([this](const std::string& job) { return explain(job); });
+        invariantChecker_.checkWaitingJobs([this](const std::string& job) { return explain(job); });
     }
 }
 
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -63,7 +63,7 @@
   private:
     void step();
 
-    RuleChecker rules_{environment, store, workers};
+    RuleChecker invariantChecker_{environment, store, workers};
     bool faultsEnded_ = false;
     Time nextWaitingCheck_{};
 };
