--- a/src/coordination/controller/cloud_inventory.cpp
+++ b/src/coordination/controller/cloud_response_handler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/controller/cloud_inventory.h"
+#include "coordination/controller/cloud_response_handler.h"
 
 #include <algorithm>
 #include <set>
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-CloudInventory::CloudInventory(const CloudInventoryContext& context) : context_(context) {}
+CloudResponseHandler::CloudResponseHandler(const CloudResponseHandlerContext& context) : context_(context) {}
 
-void CloudInventory::handle(const ScaleOutCompleted& event, Time now) {
+void CloudResponseHandler::handle(const ScaleOutCompleted& event, Time now) {
     const auto request =
         context_.autoscaler.scaleOutCompleted(event.name, event.outcome, event.machines.size(), now);
     if (!request) return;
@@ -30,7 +30,7 @@
     }
 }
 
-void CloudInventory::handle(const ScaleInCompleted& event, Time now) {
+void CloudResponseHandler::handle(const ScaleInCompleted& event, Time now) {
     context_.autoscaler.scaleInCompleted(event.outcome, now);
     if (event.outcome != ScaleInOutcome::deleted) return;
     for (const auto& id : event.machines) {
@@ -39,7 +39,7 @@
     }
 }
 
-void CloudInventory::handle(const MachinesListed& event, Time now) {
+void CloudResponseHandler::handle(const MachinesListed& event, Time now) {
     context_.autoscaler.machinesListed();
     if (!event.complete) return;
     std::set<std::string> listed;
@@ -53,7 +53,7 @@
 
 /// Updates the fleet from a machine in the cloud's list. The machine may be new to this leader: an earlier
 /// leader may have requested it, or a request whose outcome was unknown may have created it late.
-void CloudInventory::applyListedInstance(const CloudInstance& instance, Time now) {
+void CloudResponseHandler::applyListedInstance(const CloudInstance& instance, Time now) {
     if (context_.membership.isDeleted(instance.id)) return;
     const bool known = context_.fleet.find(instance.id) != nullptr;
     auto& machine =
@@ -69,7 +69,7 @@
     if (instance.state == MachineState::failed) machine.cloud.failed = true;
 }
 
-void CloudInventory::handle(const TypesListed& event) {
+void CloudResponseHandler::handle(const TypesListed& event) {
     if (event.types.empty()) return;
     bool changed = false;
     for (const auto& type : event.types) changed |= updateType(type);
@@ -80,7 +80,7 @@
 }
 
 /// Replaces the known machine type of that name. Returns true if the change is to be stored.
-bool CloudInventory::updateType(const protocol::MachineType& type) {
+bool CloudResponseHandler::updateType(const protocol::MachineType& type) {
     auto& known = context_.types[type.name];
     // Prices change all the time and are requested again from the cloud, so a change of price alone does not
     // justify a write to the key-value store.
--- a/src/coordination/controller/cloud_inventory.h
+++ b/src/coordination/controller/cloud_response_handler.h
@@ -18,7 +18,7 @@
 namespace burlpoint::coordination {
 
 /// The state that the handling of a cloud response reads and changes.
-struct CloudInventoryContext {
+struct CloudResponseHandlerContext {
     const bookkeeping::StateReplica& replica;
     bookkeeping::Fleet& fleet;
     bookkeeping::MachineTypes& types;
@@ -29,10 +29,10 @@
     JobQueue& jobQueue;
 };
 
-class CloudInventory {
+class CloudResponseHandler {
   public:
     /// All objects that the context refers to must outlive this object.
-    explicit CloudInventory(const CloudInventoryContext& context);
+    explicit CloudResponseHandler(const CloudResponseHandlerContext& context);
 
     void handle(const ScaleOutCompleted& event, Time now);
     void handle(const ScaleInCompleted& event, Time now);
@@ -43,7 +43,7 @@
     void applyListedInstance(const protocol::CloudInstance& instance, Time now);
     bool updateType(const protocol::MachineType& type);
 
-    const CloudInventoryContext context_;
+    const CloudResponseHandlerContext context_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/heartbeat_intake.cpp
+++ b/src/coordination/controller/heartbeat_handler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/controller/heartbeat_intake.h"
+#include "coordination/controller/heartbeat_handler.h"
 
 #include <utility>
 
@@ -16,26 +16,26 @@
 
 }  // namespace
 
-HeartbeatIntake::HeartbeatIntake(const HeartbeatIntakeContext& context) : context_(context) {}
+HeartbeatHandler::HeartbeatHandler(const HeartbeatHandlerContext& context) : context_(context) {}
 
-bool HeartbeatIntake::hasOlderToken(const Heartbeat& heartbeat) const {
+bool HeartbeatHandler::hasOlderToken(const Heartbeat& heartbeat) const {
     return heartbeat.fencingToken < context_.fencingToken;
 }
 
-bool HeartbeatIntake::hasNewerToken(const Heartbeat& heartbeat) const {
+bool HeartbeatHandler::hasNewerToken(const Heartbeat& heartbeat) const {
     return heartbeat.fencingToken > context_.fencingToken;
 }
 
-void HeartbeatIntake::accept(const HeartbeatReceived& event, std::vector<protocol::WorkerCommand> commands) {
+void HeartbeatHandler::accept(const HeartbeatReceived& event, std::vector<protocol::WorkerCommand> commands) {
     context_.actions.emplace_back(
         AnswerHeartbeat{event.request, HeartbeatVerdict::accepted, std::move(commands)});
 }
 
-void HeartbeatIntake::refuse(const HeartbeatReceived& event) {
+void HeartbeatHandler::refuse(const HeartbeatReceived& event) {
     context_.actions.emplace_back(AnswerHeartbeat{event.request, HeartbeatVerdict::refused, {}});
 }
 
-void HeartbeatIntake::handle(const HeartbeatReceived& event, Time now) {
+void HeartbeatHandler::handle(const HeartbeatReceived& event, Time now) {
     const Heartbeat& heartbeat = event.heartbeat;
     if (hasNewerToken(heartbeat)) {
         // A higher fencing token proves that another controller has become leader, whoever reports it.
@@ -57,8 +57,8 @@
 }
 
 /// Handles a heartbeat that is newer than all previous messages of its machine.
-void HeartbeatIntake::applyNewest(Machine& machine, const HeartbeatReceived& event, bool wasMember,
-                                  Time now) {
+void HeartbeatHandler::applyNewest(Machine& machine, const HeartbeatReceived& event, bool wasMember,
+                                   Time now) {
     machine.agent.staleHeartbeats = 0;
     machine.lease.lastHeartbeat = now;
     context_.failureDetector.noteHeartbeat(now);
@@ -75,7 +75,7 @@
 
 /// Handles a heartbeat that is not newer than the machine's newest message: a delayed duplicate, or one that
 /// was overtaken by the response to a direct command.
-void HeartbeatIntake::handleStale(Machine& machine, const HeartbeatReceived& event) {
+void HeartbeatHandler::handleStale(Machine& machine, const HeartbeatReceived& event) {
     // A stale heartbeat with an older fencing token may come from a worker that has restarted its message
     // counters. An accepting response would carry this leader's token to that worker unnoticed.
     if (machine.lease.active && !hasOlderToken(event.heartbeat)) {
@@ -89,7 +89,7 @@
         context_.directCommands.probe(machine);
 }
 
-void HeartbeatIntake::handle(const CommandsAnswered& event, Time now) {
+void HeartbeatHandler::handle(const CommandsAnswered& event, Time now) {
     auto* machine = context_.fleet.find(event.machine);
     if (!machine) return;
     machine->agent.probing = false;
@@ -109,7 +109,7 @@
 }
 
 /// Handles a trusted response to direct commands, which shows that the worker is reachable.
-void HeartbeatIntake::applyAnswer(Machine& machine, const Heartbeat& heartbeat, Time now) {
+void HeartbeatHandler::applyAnswer(Machine& machine, const Heartbeat& heartbeat, Time now) {
     machine.agent.probedAt = now;
     machine.agent.unreachableSince.reset();
     machine.agent.undeliveredResponses = 0;
--- a/src/coordination/controller/heartbeat_intake.h
+++ b/src/coordination/controller/heartbeat_handler.h
@@ -24,7 +24,7 @@
 namespace burlpoint::coordination {
 
 /// The state that the handling of a message reads and changes.
-struct HeartbeatIntakeContext {
+struct HeartbeatHandlerContext {
     std::uint64_t fencingToken;  // of the current leadership
     bookkeeping::Fleet& fleet;
     FleetMembership& membership;
@@ -38,10 +38,10 @@
     std::vector<Action>& actions;  // resulting actions are appended here
 };
 
-class HeartbeatIntake {
+class HeartbeatHandler {
   public:
     /// All objects that the context refers to must outlive this object.
-    explicit HeartbeatIntake(const HeartbeatIntakeContext& context);
+    explicit HeartbeatHandler(const HeartbeatHandlerContext& context);
 
     /// Handles a heartbeat and appends the response to the actions.
     void handle(const HeartbeatReceived& event, Time now);
@@ -58,7 +58,7 @@
     bool hasOlderToken(const protocol::Heartbeat& heartbeat) const;
     bool hasNewerToken(const protocol::Heartbeat& heartbeat) const;
 
-    const HeartbeatIntakeContext context_;
+    const HeartbeatHandlerContext context_;
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/job_changes.cpp
+++ b/src/coordination/controller/job_change_handler.cpp
@@ -1,18 +1,18 @@
-#include "coordination/controller/job_changes.h"
+#include "coordination/controller/job_change_handler.h"
 
 namespace burlpoint::coordination {
 
 using storage::TerminalState;
 
-JobChanges::JobChanges(bookkeeping::StateReplica& replica, JobQueue& jobQueue, JobActivator& activator,
-                       StateWriter& writer, TaskTerminator& terminator)
+JobChangeHandler::JobChangeHandler(bookkeeping::StateReplica& replica, JobQueue& jobQueue,
+                                   JobActivator& activator, StateWriter& writer, TaskTerminator& terminator)
     : replica_(replica),
       jobQueue_(jobQueue),
       activator_(activator),
       writer_(writer),
       terminator_(terminator) {}
 
-void JobChanges::inheritAll(Time now) {
+void JobChangeHandler::inheritAll(Time now) {
     for (const auto& [id, job] : replica_.jobs()) {
         job->run.reset();
         if (job->terminalState == TerminalState::none && job->ready())
@@ -20,17 +20,17 @@
     }
 }
 
-void JobChanges::apply(const std::vector<std::string>& ids, Time now) {
+void JobChangeHandler::apply(const std::vector<std::string>& ids, Time now) {
     for (const auto& id : ids)
         if (auto* job = replica_.find(id)) apply(*job, now);
 }
 
-void JobChanges::apply(const std::vector<bookkeeping::Change>& changes, Time now) {
+void JobChangeHandler::apply(const std::vector<bookkeeping::Change>& changes, Time now) {
     for (const auto& change : changes)
         if (auto* job = replica_.find(change.id)) apply(*job, now);
 }
 
-void JobChanges::apply(bookkeeping::Job& job, Time now) {
+void JobChangeHandler::apply(bookkeeping::Job& job, Time now) {
     jobQueue_.markStale();
     if (job.terminalState == TerminalState::none) {
         // A job that has waited for its dependencies until now has no tasks on machines: had an earlier
--- a/src/coordination/controller/job_changes.h
+++ b/src/coordination/controller/job_change_handler.h
@@ -16,11 +16,11 @@
 
 namespace burlpoint::coordination {
 
-class JobChanges {
+class JobChangeHandler {
   public:
     /// All arguments are kept by reference and must outlive this object.
-    JobChanges(bookkeeping::StateReplica& replica, JobQueue& jobQueue, JobActivator& activator,
-               StateWriter& writer, TaskTerminator& terminator);
+    JobChangeHandler(bookkeeping::StateReplica& replica, JobQueue& jobQueue, JobActivator& activator,
+                     StateWriter& writer, TaskTerminator& terminator);
 
     /// Begins the runs of all jobs that were ready before this leadership began. Runs of an earlier
     /// leadership are discarded.
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -55,13 +55,14 @@
       directCommands_(fleet_, terminator_, actions_),
       inputs_({replica, fleet_, wallClock_, jobQueue_, pacing_, accelerators_}),
       heartbeatCommands_(replica, inputs_, scheduler_),
-      heartbeatIntake_({fencingToken, fleet_, membership_, leases_, failureDetector_, reconciler_, registry_,
-                        terminator_, heartbeatCommands_, directCommands_, actions_}),
+      heartbeatHandler_({fencingToken, fleet_, membership_, leases_, failureDetector_, reconciler_, registry_,
+                         terminator_, heartbeatCommands_, directCommands_, actions_}),
       healthCheck_(failureDetector_, registry_, completion_, directCommands_, actions_),
-      jobChanges_(replica, jobQueue_, activator_, writer_, terminator_),
-      cloudInventory_({replica, fleet_, types_, membership_, registry_, writer_, autoscaler_, jobQueue_}) {
+      jobChangeHandler_(replica, jobQueue_, activator_, writer_, terminator_),
+      cloudResponseHandler_(
+          {replica, fleet_, types_, membership_, registry_, writer_, autoscaler_, jobQueue_}) {
     for (const auto& type : replica.types) types_[type.name] = type;
-    jobChanges_.inheritAll(now);
+    jobChangeHandler_.inheritAll(now);
     inheritMachines();
 }
 
@@ -97,20 +98,20 @@
 
 // --- workers ----------------------------------------------------------------------------------------------
 
-void Leader::on(const HeartbeatReceived& event) { heartbeatIntake_.handle(event, now_); }
+void Leader::on(const HeartbeatReceived& event) { heartbeatHandler_.handle(event, now_); }
 
-void Leader::on(const CommandsAnswered& event) { heartbeatIntake_.handle(event, now_); }
+void Leader::on(const CommandsAnswered& event) { heartbeatHandler_.handle(event, now_); }
 
 // --- jobs and the key-value store -------------------------------------------------------------------------
 
-void Leader::on(const JobsChanged& event) { jobChanges_.apply(event.ids, now_); }
+void Leader::on(const JobsChanged& event) { jobChangeHandler_.apply(event.ids, now_); }
 
 void Leader::on(const StateWritten& event) {
     const auto outcome = writer_.handle(event, now_);
     for (auto* job : outcome.ended) jobQueue_.remove(*job);
     // Jobs that depend on the ended ones may start only now: until the end was stored, a concurrent
     // cancellation could still have taken precedence.
-    jobChanges_.apply(outcome.changes, now_);
+    jobChangeHandler_.apply(outcome.changes, now_);
     switch (outcome.followUp) {
         case StateWriter::FollowUp::none:
             break;
@@ -134,13 +135,13 @@
 
 // --- the cloud provider -----------------------------------------------------------------------------------
 
-void Leader::on(const ScaleOutCompleted& event) { cloudInventory_.handle(event, now_); }
+void Leader::on(const ScaleOutCompleted& event) { cloudResponseHandler_.handle(event, now_); }
 
-void Leader::on(const ScaleInCompleted& event) { cloudInventory_.handle(event, now_); }
+void Leader::on(const ScaleInCompleted& event) { cloudResponseHandler_.handle(event, now_); }
 
-void Leader::on(const MachinesListed& event) { cloudInventory_.handle(event, now_); }
+void Leader::on(const MachinesListed& event) { cloudResponseHandler_.handle(event, now_); }
 
-void Leader::on(const TypesListed& event) { cloudInventory_.handle(event); }
+void Leader::on(const TypesListed& event) { cloudResponseHandler_.handle(event); }
 
 // --- periodic work ----------------------------------------------------------------------------------------
 
--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -16,13 +16,13 @@
 #include "bookkeeping/machine_types.h"
 #include "bookkeeping/state_replica.h"
 #include "coordination/autoscaling/autoscaler.h"
-#include "coordination/controller/cloud_inventory.h"
+#include "coordination/controller/cloud_response_handler.h"
 #include "coordination/controller/direct_commands.h"
 #include "coordination/controller/fleet_health_check.h"
 #include "coordination/controller/fleet_membership.h"
 #include "coordination/controller/heartbeat_commands.h"
-#include "coordination/controller/heartbeat_intake.h"
-#include "coordination/controller/job_changes.h"
+#include "coordination/controller/heartbeat_handler.h"
+#include "coordination/controller/job_change_handler.h"
 #include "coordination/controller/leader_actions.h"
 #include "coordination/controller/leader_events.h"
 #include "coordination/controller/scheduling_inputs.h"
@@ -131,10 +131,10 @@
     DirectCommands directCommands_;
     SchedulingInputs inputs_;
     HeartbeatCommands heartbeatCommands_;
-    HeartbeatIntake heartbeatIntake_;
+    HeartbeatHandler heartbeatHandler_;
     FleetHealthCheck healthCheck_;
-    JobChanges jobChanges_;
-    CloudInventory cloudInventory_;
+    JobChangeHandler jobChangeHandler_;
+    CloudResponseHandler cloudResponseHandler_;
 
     Time nextPreemption_{};
     Time nextAutoscaling_{};
--- a/tests/controller/action_executor_test.cpp
+++ b/tests/controller/action_executor_test.cpp
@@ -168,7 +168,7 @@
               coordination::InstanceRequestOutcome::unknown);
 }
 
-TEST_F(ActionExecutorTest, NotEntitledThenWorkersAndCloudAreNotReached) {
+TEST_F(ActionExecutorTest, LeaderLeaseNotValidThenWorkersAndCloudAreNotContacted) {
     executor.begin(7);  // without having won the election
     int status = 0;
     const auto request =
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -260,7 +260,7 @@
 
 // Cancellations that do not fit into one message are sent in parts, and only the last part carries the vote.
 // A position in the log of another process is not valid, so the list then starts from the beginning.
-TEST_F(ControllerTest, PeerWithMoreCancellationsToTellThenDoesNotVoteYet) {
+TEST_F(ControllerTest, PeerWithUnsentCancellationsThenDoesNotVote) {
     std::uint64_t middleRevision = 0;
     for (int i = 0; i < 1200; ++i) {
         const auto revision = storeJob(makeJob("wk-" + std::to_string(i)), storage::TerminalState::cancelled);
--- a/tests/controller/heartbeat_forwarder_test.cpp
+++ b/tests/controller/heartbeat_forwarder_test.cpp
@@ -87,7 +87,7 @@
     EXPECT_EQ(forwarded.size(), 2u);
 }
 
-TEST_F(HeartbeatForwarderTest, LeaderDoesNotAnswerThenRedirectNamesNobody) {
+TEST_F(HeartbeatForwarderTest, LeaderDoesNotAnswerThenRedirectNamesNoController) {
     receiveStatus("two", 7);
     leaderStatus = 503;
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "");
@@ -148,7 +148,7 @@
     EXPECT_TRUE(forwarded.empty());
 }
 
-TEST_F(HeartbeatForwarderTest, DropObsoleteThenOnlyAbsentWorkersAreForgotten) {
+TEST_F(HeartbeatForwarderTest, DropObsoleteThenOnlyHistoryOfAbsentWorkersIsDropped) {
     receiveStatus("two", 7);
     EXPECT_EQ(answer(heartbeat("m1")).status, 200);
     forwarder.dropObsolete(now + 1s);
@@ -159,7 +159,7 @@
 
 // Guards against workers that are partitioned from the leader's zone losing their leases although another
 // controller can reach both them and the leader.
-TEST(ForwardDecider, WorkerReturnsFromLeaderThenHeartbeatsAreForwardedForAWhile) {
+TEST(ForwardDecider, WorkerReturnsAfterRedirectThenHeartbeatsAreForwardedForAPeriod) {
     using Decision = coordination::ForwardDecider::Decision;
     coordination::ForwardDecider decider;
     Time now{1000s};
--- a/tests/controller/large_fleet_test.cpp
+++ b/tests/controller/large_fleet_test.cpp
@@ -178,7 +178,7 @@
 
 }  // namespace
 
-TEST(LargeFleet, TenTimesTheMachinesThenAHeartbeatCostsNoMore) {
+TEST(LargeFleet, TenfoldFleetThenHeartbeatCostDoesNotGrow) {
     const auto few = simulateFleet(kSmallFleet);
     const auto many = simulateFleet(kLargeFleet);
     EXPECT_LT(many, few * 1.5 + 20);
--- a/tests/controller/leader_messages_test.cpp
+++ b/tests/controller/leader_messages_test.cpp
@@ -13,7 +13,7 @@
 
 // The response to a direct command may be created before a start command, sent in a heartbeat response,
 // reaches the worker. A task missing in it may thus still start; one missing in a newer heartbeat may not.
-TEST(Leader, StartMissingInHeartbeatThenSettledOnlyIfHeartbeatIsNewer) {
+TEST(Leader, StartMissingInDirectResponseThenCountsAsLostOnlyAfterHeartbeat) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -27,7 +27,7 @@
               Names{"wk-1/0"});  // the newer heartbeat lacks the task, so the start command was lost
 }
 
-TEST(Leader, RegisteredMachineNotHeardThenBlocksOnlyTasksItMayHold) {
+TEST(Leader, RegisteredMachineSilentThenBlocksOnlyTasksItMayHold) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2", "gpu");
@@ -126,7 +126,7 @@
 
 // A delayed duplicate of a heartbeat is out of date: it must not renew the lease, and a task that it does not
 // list must not count as ended.
-TEST(Leader, LateCopyOfHeartbeatThenRenewsNoLeaseAndSettlesNothing) {
+TEST(Leader, DelayedDuplicateOfHeartbeatThenRenewsNoLeaseAndEndsNoTask) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -154,7 +154,7 @@
 }
 
 // A delayed message of a deleted machine must not add the machine to the fleet again.
-TEST(Leader, LateCopyFromDeletedMachineThenMachineStaysDeleted) {
+TEST(Leader, DelayedHeartbeatFromDeletedMachineThenMachineStaysDeleted) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.startLeader();
@@ -187,7 +187,7 @@
 // The same one-way failure after a failover: every heartbeat shows the old fencing token, so no response of
 // this leader has renewed the lease. The machine's tasks may start elsewhere once the lease granted by the
 // earlier leader has expired.
-TEST(Leader, MachineNeverTakesTokenThenItsTasksStartElsewhereAfterLease) {
+TEST(Leader, MachineNeverAcknowledgesTokenThenItsTasksStartElsewhereAfterLease) {
     LeaderHarness harness;
     harness.registerMachine("m1");
     harness.registerMachine("m2");
@@ -267,7 +267,7 @@
 // All registered machines have failed. A leader that receives no heartbeats resigns before the leases expire,
 // as a peer may be able to reach the workers. Guards against endless resignations in turn, during which no
 // machines were requested.
-TEST(Leader, NoLeaderHearsAnyMachineThenOneStaysUntilLeasesExpireAndScalesOut) {
+TEST(Leader, NoLeaderReceivesHeartbeatsThenOneStaysUntilLeasesExpireAndScalesOut) {
     LeaderHarness harness;
     harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
     for (const char* id : {"m1", "m2", "m3", "m4"}) harness.registerMachine(id);
@@ -293,7 +293,7 @@
 
 // A leader without workers keeps the leadership only if it never received a heartbeat, and only for a limited
 // time, as its own network may have failed.
-TEST(Leader, LeaderStaysWithoutWorkersThenResignsInTheEnd) {
+TEST(Leader, LeaderStaysWithoutWorkersThenEventuallyResigns) {
     for (const bool heard : {false, true}) {
         LeaderHarness harness;
         harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
--- a/tests/controller/leader_placement_test.cpp
+++ b/tests/controller/leader_placement_test.cpp
@@ -28,7 +28,7 @@
 
 // Guards against service replicas that start at once on machines without their image, and so run late because
 // of the fetch.
-TEST(Leader, ShortWaitTargetThenStartsWhereImageIsCached) {
+TEST(Leader, ShortWaitObjectiveThenStartsWhereImageIsCached) {
     LeaderHarness harness;
     harness.settings.objectives = {{"wait", "service", Seconds(3), 0.9}};
     harness.registerMachine("m1");
@@ -115,7 +115,7 @@
 
 // A machine on which tasks of different jobs fail is excluded from placement. A job whose tasks fail on
 // several machines does not count as a fault of these machines.
-TEST(Leader, TasksFailThenFaultyMachinesAndFaultyJobsAreToldApart) {
+TEST(Leader, TasksFailThenFaultyMachinesAndFaultyJobsAreDistinguished) {
     LeaderHarness harness;
     for (const char* id : {"m1", "m2", "m3", "m4", "m5"}) harness.registerMachine(id);
     harness.startLeader();
--- a/tests/controller/leader_waiting_test.cpp
+++ b/tests/controller/leader_waiting_test.cpp
@@ -49,7 +49,7 @@
 
 // Guards against starvation under sustained overload: small jobs with deadlines must not keep a large job
 // from starting.
-TEST(Leader, LastingOverloadThenEveryJobStartsInTheEnd) {
+TEST(Leader, SustainedOverloadThenLargeJobEventuallyStarts) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3"};
     for (const auto& id : machines) harness.registerMachine(id);
@@ -132,7 +132,7 @@
 
 // Guards against starvation of a large gang whose machines are given to smaller gangs whenever they become
 // free.
-TEST(Leader, SmallerGangsCompeteThenLargeGangStartsInTheEnd) {
+TEST(Leader, SmallerGangsCompeteThenLargeGangEventuallyStarts) {
     LeaderHarness harness;
     const std::vector<std::string> machines{"m1", "m2", "m3", "m4"};
     for (const auto& id : machines) harness.registerMachine(id, "gpu");
@@ -240,7 +240,7 @@
 }  // namespace
 
 // Whatever the reason to keep capacity free, no job waits for 90 s while there is free capacity that fits it.
-TEST(Leader, JobConstrainedToAcceleratorMachinesThenStartsInTheEnd) {
+TEST(Leader, JobConstrainedToAcceleratorMachinesThenEventuallyStarts) {
     for (const bool needed : {false, true}) {
         LeaderHarness harness;
         harness.registerMachine("m1", "gpu");
@@ -319,7 +319,7 @@
     EXPECT_LT(secondsUntilStartWhileOthersRun(harness, "wk-1", {{"m1", {}}}), 80);
 }
 
-TEST(Leader, ZoneReservedForGangThenOtherJobsStartThereInTheEnd) {
+TEST(Leader, ZoneReservedForGangThenOtherJobsEventuallyStartThere) {
     LeaderHarness harness;
     harness.settings.zones = {"z"};
     std::map<std::string, std::vector<TaskStatus>> machines;
