--- a/src/bookkeeping/state_replica.cpp
+++ b/src/bookkeeping/state_replica.cpp
@@ -18,9 +18,9 @@
             applyToken(change);
         else if (key == keys::kTypes)
             applyTypes(change, changes);
-        else if (key.starts_with(keys::kMachines))
+        else if (key.starts_with(keys::kMachinePrefix))
             applyMachine(change, changes);
-        else if (key.starts_with(keys::kJobs))
+        else if (key.starts_with(keys::kJobPrefix))
             applyJobKey(change, changes);
     } catch (const protocol::MalformedMessage&) {
         return false;
@@ -49,7 +49,7 @@
 }
 
 void StateReplica::applyMachine(const protocol::KeyChange& change, std::vector<Change>& changes) {
-    const auto id = change.key.substr(sizeof keys::kMachines - 1);
+    const auto id = change.key.substr(sizeof keys::kMachinePrefix - 1);
     if (isOutdated(id, change)) return;
     if (change.value)
         registeredMachines[id] = {storage::decodeMachine(*change.value), change.version};
@@ -71,7 +71,7 @@
 /// deleted, and values of the bitmap only after the job has ended.
 void StateReplica::applyJobKey(const protocol::KeyChange& change, std::vector<Change>& changes) {
     if (!change.value) return;
-    const auto rest = change.key.substr(sizeof keys::kJobs - 1);
+    const auto rest = change.key.substr(sizeof keys::kJobPrefix - 1);
     const auto slash = rest.find('/');
     const auto id = rest.substr(0, slash);
     if (slash == std::string::npos) {
--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -78,7 +78,7 @@
         case TransactionStatus::tooLarge:  // the store's limit is lower than configured
             queries_.replyAfterRead(id, rejected(RejectionReason::recordTooLarge), submission.reply);
             break;
-        case TransactionStatus::tooMany:
+        case TransactionStatus::rateLimited:
             queue_.noteRateLimited(Clock::now());
             return retryOrGiveUp(submission);
         case TransactionStatus::refused:
--- a/src/coordination/controller/fleet_membership.cpp
+++ b/src/coordination/controller/fleet_membership.cpp
@@ -27,7 +27,7 @@
     const auto id = machine.id;
     tombstones_.add(machine);
     completion_.endAll(machine, now);
-    registry_.forget(machine);
+    registry_.scheduleRemoval(machine);
     fleet_.erase(id);
     jobQueue_.markStale();
 }
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -119,7 +119,7 @@
 void Election::startAttempt(Time now) {
     role_ = Role::candidate;
     const auto round = ++round_;
-    state_.makeLease(leaseDuration_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
+    state_.createLease(leaseDuration_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
         if (round != round_) return;
         if (status != LeaseStatus::active) return failAttempt(0);
         acquireLeaderKey(lease, sent);
@@ -173,7 +173,7 @@
 }
 
 void Election::failAttempt(std::uint64_t lease) {
-    if (lease) state_.endLease(lease);
+    if (lease) state_.revokeLease(lease);
     ++round_;
     earliestAttempt_ = Clock::now() + kAttemptBackoff + randomUpTo(kAttemptBackoff);
     // Only a read shows who won, or whether the transaction of this attempt was executed despite an error.
@@ -203,7 +203,7 @@
 
 void Election::resign(Time now, Resignation resignation) {
     if (!leading()) return;
-    state_.endLease(lease_);
+    state_.revokeLease(lease_);
     stopLeading();
     if (resignation == Resignation::deferToPeers) earliestAttempt_ = now + kDeferralTime;
 }
--- a/src/coordination/state/machine_registry.cpp
+++ b/src/coordination/state/machine_registry.cpp
@@ -50,7 +50,7 @@
             ensureEntry(*machine);
 }
 
-void MachineRegistry::forget(const Machine& machine) {
+void MachineRegistry::scheduleRemoval(const Machine& machine) {
     if (machine.registry.state != RegistrationState::absent) removals_.insert(machine.id);
     additions_.erase(machine.id);
 }
--- a/src/coordination/state/machine_registry.h
+++ b/src/coordination/state/machine_registry.h
@@ -39,7 +39,7 @@
     void ensureEntriesOfMachinesWithHeartbeat();
     /// Schedules the deletion of the entry, if there may be one, of a machine that is about to leave the
     /// fleet.
-    void forget(const bookkeeping::Machine& machine);
+    void scheduleRemoval(const bookkeeping::Machine& machine);
     /// Schedules the deletion of all stored entries whose machines are not in the fleet, for example an entry
     /// that was written after its machine had left.
     void removeEntriesWithoutMachine();
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -51,7 +51,7 @@
             limits_.shrink(transaction, now);
             PendingWrites::retryBitmaps(transaction, now);
             return {};
-        case TransactionStatus::tooMany:
+        case TransactionStatus::rateLimited:
             pacing_.noteRateLimited(now);
             return {};
         case TransactionStatus::refused:
@@ -60,7 +60,7 @@
         case TransactionStatus::conflict:
             if (tokenRaised(result)) return {FollowUp::resign, {}, {}};
             break;
-        case TransactionStatus::noLease:
+        case TransactionStatus::leaseExpired:
         case TransactionStatus::unknown:
             break;
     }
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -31,7 +31,7 @@
 void WritePacing::noteRejected(Time now) { nextWrite_ = now + kPauseAfterRejection; }
 
 void WritePacing::noteRateLimited(Time now) {
-    writeBudget_.recordRefusal(now);
+    writeBudget_.recordRejection(now);
     noteRejected(now);
 }
 
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -88,13 +88,13 @@
             spdlog::info(
                 "key-value store rejected writes over its rate limit, reducing the write rate writes={}",
                 writes);
-        return TransactionStatus::tooMany;
+        return TransactionStatus::rateLimited;
     }
     if (response.status != http_status::kBadRequest) return TransactionStatus::refused;
     // The store always reports an expired lease as the reason, so any other 400, also one without a reason,
     // means that the transaction is too large.
     const auto reason = protocol::decodeErrorReply(response.body);
-    if (protocol::isNoSuchLease(reason)) return TransactionStatus::noLease;
+    if (protocol::isNoSuchLease(reason)) return TransactionStatus::leaseExpired;
     if (!std::exchange(loggedSizeLimit_, true))
         spdlog::error(
             "key-value store rejected a transaction over its size limit writes={} bytes={} reason={}", writes,
@@ -133,7 +133,7 @@
     read(ReadKind::watch, paths::watch(prefix, after, wait), timeout, std::move(done));
 }
 
-void KeyValueClient::makeLease(Duration life, LeaseCallback done) {
+void KeyValueClient::createLease(Duration life, LeaseCallback done) {
     send("POST", paths::kLeases, protocol::encodeLease(life), kLeaseTimeout,
          [done = std::move(done)](const HttpResult& response) {
              std::optional<std::uint64_t> lease;
@@ -155,7 +155,7 @@
          });
 }
 
-void KeyValueClient::endLease(std::uint64_t lease) {
+void KeyValueClient::revokeLease(std::uint64_t lease) {
     requestBudget_.takeUnconditionally(1, Clock::now());
     http_.request(address_, "DELETE", paths::lease(lease), "", kLeaseTimeout, [](const HttpResult&) {});
 }
--- a/src/storage/key_value_client.h
+++ b/src/storage/key_value_client.h
@@ -23,12 +23,12 @@
 /// applied and will not be.
 enum class TransactionStatus {
     applied,
-    conflict,  ///< not applied: a key did not have the version that its condition requires
-    refused,   ///< not applied: the store is temporarily unavailable
-    tooMany,   ///< not applied: the writes exceed the store's rate limit
-    tooLarge,  ///< not applied: a value or the whole transaction exceeds the store's size limit
-    noLease,   ///< not applied: a lease that a write is attached to has expired
-    unknown    ///< may have been applied, or may still be: there was no answer, or a malformed one
+    conflict,      ///< not applied: a key did not have the version that its condition requires
+    refused,       ///< not applied: the store is temporarily unavailable
+    rateLimited,   ///< not applied: the writes exceed the store's rate limit
+    tooLarge,      ///< not applied: a value or the whole transaction exceeds the store's size limit
+    leaseExpired,  ///< not applied: a lease that a write is attached to has expired
+    unknown        ///< may have been applied, or may still be: there was no answer, or a malformed one
 };
 
 struct TransactionResult {
@@ -76,11 +76,11 @@
     void watch(const std::string& prefix, std::uint64_t after, Duration wait, Duration timeout,
                PageCallback done);
     /// Creates a lease that expires `life` after it was created or last extended.
-    void makeLease(Duration life, LeaseCallback done);
+    void createLease(Duration life, LeaseCallback done);
     void extendLease(std::uint64_t lease, LeaseCallback done);
     /// Revokes a lease, which deletes the keys attached to it. The answer is ignored: if the request fails,
     /// the lease expires by itself.
-    void endLease(std::uint64_t lease);
+    void revokeLease(std::uint64_t lease);
 
     /// The rate limit for all requests. Every request takes a token unconditionally; callers that can wait
     /// check for available tokens first.
--- a/src/storage/keys.cpp
+++ b/src/storage/keys.cpp
@@ -2,16 +2,16 @@
 
 namespace burlpoint::storage::keys {
 
-std::string job(const std::string& id) { return kJobs + id; }
+std::string job(const std::string& id) { return kJobPrefix + id; }
 
 std::string doneChunk(const std::string& id, std::size_t chunk) {
-    return kJobs + id + "/" + std::to_string(chunk);
+    return kJobPrefix + id + "/" + std::to_string(chunk);
 }
 
 std::string donePart(const std::string& id, std::size_t first, std::size_t end) {
     return doneChunk(id, first).append("-").append(std::to_string(end));
 }
 
-std::string machine(const std::string& id) { return kMachines + id; }
+std::string machine(const std::string& id) { return kMachinePrefix + id; }
 
 }  // namespace burlpoint::storage::keys
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -10,12 +10,12 @@
 /// chunks of the same job.
 namespace burlpoint::storage::keys {
 
-inline constexpr char kRootPrefix[] = "bp/";        ///< the prefix of all keys
-inline constexpr char kLeader[] = "bp/leader";      ///< `LeaderRecord`; attached to the leader's lease
-inline constexpr char kToken[] = "bp/token";        ///< the highest fencing token used so far
-inline constexpr char kTypes[] = "bp/types";        ///< the machine types that the cloud offers
-inline constexpr char kJobs[] = "bp/job/";          ///< the prefix of job records and bitmaps
-inline constexpr char kMachines[] = "bp/machine/";  ///< the prefix of machine records
+inline constexpr char kRootPrefix[] = "bp/";             ///< the prefix of all keys
+inline constexpr char kLeader[] = "bp/leader";           ///< `LeaderRecord`; attached to the leader's lease
+inline constexpr char kToken[] = "bp/token";             ///< the highest fencing token used so far
+inline constexpr char kTypes[] = "bp/types";             ///< the machine types that the cloud offers
+inline constexpr char kJobPrefix[] = "bp/job/";          ///< the prefix of job records and bitmaps
+inline constexpr char kMachinePrefix[] = "bp/machine/";  ///< the prefix of machine records
 
 /// The `JobRecord` of a job.
 std::string job(const std::string& id);
--- a/src/storage/token_bucket.cpp
+++ b/src/storage/token_bucket.cpp
@@ -30,7 +30,7 @@
     refilledAt_ = now;
 }
 
-void TokenBucket::recordRefusal(Time now) {
+void TokenBucket::recordRejection(Time now) {
     refill(now);
     tokens_ = std::min(tokens_, 0.0);  // the service's own bucket is empty
     if (loweredAt_ && now - *loweredAt_ < kRejectionWindow) return;
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -35,7 +35,7 @@
     /// later requests wait longer.
     void takeUnconditionally(double tokens, Time now) { refill(now), tokens_ -= tokens; }
     /// Lowers the rate and empties the bucket after the service rejected a request because of its rate limit.
-    void recordRefusal(Time now);
+    void recordRejection(Time now);
 
     /// Returns the available tokens, which may be negative after takeUnconditionally().
     double available(Time now) { return refill(now), tokens_; }
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -102,9 +102,9 @@
 TEST_F(UserApiTest, ResubmissionAfterUnansweredWriteFindsTheJob) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
-    stub.swallowWrites = true;
+    stub.dropWriteResponses = true;
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 503);
-    stub.swallowWrites = false;
+    stub.dropWriteResponses = false;
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 200);
 }
 
@@ -191,7 +191,7 @@
     record.terminalState = storage::TerminalState::done;
     std::vector<std::string> failed;
     stub.store.transact({}, {{storage::keys::job("wk-9"), storage::encodeJob(record), 0}}, failed);
-    stub.wake();
+    stub.answerWatches();
     EXPECT_EQ(b.ask("POST", "/submissions/wk-9/cancel").status, 200);
     EXPECT_EQ(b.bearing("wk-9"), "done");
     EXPECT_EQ(b.bearing("wk-4"), "pending");
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -124,8 +124,8 @@
     while (heartbeat(two).status != 200) runFor(50ms);  // two has read the leader's record
     separateStub.outage = true;
     first.reset();
-    stub.store.endLease(stub.store.values.at(storage::keys::kLeader).lease);
-    stub.wake();
+    stub.store.revokeLease(stub.store.values.at(storage::keys::kLeader).lease);
+    stub.answerWatches();
     while (heartbeat(three).status != 200) runFor(50ms);
     // The new leader sends a status message within a second, far less than the duration of these rounds.
     constexpr int kRounds = 400;
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -43,7 +43,7 @@
     ServiceController a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto old = a.replica.tokenVersion;
-    stub.store.endLease(stub.store.leases.begin()->first);
+    stub.store.revokeLease(stub.store.leases.begin()->first);
     while (a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
@@ -56,14 +56,14 @@
 TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
     ServiceController a(io, stub);
     a.until([&] { return a.watcher.synced(); });
-    stub.holdLeases = true;
+    stub.holdLeaseResponses = true;
     while (stub.store.leases.empty()) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
     stub.store.transact({},
                         {{storage::keys::kLeader, storage::encodeLeader({"two", 1}), 0},
                          {storage::keys::kToken, storage::encodeToken(1), 0}},
                         failed);
-    stub.wake();
+    stub.answerWatches();
     a.until([&] { return a.replica.leader.has_value(); });
     stub.release();
     for (int i = 0; i < 200; ++i) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -83,7 +83,7 @@
                         {{storage::keys::kLeader, storage::encodeLeader({"two", 9}), 0},
                          {storage::keys::kToken, storage::encodeToken(9), 0}},
                         failed);
-    stub.wake();
+    stub.answerWatches();
     a.until([&] { return a.replica.fencingToken == 9; });
     a.election.tick(Clock::now());
     EXPECT_EQ(a.fencingToken, 0u);
@@ -127,8 +127,8 @@
     a.election.noteVote("three", duration, later);
     EXPECT_TRUE(a.election.valid(later + duration / 2));
     EXPECT_FALSE(a.election.valid(later + duration));
-    stub.store.endLease(stub.store.leases.begin()->first);
-    stub.wake();
+    stub.store.revokeLease(stub.store.leases.begin()->first);
+    stub.answerWatches();
     b.until([&] { return !b.replica.leader; });
     for (int i = 0; i < 100; ++i) b.election.tick(later + i * duration / 120), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
@@ -136,8 +136,8 @@
     // A restarted process does not know whether it voted before, so it waits as if it had.
     ServiceController c(io, stub, "three");
     c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
-    stub.store.endLease(stub.store.leases.rbegin()->first);
-    stub.wake();
+    stub.store.revokeLease(stub.store.leases.rbegin()->first);
+    stub.answerWatches();
     c.until([&] { return !c.replica.leader; });
     for (int i = 0; i < 300; ++i) c.election.tick(Clock::now()), io.run_one_for(2ms);
     EXPECT_EQ(c.fencingToken, 0u);
@@ -159,14 +159,14 @@
     // It may act for longer after the last read than it may start tasks.
     EXPECT_FALSE(election.cancellationsCurrent(a.watcher.asOf() + 1900ms));
     EXPECT_TRUE(election.valid(a.watcher.asOf() + 1500ms));
-    stub.readsFail = true;
+    stub.failReads = true;
     int rounds = 0;
     for (; election.valid(Clock::now()) && rounds < 1000; ++rounds)
         election.tick(Clock::now()), io.run_one_for(20ms);
     EXPECT_LT(rounds, 1000);
     EXPECT_TRUE(election.leading());
     EXPECT_FALSE(stub.store.leases.empty());
-    stub.readsFail = false;
+    stub.failReads = false;
     a.watcher.readLatest([](coordination::FreshRead) {});
     while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
 }
@@ -197,8 +197,8 @@
     ServiceController b(io, stub, "two", Seconds(1));
     b.until([&] { return b.watcher.synced(); });
     a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
-    const auto before = stub.store.tooMany;
-    while (stub.store.tooMany < before + 3) b.election.tick(Clock::now()), io.run_one_for(5ms);
+    const auto before = stub.store.rateLimited;
+    while (stub.store.rateLimited < before + 3) b.election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_EQ(b.fencingToken, 0u);
     stub.store.limits.changes = 2;
     while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
--- a/tests/simulation/history_test.cpp
+++ b/tests/simulation/history_test.cpp
@@ -71,7 +71,7 @@
 TEST(History, RulesHoldAcrossLoweredLimits) {
     constexpr std::uint64_t kHistories = 100;
     constexpr std::size_t kMinRefusals = 50;
-    std::size_t tooLarge = 0, tooMany = 0, tooLargeThoughAnnounced = 0;
+    std::size_t tooLarge = 0, rateLimited = 0, tooLargeThoughAnnounced = 0;
     for (std::uint64_t number = 1; number <= kHistories; ++number) {
         SimulatedCluster cluster(seedOf(number), {});
         const bool announced = number % 2 == 0;
@@ -85,11 +85,11 @@
             number % 4 < 2 ? JobGenerator(randomJob) : JobGenerator(randomJobWithDependencies);
         ASSERT_EQ(runHistory(cluster, Seconds(100), {}, generateJob), "") << "seed " << number;
         const auto& store = cluster.store.contents();
-        tooMany += store.tooMany;
+        rateLimited += store.rateLimited;
         tooLarge += store.tooLarge;
         if (announced) tooLargeThoughAnnounced += store.tooLarge;
     }
-    EXPECT_GE(tooMany, kMinRefusals);
+    EXPECT_GE(rateLimited, kMinRefusals);
     EXPECT_GE(tooLarge, kMinRefusals);
     EXPECT_EQ(tooLargeThoughAnnounced, 0u);  // an announced limit is respected from the start
 }
--- a/tests/simulation/rule_checker.cpp
+++ b/tests/simulation/rule_checker.cpp
@@ -123,7 +123,7 @@
 }
 
 void RuleChecker::checkStoredRecords() {
-    const std::string prefix = storage::keys::kJobs;
+    const std::string prefix = storage::keys::kJobPrefix;
     const auto& log = store_.contents().log;
     for (; checkedEvents_ < log.size(); ++checkedEvents_) {
         const auto& event = log[checkedEvents_];
--- a/tests/state/lowered_limits_test.cpp
+++ b/tests/state/lowered_limits_test.cpp
@@ -29,7 +29,7 @@
     harness.heartbeat("wk-1", everyNth(4, 0, 40'000));
     for (int i = 0; i < 10; ++i) harness.heartbeat("wk-" + std::to_string(100 + i), {0, 1});
     harness.run(4);
-    EXPECT_EQ(harness.store.tooLarge + harness.store.tooMany, 0u);
+    EXPECT_EQ(harness.store.tooLarge + harness.store.rateLimited, 0u);
     EXPECT_EQ(harness.storedBitmap("wk-1"), bitmapOf(everyNth(4, 0, 40'000), 40'000));
     harness.lowerLimits(ops, maxValueBytes, writesPerSecond);
     for (std::uint32_t from : {1u, 2u}) {
@@ -64,7 +64,7 @@
 
 // A value that the store rejects even alone must not delay other writes, must not be retried continuously,
 // and must be stored once the limit allows it.
-TEST(Limits, ValueTooLargeToStoreDelaysNoOther) {
+TEST(Limits, OversizedValueDoesNotDelayOtherWrites) {
     LoweredLimitsHarness harness;
     harness.accept(arrayJob("wk-1", 2), 8);
     auto open = arrayJob("wk-2", 40);
@@ -105,7 +105,7 @@
 
 // When many jobs end at the same time, the leader must slow its writes down to the store's rate. Otherwise
 // nearly every transaction would be rejected.
-TEST(Limits, LeaderSlowsItsWritesToTheStoresRate) {
+TEST(Limits, LeaderAdaptsWriteRateToStoreLimit) {
     LoweredLimitsHarness harness;
     for (int i = 0; i < 120; ++i) harness.accept(arrayJob("wk-" + std::to_string(1000 + i), 1), 8);
     harness.startLeader();
@@ -115,8 +115,8 @@
     harness.run(60);
     for (const auto& [id, job] : harness.replica.jobs())
         EXPECT_EQ(harness.terminalStateOf(id), TerminalState::done);
-    EXPECT_GT(harness.store.tooMany, 0u);
-    EXPECT_LT(harness.store.tooMany, 30u);
+    EXPECT_GT(harness.store.rateLimited, 0u);
+    EXPECT_LT(harness.store.rateLimited, 30u);
     EXPECT_FALSE(harness.resigned);
 }
 
--- a/tests/state/machine_registry_test.cpp
+++ b/tests/state/machine_registry_test.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_F(RegistryTest, EntryWrittenThenItCountsOnlyOnceStored) {
+TEST_F(RegistryTest, EntryAllowsTasksOnlyOnceStored) {
     auto& machine = withHeartbeat("m1");
     registry.ensureEntry(machine);
     EXPECT_TRUE(registry.additions().contains("m1"));
@@ -84,7 +84,7 @@
 TEST_F(RegistryTest, MachineReturnsAfterRemovalWasSentThenItNeedsANewEntry) {
     registry.ensureEntry(withHeartbeat("m1"));
     store(*fleet.find("m1"), 7);
-    registry.forget(*fleet.find("m1"));
+    registry.scheduleRemoval(*fleet.find("m1"));
     fleet.erase("m1");
     EXPECT_TRUE(registry.removals().contains("m1"));
     registry.removalSent("m1");
@@ -101,7 +101,7 @@
     registry.ensureEntry(withHeartbeat("m1"));
     registry.additionSent("m1");
     const auto sent = MachineRegistry::recordOf(*fleet.find("m1"));
-    registry.forget(*fleet.find("m1"));
+    registry.scheduleRemoval(*fleet.find("m1"));
     fleet.erase("m1");
     EXPECT_TRUE(registry.additions().empty());
     registry.additionStored("m1", sent, 7);
--- a/tests/state/state_writer_test.cpp
+++ b/tests/state/state_writer_test.cpp
@@ -150,7 +150,7 @@
     finish(accept("wk-1", 1), 0);
     const auto key = storage::keys::job("wk-1");
     for (const auto status :
-         {TransactionStatus::conflict, TransactionStatus::unknown, TransactionStatus::noLease}) {
+         {TransactionStatus::conflict, TransactionStatus::unknown, TransactionStatus::leaseExpired}) {
         ASSERT_EQ(nextKeys(), Keys{key});
         EXPECT_EQ(handleResult(status, {key}).followUp, FollowUp::refreshReplica);
         now += 10s;
@@ -162,7 +162,7 @@
 
 TEST_F(StateWriterTest, TransactionRefusedThenSentAgainAfterAPause) {
     finish(accept("wk-1", 1), 0);
-    for (const auto status : {TransactionStatus::refused, TransactionStatus::tooMany}) {
+    for (const auto status : {TransactionStatus::refused, TransactionStatus::rateLimited}) {
         ASSERT_EQ(nextKeys().size(), 1u);
         EXPECT_EQ(handleResult(status).followUp, FollowUp::none);
         EXPECT_EQ(nextKeys(), Keys{});  // 200 ms later
@@ -171,7 +171,7 @@
     EXPECT_EQ(nextKeys().size(), 1u);
 }
 
-TEST_F(StateWriterTest, TransactionTooLargeThenSmallerOnesThatGrowAgain) {
+TEST_F(StateWriterTest, TransactionTooLargeThenLimitsShrinkAndGrowAgain) {
     for (const auto* id : {"m1", "m2", "m3", "m4", "m5"}) addMachine(id, 1);
     ASSERT_EQ(nextKeys().size(), 4u);
     handleResult(TransactionStatus::tooLarge);
@@ -233,7 +233,7 @@
     EXPECT_EQ(nextKeys().size(), 2u);
 }
 
-TEST_F(StateWriterTest, JobForgottenThenNothingOfItIsStored) {
+TEST_F(StateWriterTest, JobForgottenThenItsWritesAreDiscarded) {
     auto& job = accept("wk-1", 1);
     finish(job, 0);
     writer().forget(job);
--- a/tests/storage/store_limits_test.cpp
+++ b/tests/storage/store_limits_test.cpp
@@ -95,8 +95,8 @@
     const auto rejected = node.ask("POST", "/submissions", submission("wk-1"));
     EXPECT_EQ(rejected.status, 503);
     EXPECT_GE(rejected.retryAfter, 1s);
-    EXPECT_GT(stub.store.tooMany, 1u);
-    EXPECT_LT(stub.store.tooMany, 5u);  // retries slow down
+    EXPECT_GT(stub.store.rateLimited, 1u);
+    EXPECT_LT(stub.store.rateLimited, 5u);  // retries slow down
     EXPECT_EQ(node.bearing("wk-1"), "404");
     stub.store.limits.changes = 5;
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
@@ -126,12 +126,12 @@
     };
     const auto value = MessagePacker().value("0123456789").take();
     stub.store.limits = {32, 12, 1};
-    EXPECT_EQ(status({"bp/x", value, 99}), storage::TransactionStatus::noLease);
+    EXPECT_EQ(status({"bp/x", value, 99}), storage::TransactionStatus::leaseExpired);
     EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789a").take(), 0}),
               storage::TransactionStatus::tooLarge);
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::applied);
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::tooMany);
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::tooMany);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::rateLimited);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::rateLimited);
     EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789b").take(), 0}),
               storage::TransactionStatus::tooLarge);
     stub.outage = true;
--- a/tests/storage/store_stub.h
+++ b/tests/storage/store_stub.h
@@ -72,12 +72,12 @@
         for (const auto& w : writes) large |= w.value && protocol::jsonBytes(*w.value) > limits.maxValueBytes;
         if (large) return ++tooLarge, storage::TransactionStatus::tooLarge;
         const auto count = static_cast<double>(writes.size());
-        if (count > limits.changes) return ++tooMany, storage::TransactionStatus::tooMany;
+        if (count > limits.changes) return ++rateLimited, storage::TransactionStatus::rateLimited;
         limits.changes -= count;
         return std::nullopt;
     }
     /// Ends the lease and deletes the keys attached to it.
-    void endLease(std::uint64_t lease) {
+    void revokeLease(std::uint64_t lease) {
         leases.erase(lease);
         std::vector<std::string> keys;
         for (const auto& [key, value] : values)
@@ -92,7 +92,7 @@
     std::map<std::uint64_t, bool> leases;
     std::uint64_t revision = 0, nextLease = 0;
     StubLimits limits;
-    std::size_t tooLarge = 0, tooMany = 0;  // number of rejections so far
+    std::size_t tooLarge = 0, rateLimited = 0;  // number of rejections so far
 
   private:
     void change(const std::string& key, const std::optional<std::string>& data, std::uint64_t lease) {
@@ -126,39 +126,39 @@
 
   public:
     Store& store;
-    bool outage = false;         // answers all requests with 503
-    bool readsFail = false;      // answers reads with 503
-    bool holdWatches = false;    // does not answer open watches when keys change
-    bool swallowWrites = false;  // applies transactions without answering them
-    bool holdLeases = false;     // creates leases, but answers only at release()
+    bool outage = false;              // answers all requests with 503
+    bool failReads = false;           // answers reads with 503
+    bool holdWatches = false;         // does not answer open watches when keys change
+    bool dropWriteResponses = false;  // applies transactions without answering them
+    bool holdLeaseResponses = false;  // creates leases, but answers only at release()
     unsigned pageEntries = 1000;
 
     void release() {
-        holdLeases = false;
+        holdLeaseResponses = false;
         for (auto& sendResponse : std::exchange(heldLeaseResponses_, {})) sendResponse();
     }
 
     /// Answers the open watches of all endpoints for which there are changes. Endpoints in an outage keep
     /// their watches open.
-    void wake() {
+    void answerWatches() {
         for (auto* endpoint : primary_.endpoints_) endpoint->answerOwnWatches();
     }
     /// Ends expired leases and, at all endpoints, answers the watches whose wait is over. Only for tests with
     /// a clock; without calls, leases last until the test ends them, and watches until there is a change.
-    void passTime(Time now) {
+    void expireLeasesAndWatches(Time now) {
         auto& deadlines = primary_.leaseDeadlines_;
         std::vector<std::uint64_t> expired;
         for (const auto& [lease, deadline] : deadlines)
             if (now > deadline.at) expired.push_back(lease);
         for (const auto lease : expired) {
             deadlines.erase(lease);
-            store.endLease(lease);
+            store.revokeLease(lease);
         }
-        if (!expired.empty()) wake();
+        if (!expired.empty()) answerWatches();
         for (auto* endpoint : primary_.endpoints_) endpoint->endWatches(now);
     }
     /// Extends all leases to their full duration, as the store does at the end of an outage.
-    void restartLeases(Time now) {
+    void renewAllLeases(Time now) {
         for (auto& [lease, deadline] : primary_.leaseDeadlines_) deadline.at = now + deadline.life;
     }
 
@@ -209,26 +209,26 @@
             response.body = std::move(body);
             reply(response);
         };
-        if (outage || (readsFail && (r.path == "/kv" || r.path == "/watch"))) return answer(503, "");
+        if (outage || (failReads && (r.path == "/kv" || r.path == "/watch"))) return answer(503, "");
         if (r.path == "/multi") return transaction(r, answer);
         if (r.path == "/kv") return page(r, answer);
         if (r.path == "/watch") {
             const Duration wait(number(parameter(r.query, "blockMs")));
             return watch({r.query, answer, Clock::now() + wait});
         }
-        if (r.path == "/holds") return makeLease(r, answer);
+        if (r.path == "/holds") return createLease(r, answer);
         if (r.path.starts_with(kLeasePrefix)) return changeLease(r, answer);
         answer(400, "");
     }
 
-    void makeLease(const transport::Request& r, const Answer& answer) {
+    void createLease(const transport::Request& r, const Answer& answer) {
         store.leases[++store.nextLease] = true;
         const Duration life(protocol::MapReader(protocol::unpackBody(r.body).get()).integer("lifeMs"));
         primary_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
         const auto sendResponse = [answer, lease = store.nextLease] {
             answer(200, MessagePacker().map(1).field("mooring", lease).take());
         };
-        if (!holdLeases) return sendResponse();
+        if (!holdLeaseResponses) return sendResponse();
         heldLeaseResponses_.push_back(sendResponse);
     }
 
@@ -240,8 +240,8 @@
         auto& deadlines = primary_.leaseDeadlines_;
         if (r.method == "DELETE") {
             deadlines.erase(lease);
-            store.endLease(lease);
-            wake();
+            store.revokeLease(lease);
+            answerWatches();
         } else if (const auto found = deadlines.find(lease); found != deadlines.end()) {
             found->second.at = Clock::now() + found->second.life;
         }
@@ -277,8 +277,8 @@
                                                                     : refuse(429, "too many changes");
         std::vector<std::string> failed;
         const auto revision = store.transact(conditions, writes, failed);
-        wake();
-        if (swallowWrites) return;
+        answerWatches();
+        if (dropWriteResponses) return;
         if (revision == 0)
             return answer(
                 409, MessagePacker().map(2).field("failed", failed).field("chart", store.revision).take());
--- a/tests/storage/task_bitmap_test.cpp
+++ b/tests/storage/task_bitmap_test.cpp
@@ -111,7 +111,7 @@
 
 // A chunk that the previous version wrote must be read and not rewritten; later bits are written in parts. No
 // bit may be lost when a controller of the previous version becomes leader again.
-TEST(Limits, EarlierAndPresentVersionReadTheSameBitmap) {
+TEST(Limits, PreviousAndCurrentVersionReadTheSameBitmap) {
     LoweredLimitsHarness harness;
     harness.settings.nextStoreLimits = kAnnouncedLimits;
     const auto spec = arrayJob("wk-1", 40'000);
--- a/tests/storage/token_bucket_test.cpp
+++ b/tests/storage/token_bucket_test.cpp
@@ -26,7 +26,7 @@
             if (serviceTokens >= 1)
                 ++counts.first, --serviceTokens;
             else
-                ++counts.second, bucket.recordRefusal(now);
+                ++counts.second, bucket.recordRejection(now);
         }
         return counts;
     };
@@ -37,7 +37,7 @@
     EXPECT_LT(rejections, 20);
     runOneMinute(25);
     EXPECT_NEAR(bucket.ratePerSecond(now), 24, 0.01);
-    for (int i = 0; i < 100; ++i) bucket.recordRefusal(now += 2s);
+    for (int i = 0; i < 100; ++i) bucket.recordRejection(now += 2s);
     EXPECT_GE(bucket.ratePerSecond(now), 3);  // never below an eighth of the maximum
     now += 1s;
     EXPECT_TRUE(bucket.tryTake(1, 0, now));
@@ -47,7 +47,7 @@
     Time now{1000s};
     storage::TokenBucket bucket(24, now, 16);
     EXPECT_EQ(bucket.ratePerSecond(now += 10s), 24);  // the higher limit may still be in force
-    bucket.recordRefusal(now);
+    bucket.recordRejection(now);
     EXPECT_LT(bucket.ratePerSecond(now), 16);
     EXPECT_NEAR(bucket.ratePerSecond(now += 100s), 16, 0.01);
 }
@@ -57,7 +57,7 @@
 TEST(TokenBucket, SimultaneousRefusalsLowerTheRateOnce) {
     Time now{1000s};
     storage::TokenBucket bucket(24, now);
-    for (int i = 0; i < 8; ++i) bucket.recordRefusal(now);
+    for (int i = 0; i < 8; ++i) bucket.recordRejection(now);
     EXPECT_GT(bucket.ratePerSecond(now), 16);
     storage::TokenBucket slow(0.6, now);
     EXPECT_TRUE(slow.tryTake(1, 0, now + 3s));
--- a/tests/upgrade/cluster.cpp
+++ b/tests/upgrade/cluster.cpp
@@ -156,8 +156,8 @@
 void Cluster::setStoreOutage(bool outage) {
     for (const auto& endpoint : storeEndpoints_) endpoint->outage = outage;
     if (outage_ && !outage) {
-        storeEndpoints_.front()->restartLeases(Clock::now());
-        storeEndpoints_.front()->wake();
+        storeEndpoints_.front()->renewAllLeases(Clock::now());
+        storeEndpoints_.front()->answerWatches();
     }
     outage_ = outage;
 }
@@ -176,7 +176,7 @@
 void Cluster::step() {
     io_.run_for(kStepDuration);
     const auto now = Clock::now();
-    if (!outage_) storeEndpoints_.front()->passTime(now);
+    if (!outage_) storeEndpoints_.front()->expireLeasesAndWatches(now);
     storeCheck.step();
     machines.step(now);
     users.step(now);
--- a/tests/upgrade/store_check.cpp
+++ b/tests/upgrade/store_check.cpp
@@ -12,8 +12,8 @@
         const auto& event = store_.log[processedEvents_];
         if (event.key == keys::kToken) checkToken(event);
         if (event.key == keys::kLeader) checkLeader(event);
-        if (!event.key.starts_with(keys::kJobs)) continue;
-        const auto name = event.key.substr(std::string(keys::kJobs).size());
+        if (!event.key.starts_with(keys::kJobPrefix)) continue;
+        const auto name = event.key.substr(std::string(keys::kJobPrefix).size());
         const auto slash = name.find('/');
         if (slash == std::string::npos)
             checkJob(name, event);
