--- a/src/coordination/controller/direct_commands.cpp
+++ b/src/coordination/controller/direct_commands.cpp
@@ -19,7 +19,7 @@
 }
 
 void DirectCommands::sendUrgentStops() {
-    for (const auto& id : terminator_.takeUrgent()) {
+    for (const auto& id : terminator_.takeMachinesWithNewStops()) {
         const auto* machine = fleet_.find(id);
         if (!machine || !machine->agent.acknowledged || machine->address.empty()) continue;
         const bool stopsAny = std::any_of(machine->placements.begin(), machine->placements.end(),
--- a/src/coordination/controller/heartbeat_handler.cpp
+++ b/src/coordination/controller/heartbeat_handler.cpp
@@ -70,7 +70,7 @@
     if (machine.agent.acknowledged || (wasMember && machine.registry.reconciled))
         context_.registry.ensureEntry(machine);
     accept(event, context_.commands.compose(machine, event, now));
-    context_.terminator.noteAnswered(machine.id);
+    context_.terminator.noteHeartbeatAnswered(machine.id);
 }
 
 /// Handles a heartbeat that is not newer than the machine's newest message: a delayed duplicate, or one that
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -52,6 +52,8 @@
     fleet_.reserve(machine, gang, until, ReservationKind::preempting, gang.run->machines.at(machine.id));
 }
 
-std::set<std::string> TaskTerminator::takeUrgent() { return std::exchange(machinesWithNewStops_, {}); }
+std::set<std::string> TaskTerminator::takeMachinesWithNewStops() {
+    return std::exchange(machinesWithNewStops_, {});
+}
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/task_terminator.h
+++ b/src/coordination/scheduling/task_terminator.h
@@ -29,11 +29,11 @@
 
     /// Records that the response to the machine's heartbeat carries its stops, so that no separate message is
     /// needed.
-    void noteAnswered(const std::string& machine) { machinesWithNewStops_.erase(machine); }
+    void noteHeartbeatAnswered(const std::string& machine) { machinesWithNewStops_.erase(machine); }
 
     /// Returns and clears the ids of the machines that got new stops and have not had a heartbeat answered
     /// since.
-    std::set<std::string> takeUrgent();
+    std::set<std::string> takeMachinesWithNewStops();
 
   private:
     void reserveForGang(bookkeeping::Machine& machine, const bookkeeping::Job& gang, Seconds grace, Time now);
--- a/tests/scheduling/accelerator_policy_test.cpp
+++ b/tests/scheduling/accelerator_policy_test.cpp
@@ -170,7 +170,7 @@
     EXPECT_FALSE(allows(service(), gpu));  // plain machines that are up have capacity
 }
 
-TEST_F(AcceleratorPolicyTest, ReplicasTakeUpAnEighthOfTheMachinesIfTheCloudHasNoMore) {
+TEST_F(AcceleratorPolicyTest, ReplicasOccupyAnEighthOfTheMachinesIfTheCloudHasNoMore) {
     policy.recordDemand(job(JobKind::array, Priority::normal, 2, 16));
     makePlainUnavailable();
     auto& occupied = machine("g0", "gpu");
--- a/tests/scheduling/fetch_pacing_test.cpp
+++ b/tests/scheduling/fetch_pacing_test.cpp
@@ -171,7 +171,7 @@
 }
 
 // tr >= min(E[tr], threshold): if E[tr] is smaller, only a zone whose tr is at least E[tr] may fetch.
-TEST_F(FetchPacingTest, OfTwoZonesTheOneAboveTheMeanTimeSinceFetchFetches) {
+TEST_F(FetchPacingTest, OnlyZonesWithAtLeastTheMeanTimeSinceFetchMayFetch) {
     auto& first = machine("m1", "a", {});
     auto& second = machine("m2", "b", {});
     auto& paced = job("i", 100);
@@ -192,7 +192,7 @@
 }
 
 // With one zone, tr equals E[tr], so the check of tr has no effect.
-TEST_F(FetchPacingTest, SingleZoneNeverWaitsForItself) {
+TEST_F(FetchPacingTest, SingleZoneIsNotDelayedByItsOwnFetches) {
     auto& host = machine("m1", "a", {});
     auto& paced = job("i", 100);
     refresh();
--- a/tests/scheduling/placement_fixture.h
+++ b/tests/scheduling/placement_fixture.h
@@ -146,9 +146,9 @@
         {settings, fleet, types, jobQueue, pacing, constraints, images, attempts}};
     coordination::Preemption preemption{
         {settings, fleet, types, jobQueue, constraints, images, zones, terminator, scans}};
-    coordination::AttemptCompletion ends{fleet, gangPlanner, jobQueue, terminator};
+    coordination::AttemptCompletion attemptCompletion{fleet, gangPlanner, jobQueue, terminator};
     coordination::HeartbeatReconciler reconciler{
-        {kToken, replica, fleet, jobQueue, activator, writer, pacing, terminator, ends}};
+        {kToken, replica, fleet, jobQueue, activator, writer, pacing, terminator, attemptCompletion}};
 };
 
 }  // namespace burlpoint::tests
--- a/tests/scheduling/preemption_test.cpp
+++ b/tests/scheduling/preemption_test.cpp
@@ -112,7 +112,7 @@
     preemptForWaitingJobs();
     EXPECT_EQ(countStopping(host), 2u);
     EXPECT_EQ(host.reservation.job, &job);
-    EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
+    EXPECT_EQ(terminator.takeMachinesWithNewStops(), std::set<std::string>{"m1"});
 }
 
 TEST_F(PreemptionTest, NothingIsPreemptedWhileCapacityIsFree) {
--- a/tests/scheduling/scheduling_test.cpp
+++ b/tests/scheduling/scheduling_test.cpp
@@ -177,7 +177,7 @@
     EXPECT_EQ(images.capacityWithImage(job, now), 0u);
 }
 
-TEST_F(ImageLocalityTest, AnswerIsCachedForAQuarterOfASecond) {
+TEST_F(ImageLocalityTest, CapacityIsCachedForAQuarterOfASecond) {
     auto& job = accept(spec("wk-1"));
     giveImage(machine("m1"), job);
     images.capacityWithImage(job, now);
--- a/tests/scheduling/zone_reservations_test.cpp
+++ b/tests/scheduling/zone_reservations_test.cpp
@@ -127,7 +127,7 @@
     EXPECT_FALSE(excludes(competingJob(), gpuB));
 }
 
-TEST_F(ZoneReservationsTest, ReleasedZoneExcludesNobody) {
+TEST_F(ZoneReservationsTest, ReleasedZoneExcludesNoJob) {
     auto& large = gang();
     zones.reserve(large, "a", now);
     zones.release(gang());  // a gang without the reservation
--- a/tests/workers/heartbeat_reconciler_test.cpp
+++ b/tests/workers/heartbeat_reconciler_test.cpp
@@ -140,7 +140,7 @@
     job.terminalState = storage::TerminalState::cancelled;
     apply(host, status(host, {running}));
     EXPECT_EQ(countStopping(host), 1u);
-    EXPECT_EQ(terminator.takeUrgent(), std::set<std::string>{"m1"});
+    EXPECT_EQ(terminator.takeMachinesWithNewStops(), std::set<std::string>{"m1"});
 }
 
 TEST_F(HeartbeatReconcilerTest, StartsDoNotArriveThenTheMachineIsUnreachableUntilOneDoes) {
@@ -205,7 +205,7 @@
     auto& host = machine("m1");
     fleet.setReconciled(host, false);
     place(host, job, 0);
-    ends.endAll(host, now);
+    attemptCompletion.endAll(host, now);
     EXPECT_TRUE(host.placements.empty());
     EXPECT_TRUE(host.registry.reconciled);
     EXPECT_TRUE(job.isWaiting(0));
