--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -61,7 +61,7 @@
 
     /// Records that the key-value store refused a write because of its rate limit, which reduces the write
     /// budget for a while.
-    void noteRateLimited(Time now) { writeBudget_.recordRejection(now); }
+    void recordRateLimit(Time now) { writeBudget_.recordRejection(now); }
 
     /// True if no submission waits. Submissions whose writes are in flight do not count.
     bool empty() const { return queues_.empty(); }
--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -79,7 +79,7 @@
             queries_.replyAfterRead(id, rejected(RejectionReason::recordTooLarge), submission.reply);
             break;
         case TransactionStatus::rateLimited:
-            queue_.noteRateLimited(Clock::now());
+            queue_.recordRateLimit(Clock::now());
             return retryOrGiveUp(submission);
         case TransactionStatus::refused:
             return retryOrGiveUp(submission);
--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -140,8 +140,8 @@
     requests.listTypes = true;
 }
 
-std::vector<Machine*> Autoscaler::vanished(Fleet& fleet, const std::set<std::string>& listed,
-                                           Time requestedAt) const {
+std::vector<Machine*> Autoscaler::vanishedMachines(Fleet& fleet, const std::set<std::string>& listed,
+                                                   Time requestedAt) const {
     const auto maxLag = toClockDuration(settings_.cloudListLag * kMaxListingLags);
     std::vector<Machine*> gone;
     for (const auto& [id, machine] : fleet.machines()) {
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -71,13 +71,14 @@
     void scaleInCompleted(ScaleInOutcome outcome, Time now);
 
     /// Records that the listing of machines in flight has ended, successfully or not.
-    void machinesListed() { listingInFlight_ = false; }
+    void machineListingCompleted() { listingInFlight_ = false; }
 
     /// Returns the machines that the cloud no longer has. Their ids are missing from `listed`, the result of
     /// a listing requested at `requestedAt`, and they were last known to exist longer before `requestedAt`
     /// than a listing may lag. Machines that send heartbeats or may have tasks are never returned.
-    std::vector<bookkeeping::Machine*> vanished(bookkeeping::Fleet& fleet,
-                                                const std::set<std::string>& listed, Time requestedAt) const;
+    std::vector<bookkeeping::Machine*> vanishedMachines(bookkeeping::Fleet& fleet,
+                                                        const std::set<std::string>& listed,
+                                                        Time requestedAt) const;
 
     /// The recent capacity errors, for decisions that depend on whether more machines can be obtained.
     const CapacityErrors& capacityErrors() const { return capacityErrors_; }
--- a/src/coordination/controller/cloud_response_handler.cpp
+++ b/src/coordination/controller/cloud_response_handler.cpp
@@ -40,15 +40,16 @@
 }
 
 void CloudResponseHandler::handle(const MachinesListed& event, Time now) {
-    context_.autoscaler.machinesListed();
+    context_.autoscaler.machineListingCompleted();
     if (!event.complete) return;
     std::set<std::string> listed;
     for (const auto& instance : event.machines) {
         listed.insert(instance.id);
         applyListedInstance(instance, now);
     }
-    const auto vanished = context_.autoscaler.vanished(context_.fleet, listed, event.requestedAt);
-    for (auto* machine : vanished) context_.membership.remove(*machine, now);
+    const auto vanishedMachines =
+        context_.autoscaler.vanishedMachines(context_.fleet, listed, event.requestedAt);
+    for (auto* machine : vanishedMachines) context_.membership.remove(*machine, now);
 }
 
 /// Updates the fleet from a machine in the cloud's list. The machine may be new to this leader: an earlier
--- a/src/coordination/controller/fleet_health_check.cpp
+++ b/src/coordination/controller/fleet_health_check.cpp
@@ -14,12 +14,12 @@
       actions_(actions) {}
 
 void FleetHealthCheck::tick(Time now) {
-    detector_.noteTick(now);
-    if (!detector_.isDue(now)) return;
+    detector_.recordTick(now);
+    if (!detector_.isEvaluationDue(now)) return;
     registry_.removeEntriesWithoutMachine();
-    const auto census = detector_.takeCensus(now);
-    expireLeases(census, now);
-    const auto findings = detector_.evaluate(census, now);
+    const auto summary = detector_.summarizeHealth(now);
+    expireLeases(summary, now);
+    const auto findings = detector_.evaluate(summary, now);
     for (auto* machine : findings.toProbe) directCommands_.probe(*machine);
     for (auto* machine : findings.failedMachines) {
         spdlog::info("machine failed: no heartbeats and no probe responses machine={}", machine->id);
@@ -41,8 +41,8 @@
     }
 }
 
-void FleetHealthCheck::expireLeases(const FailureDetector::Census& census, Time now) {
-    for (auto* machine : census.expired) {
+void FleetHealthCheck::expireLeases(const FailureDetector::HealthSummary& summary, Time now) {
+    for (auto* machine : summary.expired) {
         spdlog::info("worker lease expired machine={}", machine->id);
         completion_.endAll(*machine, now);
         machine->lease.active = false;
--- a/src/coordination/controller/fleet_health_check.h
+++ b/src/coordination/controller/fleet_health_check.h
@@ -30,7 +30,7 @@
 
   private:
     void resignIfIsolated(Isolation isolation);
-    void expireLeases(const FailureDetector::Census& census, Time now);
+    void expireLeases(const FailureDetector::HealthSummary& summary, Time now);
 
     FailureDetector& detector_;
     MachineRegistry& registry_;
--- a/src/coordination/controller/fleet_membership.cpp
+++ b/src/coordination/controller/fleet_membership.cpp
@@ -37,7 +37,7 @@
 }
 
 bool FleetMembership::isFromBeforeRemoval(const protocol::Heartbeat& heartbeat) const {
-    return !fleet_.find(heartbeat.machine) && tombstones_.isLateCopy(heartbeat);
+    return !fleet_.find(heartbeat.machine) && tombstones_.isStale(heartbeat);
 }
 
 void quarantine(Machine& machine) {
--- a/src/coordination/controller/heartbeat_handler.cpp
+++ b/src/coordination/controller/heartbeat_handler.cpp
@@ -61,7 +61,7 @@
                                    Time now) {
     machine.agent.staleHeartbeats = 0;
     machine.lease.lastHeartbeat = now;
-    context_.failureDetector.noteHeartbeat(now);
+    context_.failureDetector.recordHeartbeat(now);
     const auto renewal = context_.leases.renew(machine, event.heartbeat, now);
     context_.reconciler.apply(machine, event.heartbeat, StatusSource::heartbeat, now);
     if (renewal == WorkerLeases::Renewal::mustExpire) return refuse(event);
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -52,7 +52,7 @@
             PendingWrites::retryBitmaps(transaction, now);
             return {};
         case TransactionStatus::rateLimited:
-            pacing_.noteRateLimited(now);
+            pacing_.recordRateLimit(now);
             return {};
         case TransactionStatus::refused:
             pacing_.noteRejected(now);
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -30,7 +30,7 @@
 
 void WritePacing::noteRejected(Time now) { nextWrite_ = now + kPauseAfterRejection; }
 
-void WritePacing::noteRateLimited(Time now) {
+void WritePacing::recordRateLimit(Time now) {
     writeBudget_.recordRejection(now);
     noteRejected(now);
 }
--- a/src/coordination/state/write_pacing.h
+++ b/src/coordination/state/write_pacing.h
@@ -28,7 +28,7 @@
     void noteRejected(Time now);
     /// Records that the store rejected a transaction because of its rate limit. Lowers the rate and starts a
     /// longer pause.
-    void noteRateLimited(Time now);
+    void recordRateLimit(Time now);
 
   private:
     storage::TokenBucket writeBudget_;
--- a/src/coordination/workers/failure_detector.cpp
+++ b/src/coordination/workers/failure_detector.cpp
@@ -47,42 +47,42 @@
       isolation_({settings.peers.size() + 1, fencingToken, began, leaseBound, suspicionTimeout(settings)}),
       nextEvaluation_(began) {}
 
-void FailureDetector::noteHeartbeat(Time now) { isolation_.noteHeartbeat(now); }
+void FailureDetector::recordHeartbeat(Time now) { isolation_.recordHeartbeat(now); }
 
-void FailureDetector::noteTick(Time now) {
+void FailureDetector::recordTick(Time now) {
     if (lastTick_ != Time{} && now - lastTick_ > kSuspensionGap) {
         // This controller was not allowed to act, or was too slow, so it did not receive the heartbeats
         // itself.
-        isolation_.noteSuspension(now);
+        isolation_.recordSuspension(now);
         for (auto& [id, machine] : fleet_.machines())
             machine->lease.lastHeartbeat = std::max(machine->lease.lastHeartbeat, now - heartbeatInterval_);
     }
     lastTick_ = now;
 }
 
-FailureDetector::Census FailureDetector::takeCensus(Time now) {
+FailureDetector::HealthSummary FailureDetector::summarizeHealth(Time now) {
     nextEvaluation_ = now + kEvaluationInterval;
-    Census census;
+    HealthSummary summary;
     for (auto& [id, machine] : fleet_.machines()) {
-        if (isMonitored(*machine)) ++(suspectedFor(*machine, now) ? census.suspected : census.alive);
+        if (isMonitored(*machine)) ++(suspectedFor(*machine, now) ? summary.suspected : summary.alive);
         const bool mayHoldTasks = isMonitored(*machine) || !machine->placements.empty();
-        if (now > machine->lease.until && mayHoldTasks) census.expired.push_back(machine.get());
+        if (now > machine->lease.until && mayHoldTasks) summary.expired.push_back(machine.get());
     }
-    return census;
+    return summary;
 }
 
-FailureDetector::Findings FailureDetector::evaluate(const Census& census, Time now) {
+FailureDetector::Findings FailureDetector::evaluate(const HealthSummary& summary, Time now) {
     Findings findings;
-    const auto policy = failurePolicy(census);
+    const auto policy = failurePolicy(summary);
     for (auto& [id, machine] : fleet_.machines()) evaluateMachine(*machine, policy, now, findings);
-    findings.isolation = isolation_.evaluate(census.alive, census.suspected, now);
+    findings.isolation = isolation_.evaluate(summary.alive, summary.suspected, now);
     return findings;
 }
 
-FailureDetector::FailurePolicy FailureDetector::failurePolicy(const Census& census) {
-    const auto monitored = census.alive + census.suspected;
+FailureDetector::FailurePolicy FailureDetector::failurePolicy(const HealthSummary& summary) {
+    const auto monitored = summary.alive + summary.suspected;
     const auto limit = std::max(kMinSuspectedLimit, monitored / kSuspectedLimitDivisor);
-    return census.suspected <= limit ? FailurePolicy::allow : FailurePolicy::suspend;
+    return summary.suspected <= limit ? FailurePolicy::allow : FailurePolicy::suspend;
 }
 
 /// How long the machine has been suspected; empty if it is not. Heartbeats do not end the suspicion of a
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -22,7 +22,7 @@
   public:
     /// The monitored machines at one moment. A machine is monitored if its lease is active or if it may still
     /// hold tasks of an earlier leader.
-    struct Census {
+    struct HealthSummary {
         std::size_t alive = 0;
         std::size_t suspected = 0;
         /// Machines whose lease has expired, so that no task sent to them can still run there.
@@ -41,18 +41,18 @@
                     Time began, Clock::duration leaseBound);
 
     /// Records the arrival of a heartbeat that is newer than all previous ones of the same worker.
-    void noteHeartbeat(Time now);
+    void recordHeartbeat(Time now);
     /// Must be called on every tick. A gap of more than 3 s between two ticks means that this controller was
     /// suspended, so no machine is suspected because of heartbeats missing in that time.
-    void noteTick(Time now);
+    void recordTick(Time now);
 
-    /// True if the next evaluation is due: half a second after the last call of takeCensus().
-    bool isDue(Time now) const { return now >= nextEvaluation_; }
+    /// True if the next evaluation is due: half a second after the last call of summarizeHealth().
+    bool isEvaluationDue(Time now) const { return now >= nextEvaluation_; }
     /// Counts the monitored machines and collects those whose lease has expired. The leader ends the
     /// placements and the leases of the latter before it calls evaluate().
-    Census takeCensus(Time now);
+    HealthSummary summarizeHealth(Time now);
     /// Evaluates a summary made at `now`, after the placements and leases of its expired machines were ended.
-    Findings evaluate(const Census& census, Time now);
+    Findings evaluate(const HealthSummary& summary, Time now);
 
   private:
     /// Whether suspected machines may be declared failed.
@@ -60,7 +60,7 @@
         allow,   // few machines are suspected
         suspend  // many are suspected at once, so the machines are probably not the cause
     };
-    static FailurePolicy failurePolicy(const Census& census);
+    static FailurePolicy failurePolicy(const HealthSummary& summary);
     std::optional<Clock::duration> suspectedFor(const bookkeeping::Machine& machine, Time now) const;
     void evaluateMachine(bookkeeping::Machine& machine, FailurePolicy policy, Time now,
                          Findings& findings) const;
--- a/src/coordination/workers/isolation_detector.cpp
+++ b/src/coordination/workers/isolation_detector.cpp
@@ -19,12 +19,12 @@
 
 IsolationDetector::IsolationDetector(const Config& config) : config_(config), lastHeartbeat_(config.began) {}
 
-void IsolationDetector::noteHeartbeat(Time now) {
+void IsolationDetector::recordHeartbeat(Time now) {
     lastHeartbeat_ = now;
     heartbeatReceived_ = true;
 }
 
-void IsolationDetector::noteSuspension(Time now) { lastHeartbeat_ = now; }
+void IsolationDetector::recordSuspension(Time now) { lastHeartbeat_ = now; }
 
 /// If every controller in turn finds itself cut off, the machines are really gone. Some leader must then stay
 /// until the machines' leases have expired, or the controllers would resign in favour of each other for ever.
--- a/src/coordination/workers/isolation_detector.h
+++ b/src/coordination/workers/isolation_detector.h
@@ -32,9 +32,9 @@
     explicit IsolationDetector(const Config& config);
 
     /// Records the arrival of a heartbeat that is newer than all previous ones of the same worker.
-    void noteHeartbeat(Time now);
+    void recordHeartbeat(Time now);
     /// Records that this controller was suspended until `now` and could not receive heartbeats.
-    void noteSuspension(Time now);
+    void recordSuspension(Time now);
 
     /// Evaluates the isolation of this controller from the numbers of machines `alive` and `suspected` at
     /// `now`.
--- a/src/coordination/workers/machine_tombstones.cpp
+++ b/src/coordination/workers/machine_tombstones.cpp
@@ -28,7 +28,7 @@
     return found != newestVersions_.end() && found->second == kDeleted;
 }
 
-bool MachineTombstones::isLateCopy(const protocol::Heartbeat& heartbeat) const {
+bool MachineTombstones::isStale(const protocol::Heartbeat& heartbeat) const {
     const auto found = newestVersions_.find(heartbeat.machine);
     return found != newestVersions_.end() && bookkeeping::heartbeatVersionOf(heartbeat) <= found->second;
 }
--- a/src/coordination/workers/machine_tombstones.h
+++ b/src/coordination/workers/machine_tombstones.h
@@ -25,7 +25,7 @@
     bool isDeleted(const std::string& id) const;
     /// True if the heartbeat is from a machine that has left the fleet, and no newer than the newest
     /// heartbeat received before it left.
-    bool isLateCopy(const protocol::Heartbeat& heartbeat) const;
+    bool isStale(const protocol::Heartbeat& heartbeat) const;
     /// Restores the version counters of a machine that has returned to the fleet, so that heartbeats from
     /// before it left are still recognised as stale.
     void restoreCounters(bookkeeping::Machine& machine) const;
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -65,7 +65,7 @@
     EXPECT_EQ(error("GET", "/submissions/wk-1"), "the state service does not answer");
 }
 
-TEST_F(UserApiTest, OnlyTerminalStatesAreToldDuringAnOutage) {
+TEST_F(UserApiTest, OnlyTerminalStatesAreReportedDuringOutage) {
     ServiceController node(io, stub);
     node.until([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
--- a/tests/autoscaling/autoscaler_test.cpp
+++ b/tests/autoscaling/autoscaler_test.cpp
@@ -173,9 +173,9 @@
 TEST_F(AutoscalerTest, MachinesAreListedTwicePerLagWithOneListingInFlight) {
     EXPECT_TRUE(decide().listMachines);
     EXPECT_FALSE(decide(100s).listMachines);
-    autoscaler->machinesListed();
+    autoscaler->machineListingCompleted();
     EXPECT_TRUE(decide().listMachines);
-    autoscaler->machinesListed();
+    autoscaler->machineListingCompleted();
     EXPECT_FALSE(decide(4999ms).listMachines);
     EXPECT_TRUE(decide(1ms).listMachines);
 }
@@ -266,7 +266,7 @@
     fleet.setReconciled(unreconciled, false);
     const auto gone = [&](Clock::duration after) {
         Names names;
-        for (const auto* machine : autoscaler->vanished(fleet, {"m2"}, now + after))
+        for (const auto* machine : autoscaler->vanishedMachines(fleet, {"m2"}, now + after))
             names.push_back(machine->id);
         return names;
     };
--- a/tests/workers/failure_detector_test.cpp
+++ b/tests/workers/failure_detector_test.cpp
@@ -49,21 +49,21 @@
         return machine;
     }
     FailureDetector::Findings findings() {
-        const auto census = detector().takeCensus(now);
-        return detector().evaluate(census, now);
+        const auto summary = detector().summarizeHealth(now);
+        return detector().evaluate(summary, now);
     }
 };
 
 }  // namespace
 
-TEST_F(FailureDetectorTest, CensusTakenThenTheNextIsDueAfterHalfASecond) {
-    EXPECT_TRUE(detector().isDue(now));
-    detector().takeCensus(now);
-    EXPECT_FALSE(detector().isDue(now + 499ms));
-    EXPECT_TRUE(detector().isDue(now + 500ms));
+TEST_F(FailureDetectorTest, EvaluationIsDueEveryHalfSecond) {
+    EXPECT_TRUE(detector().isEvaluationDue(now));
+    detector().summarizeHealth(now);
+    EXPECT_FALSE(detector().isEvaluationDue(now + 499ms));
+    EXPECT_TRUE(detector().isEvaluationDue(now + 500ms));
 }
 
-TEST_F(FailureDetectorTest, MachineSuspectedThenOnlyItIsProbed) {
+TEST_F(FailureDetectorTest, OnlySuspectedMachineIsProbed) {
     auto& suspected = addSendingMachine("suspected");
     now += 4600ms;
     addSendingMachine("alive");
@@ -72,7 +72,7 @@
     EXPECT_TRUE(findings().toProbe.empty()) << "only one probe is in flight per machine";
 }
 
-TEST_F(FailureDetectorTest, LeadershipBeginsThenProbesWaitForHeartbeats) {
+TEST_F(FailureDetectorTest, ProbesAreDelayedAfterLeadershipBegins) {
     auto& machine = addUnreconciledMachine("m1");
     now = began + 1500ms;
     EXPECT_TRUE(findings().toProbe.empty());
@@ -80,7 +80,7 @@
     EXPECT_EQ(findings().toProbe, Machines{&machine});
 }
 
-TEST_F(FailureDetectorTest, MachineAnswersNoProbeThenItHasFailed) {
+TEST_F(FailureDetectorTest, MachineWithoutProbeAnswerHasFailed) {
     auto& machine = addUnreconciledMachine("m1");
     now = began + 12s;
     EXPECT_TRUE(findings().failedMachines.empty());
@@ -93,7 +93,7 @@
     EXPECT_TRUE(findings().failedMachines.empty()) << "its deletion was requested before";
 }
 
-TEST_F(FailureDetectorTest, SuspectedMachineWithoutTasksThenItIsOnlyProbed) {
+TEST_F(FailureDetectorTest, SuspectedMachineWithoutTasksIsOnlyProbed) {
     addSendingMachine("m1");
     now += 20s;
     const auto found = findings();
@@ -102,17 +102,17 @@
 }
 
 // An unreachable machine sends heartbeats, but does not receive the responses and commands sent to it.
-TEST_F(FailureDetectorTest, UnreachableMachineSendsHeartbeatsThenItIsSuspectedAndFails) {
+TEST_F(FailureDetectorTest, UnreachableMachineFailsDespiteHeartbeats) {
     auto& unreachable = addSendingMachine("unreachable");
     unreachable.agent.unreachableSince = now;
     now += 13s;
     unreachable.lease.lastHeartbeat = now;
-    const auto census = detector().takeCensus(now);
-    EXPECT_EQ(census.suspected, 1u);
-    EXPECT_EQ(detector().evaluate(census, now).failedMachines, Machines{&unreachable});
+    const auto summary = detector().summarizeHealth(now);
+    EXPECT_EQ(summary.suspected, 1u);
+    EXPECT_EQ(detector().evaluate(summary, now).failedMachines, Machines{&unreachable});
 }
 
-TEST_F(FailureDetectorTest, ManyMachinesSuspectedThenNoneHasFailed) {
+TEST_F(FailureDetectorTest, NoMachineFailsWhileManyAreSuspected) {
     for (const auto* id : {"m1", "m2", "m3"}) addUnreconciledMachine(id);
     now = began + 13s;
     for (int i = 0; i < 8; ++i) addSendingMachine("up" + std::to_string(i));
@@ -121,18 +121,18 @@
     EXPECT_EQ(findings().failedMachines.size(), 3u) << "three of twelve";
 }
 
-TEST_F(FailureDetectorTest, LeaseExpiresThenItIsFoundUntilCleared) {
+TEST_F(FailureDetectorTest, ExpiredLeaseIsReportedUntilInactive) {
     auto& machine = addSendingMachine("m1");
     machine.lease.until = now + 30s;
     now += 30s;
-    EXPECT_TRUE(detector().takeCensus(now).expired.empty());
+    EXPECT_TRUE(detector().summarizeHealth(now).expired.empty());
     now += 1ms;
-    EXPECT_EQ(detector().takeCensus(now).expired, Machines{&machine});
+    EXPECT_EQ(detector().summarizeHealth(now).expired, Machines{&machine});
     machine.lease.active = false;  // as the leader does for an expired lease
-    EXPECT_TRUE(detector().takeCensus(now).expired.empty());
+    EXPECT_TRUE(detector().summarizeHealth(now).expired.empty());
 }
 
-TEST_F(FailureDetectorTest, NoWorkerReachesTheLeaderThenItIsIsolated) {
+TEST_F(FailureDetectorTest, LeaderWithoutHeartbeatsIsIsolated) {
     addUnreconciledMachine("m1");
     addUnreconciledMachine("m2");
     now = began + 10500ms;  // the suspicion timeout of 4.5 s plus 6 s
@@ -141,7 +141,7 @@
     EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
 }
 
-TEST_F(FailureDetectorTest, LeaderStaysWithoutWorkersThenItIsIsolatedAfterTheLeases) {
+TEST_F(FailureDetectorTest, StayingLeaderIsIsolatedAfterWorkerLeases) {
     fencingToken = 8;  // with three controllers, one leadership in four stays: 8 is a multiple of 4
     addUnreconciledMachine("m1");
     addUnreconciledMachine("m2");
@@ -149,26 +149,26 @@
     EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
     EXPECT_EQ(findings().isolation, Isolation::neverReached);
-    detector().noteHeartbeat(now);
+    detector().recordHeartbeat(now);
     EXPECT_EQ(findings().isolation, Isolation::none);
 }
 
-TEST_F(FailureDetectorTest, LeaderLosesItsWorkersThenItDoesNotStay) {
+TEST_F(FailureDetectorTest, LeaderThatLosesItsWorkersDoesNotStay) {
     fencingToken = 8;
     addSendingMachine("m1");
     addSendingMachine("m2");
-    detector().noteHeartbeat(now);
+    detector().recordHeartbeat(now);
     now += 10501ms;
     EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
 }
 
-TEST_F(FailureDetectorTest, ControllerWasSuspendedThenNoMachineIsSuspected) {
+TEST_F(FailureDetectorTest, NoMachineIsSuspectedAfterControllerSuspension) {
     auto& first = addSendingMachine("m1");
     addSendingMachine("m2");
-    detector().noteHeartbeat(now);
-    detector().noteTick(now);
+    detector().recordHeartbeat(now);
+    detector().recordTick(now);
     now += 20s;
-    detector().noteTick(now);
+    detector().recordTick(now);
     EXPECT_EQ(first.lease.lastHeartbeat, now - 2s);
     const auto found = findings();
     EXPECT_TRUE(found.toProbe.empty());
--- a/tests/workers/heartbeat_reconciler_test.cpp
+++ b/tests/workers/heartbeat_reconciler_test.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-TEST_F(HeartbeatReconcilerTest, HeartbeatWithoutASentTaskThenItsPlacementEnds) {
+TEST_F(HeartbeatReconcilerTest, PlacementEndsIfHeartbeatLacksSentTask) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     sent(host, job, 0);
@@ -63,7 +63,7 @@
 
 // The start may still be in flight in the response to a heartbeat, so a command answer that lacks the task
 // does not show that the start was lost.
-TEST_F(HeartbeatReconcilerTest, CommandAnswerWithoutASentTaskThenItsPlacementStays) {
+TEST_F(HeartbeatReconcilerTest, PlacementStaysIfCommandAnswerLacksSentTask) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     sent(host, job, 0);
@@ -71,7 +71,7 @@
     EXPECT_EQ(count(host, job), 1u);
 }
 
-TEST_F(HeartbeatReconcilerTest, HeartbeatListsAnUnknownAttemptThenItIsAdopted) {
+TEST_F(HeartbeatReconcilerTest, UnknownAttemptInHeartbeatIsAdopted) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     apply(host, status(host, {{{"wk-1", 2, 77}, TaskState::running, ExitReason::none, false}}));
@@ -81,7 +81,7 @@
     EXPECT_TRUE(host.hasImage("class"));
 }
 
-TEST_F(HeartbeatReconcilerTest, HeartbeatWithAnOlderTokenThenItsTasksAreNotAdopted) {
+TEST_F(HeartbeatReconcilerTest, TasksWithOlderFencingTokenAreNotAdopted) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     host.agent.acknowledged = false;
@@ -92,7 +92,7 @@
     EXPECT_FALSE(host.agent.acknowledged);
 }
 
-TEST_F(HeartbeatReconcilerTest, NewIncarnationThenAllButPlannedPlacementsEnd) {
+TEST_F(HeartbeatReconcilerTest, NewIncarnationEndsAllButPlannedPlacements) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     place(host, job, 0);
@@ -105,7 +105,7 @@
     EXPECT_EQ(host.agent.incarnation, 2u);
 }
 
-TEST_F(HeartbeatReconcilerTest, TasksExitThenDoneIsFinishedAndStoppedWaitsAgain) {
+TEST_F(HeartbeatReconcilerTest, DoneTaskIsFinishedAndStoppedTaskWaitsAgain) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     const auto done = task(place(host, job, 0), TaskState::exited, ExitReason::done);
@@ -117,14 +117,14 @@
     EXPECT_TRUE(job.isWaiting(1));
 }
 
-TEST_F(HeartbeatReconcilerTest, OneGangTaskDoneThenAllAreFinished) {
+TEST_F(HeartbeatReconcilerTest, OneDoneGangTaskFinishesAll) {
     auto& job = accept(spec("wk-1", JobKind::gang));
     auto& host = machine("m1");
     apply(host, status(host, {task(place(host, job, 0), TaskState::exited, ExitReason::done)}));
     for (std::uint32_t each = 0; each < job.spec.tasks; ++each) EXPECT_TRUE(job.isFinished(each));
 }
 
-TEST_F(HeartbeatReconcilerTest, RunningTaskAlreadyFinishedThenItIsStopped) {
+TEST_F(HeartbeatReconcilerTest, RunningTaskAlreadyFinishedIsStopped) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     const auto running = task(place(host, job, 0), TaskState::running);
@@ -133,7 +133,7 @@
     EXPECT_EQ(countStopping(host), 1u);
 }
 
-TEST_F(HeartbeatReconcilerTest, RunningTaskOfACancelledJobThenItIsStoppedAtOnce) {
+TEST_F(HeartbeatReconcilerTest, RunningTaskOfCancelledJobIsStoppedAtOnce) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     const auto running = task(place(host, job, 0), TaskState::running);
@@ -143,7 +143,7 @@
     EXPECT_EQ(terminator.takeMachinesWithNewStops(), std::set<std::string>{"m1"});
 }
 
-TEST_F(HeartbeatReconcilerTest, StartsDoNotArriveThenTheMachineIsUnreachableUntilOneDoes) {
+TEST_F(HeartbeatReconcilerTest, UndeliveredStartsMakeMachineUnreachableUntilOneArrives) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     for (std::uint32_t i = 0; i < coordination::kMaxUndeliveredResponses; ++i) {
@@ -156,7 +156,7 @@
     EXPECT_FALSE(host.agent.unreachableSince);
 }
 
-TEST_F(HeartbeatReconcilerTest, TaskOfABegunGangLostThenTheWholeGangIsStopped) {
+TEST_F(HeartbeatReconcilerTest, LostTaskOfBegunGangStopsWholeGang) {
     auto& job = accept(spec("wk-1", JobKind::gang));
     auto& host = machine("m1");
     auto& other = machine("m2");
@@ -168,7 +168,7 @@
     EXPECT_EQ(other.reservation.job, &job);  // reserved for the next attempt of the gang
 }
 
-TEST_F(HeartbeatReconcilerTest, FailuresOnManyMachinesThenTheJobBacksOff) {
+TEST_F(HeartbeatReconcilerTest, JobBacksOffAfterFailuresOnManyMachines) {
     auto& job = accept(spec("wk-1"));
     for (const char* id : {"m1", "m2", "m3"}) {
         auto& host = machine(id);
@@ -180,7 +180,7 @@
     EXPECT_EQ(job.run->backoffUntil, now + 5s);
 }
 
-TEST_F(HeartbeatReconcilerTest, InterruptionNoticeThenOnlyTasksNotDoneInTimeAreStopped) {
+TEST_F(HeartbeatReconcilerTest, InterruptionNoticeStopsOnlyTasksNotDoneInTime) {
     auto array = spec("wk-1");
     array.estimatedRunTime = Seconds(100);
     auto& nearlyDone = accept(array);
@@ -200,7 +200,7 @@
     for (const auto& [key, placement] : host.placements) EXPECT_EQ(placement.stopping, key.job == &begun);
 }
 
-TEST_F(HeartbeatReconcilerTest, LeaseExpiredThenAllPlacementsEnd) {
+TEST_F(HeartbeatReconcilerTest, LeaseExpiryEndsAllPlacements) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     fleet.setReconciled(host, false);
@@ -219,7 +219,7 @@
     EXPECT_GT(AttemptIdGenerator(4).next(), ids.next());
 }
 
-TEST(MachineTombstonesTest, HeartbeatNotNewerThanTheLastThenItIsALateCopy) {
+TEST(MachineTombstonesTest, HeartbeatNotNewerThanTheLastIsStale) {
     MachineTombstones tombstones;
     bookkeeping::Machine machine;
     machine.id = "m1";
@@ -230,21 +230,21 @@
     heartbeat.machine = "m1";
     heartbeat.incarnation = 2;
     heartbeat.sequence = 5;
-    EXPECT_TRUE(tombstones.isLateCopy(heartbeat));
+    EXPECT_TRUE(tombstones.isStale(heartbeat));
     heartbeat.sequence = 6;
-    EXPECT_FALSE(tombstones.isLateCopy(heartbeat));
+    EXPECT_FALSE(tombstones.isStale(heartbeat));
     heartbeat.machine = "m2";
     heartbeat.incarnation = 1;
-    EXPECT_FALSE(tombstones.isLateCopy(heartbeat));
+    EXPECT_FALSE(tombstones.isStale(heartbeat));
 }
 
-TEST(MachineTombstonesTest, MachineDeletedThenEveryHeartbeatIsALateCopy) {
+TEST(MachineTombstonesTest, EveryHeartbeatOfDeletedMachineIsStale) {
     MachineTombstones tombstones;
     tombstones.addDeleted("m1");
     Heartbeat heartbeat;
     heartbeat.machine = "m1";
     heartbeat.incarnation = 1'000'000;
-    EXPECT_TRUE(tombstones.isLateCopy(heartbeat));
+    EXPECT_TRUE(tombstones.isStale(heartbeat));
     EXPECT_TRUE(tombstones.isDeleted("m1"));
     bookkeeping::Machine machine;
     machine.id = "m1";
@@ -252,7 +252,7 @@
     EXPECT_TRUE(tombstones.isDeleted("m1"));
 }
 
-TEST(MachineTombstonesTest, MachineReturnsThenItsCountersAreRestored) {
+TEST(MachineTombstonesTest, CountersOfReturningMachineAreRestored) {
     MachineTombstones tombstones;
     bookkeeping::Machine machine;
     machine.id = "m1";
--- a/tests/workers/worker_commands_test.cpp
+++ b/tests/workers/worker_commands_test.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-TEST_F(WorkerCommandsTest, TaskDoneThenItIsAcknowledgedOnlyOnceItsBitIsStored) {
+TEST_F(WorkerCommandsTest, DoneTaskIsAcknowledgedOnlyOnceItsBitIsStored) {
     auto& job = accept("wk-1", TerminalState::none);
     addToHeartbeat("wk-1", 3, TaskState::exited, ExitReason::done);
     job.finish(3);
@@ -65,7 +65,7 @@
     EXPECT_EQ(cleanupCommands().front().kind, CommandKind::acknowledge);
 }
 
-TEST_F(WorkerCommandsTest, FailedOrUnknownTasksThenTheyAreAcknowledgedOrStopped) {
+TEST_F(WorkerCommandsTest, FailedOrUnknownTasksAreAcknowledgedOrStopped) {
     accept("wk-1", TerminalState::none, 10);
     addToHeartbeat("wk-1", 0, TaskState::exited, ExitReason::error);
     addToHeartbeat("wk-1", 10, TaskState::running, ExitReason::none);  // the job has no such task
@@ -80,7 +80,7 @@
     EXPECT_EQ(commands[3].kind, CommandKind::acknowledge);
 }
 
-TEST_F(WorkerCommandsTest, ListMayBeOldThenOnlyTasksOfTerminatedJobsAreStopped) {
+TEST_F(WorkerCommandsTest, OutdatedListStopsOnlyTasksOfTerminatedJobs) {
     accept("wk-1", TerminalState::none);
     accept("wk-2", TerminalState::cancelled);
     addToHeartbeat("wk-1", 0, TaskState::running, ExitReason::none);
@@ -93,7 +93,7 @@
     EXPECT_EQ(commands.front().attempt.task, 1u);
 }
 
-TEST_F(WorkerCommandsTest, TooManyCommandsThenTheResponseIsTruncated) {
+TEST_F(WorkerCommandsTest, ResponseIsTruncatedAtTooManyCommands) {
     for (std::uint32_t task = 0; task < 400; ++task)
         addToHeartbeat("unknown", task, TaskState::running, ExitReason::none);
     std::vector<protocol::WorkerCommand> commands;
@@ -102,7 +102,7 @@
     EXPECT_EQ(commands.size(), coordination::kMaxCommands);
 }
 
-TEST_F(WorkerCommandsTest, TasksMarkedAsStoppingThenOnlySentOnesAreStopped) {
+TEST_F(WorkerCommandsTest, OnlySentTasksMarkedAsStoppingAreStopped) {
     auto& job = accept("wk-1", TerminalState::none);
     auto& machine = fleet.add("m1", Time{});
     const auto place = [&](std::uint32_t task, PlacementState state) -> bookkeeping::Placement& {
