--- a/src/bookkeeping/fleet.cpp
+++ b/src/bookkeeping/fleet.cpp
@@ -76,7 +76,7 @@
     images.erase(firstEvicted, images.end());
 }
 
-const std::vector<Machine*>& Fleet::withImage(const Image& image) const {
+const std::vector<Machine*>& Fleet::machinesWithImage(const Image& image) const {
     static const std::vector<Machine*> kNone;
     const auto found = byImage_.find(image);
     return found == byImage_.end() ? kNone : found->second;
@@ -138,7 +138,7 @@
 
 /// True if the resources of the job's tasks count in ResourceUse::preemptible.
 bool Fleet::isPreemptible(const Job& job) {
-    return job.spec.kind != protocol::JobKind::service && !isLargeGang(job.spec);
+    return job.spec.kind != protocol::JobKind::service && !isMultiTaskGang(job.spec);
 }
 
 Placement& Fleet::place(Machine& machine, Job& job, std::uint32_t task, std::uint64_t attempt,
@@ -150,7 +150,7 @@
     placement.state = state;
     placement.since = now;
     placement.runningSince = now;
-    placement.seen = true;
+    placement.listedInStatus = true;
     const auto [at, inserted] = machine.placements.emplace(AttemptKey{&job, task, attempt}, placement);
     if (!inserted) return at->second;
     updateUse(machine, job, UseChange::add);
--- a/src/bookkeeping/fleet.h
+++ b/src/bookkeeping/fleet.h
@@ -75,7 +75,7 @@
     /// and evicts the least recently used images while the cache exceeds `cacheGb`.
     void useImage(Machine& machine, const Image& image, double gb, double cacheGb);
     /// The machines that have the image in their cache.
-    const std::vector<Machine*>& withImage(const Image& image) const;
+    const std::vector<Machine*>& machinesWithImage(const Image& image) const;
 
     /// Reserves capacity on the machine for `tasks` of the job's tasks. Replaces an earlier reservation.
     void reserve(Machine& machine, const Job& job, Time until,
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -22,7 +22,7 @@
 namespace burlpoint::bookkeeping {
 
 /// True if the job is a gang of at least two tasks, which start and end together.
-inline bool isLargeGang(const protocol::JobSpec& spec) {
+inline bool isMultiTaskGang(const protocol::JobSpec& spec) {
     return spec.kind == protocol::JobKind::gang && spec.tasks > 1;
 }
 
--- a/src/bookkeeping/job_run.h
+++ b/src/bookkeeping/job_run.h
@@ -30,7 +30,7 @@
     explicit JobRun(std::uint32_t tasks) : placedCount(tasks, 0) {}
 
     /// True if any task of the job has been started or placed in this run.
-    bool began() const { return launchedTasks > 0 || placedTotal > 0; }
+    bool anyTaskStarted() const { return launchedTasks > 0 || placedTotal > 0; }
     /// True if no task of the job is placed and the job has been waiting for at least `time`.
     bool hasWaitedUnstarted(Clock::duration time, Time now) const {
         return placedTotal == 0 && now - waitingSince >= time;
@@ -67,18 +67,18 @@
     std::optional<std::uint32_t> firstOverdueTask;
 
     // Gangs.
-    std::uint64_t gangAttempt = 0;       // number of the attempt in progress, 0 if there is none
-    std::set<std::string> machinesLeft;  // machines on which a task of this attempt has ended
+    std::uint64_t gangAttempt = 0;                 // number of the attempt in progress, 0 if there is none
+    std::set<std::string> machinesWithEndedTasks;  // machines on which a task of this attempt has ended
 
     // Failures, and the writing of results.
-    Time backoffUntil{};                        // after failures, no task is started before this time
-    std::map<std::string, Time> errorMachines;  // last failure by machine, since a task last succeeded
-    bool succeeded = false;                     // a task has been done
-    Time nextBitmapWrite{};                     // earliest time of the next write of bits
+    Time backoffUntil{};                               // after failures, no task is started before this time
+    std::map<std::string, Time> lastFailureByMachine;  // last failure by machine, since a task last succeeded
+    bool succeeded = false;                            // a task has been done
+    Time nextBitmapWrite{};                            // earliest time of the next write of bits
 
     // Image locality, computed at intervals and not for each heartbeat.
     std::uint32_t roomWithImage = 0;  // number of tasks that fit on machines with the image
-    Time cachedRoomUntil{};           // when roomWithImage expires
+    Time roomWithImageExpiresAt{};    // when roomWithImage expires
     bool imageWait = false;           // the job should wait for a machine with the image
     Time imageWaitUntil{};            // when imageWait expires
 };
--- a/src/bookkeeping/placement.h
+++ b/src/bookkeeping/placement.h
@@ -32,8 +32,8 @@
     Time since{};                    // when it entered its state
     Time runningSince{};
     bool stopping = false;
-    Seconds grace{0};   // while stopping: the time it has to save its state
-    bool seen = false;  // the status that is being reconciled lists it
+    Seconds grace{0};             // while stopping: the time it has to save its state
+    bool listedInStatus = false;  // the status that is being reconciled lists it
 };
 
 /// The key of an attempt among the placements of a machine. Ordered by the job's id, so that decisions do not
--- a/src/bookkeeping/resources.cpp
+++ b/src/bookkeeping/resources.cpp
@@ -6,7 +6,7 @@
 
 namespace burlpoint::bookkeeping {
 
-std::uint32_t Resources::times(const Resources& need) const {
+std::uint32_t Resources::fitCount(const Resources& need) const {
     double most = protocol::kMaxTasks;
     const auto bound = [&](double available, double needed) {
         if (needed > 0) most = std::min(most, (available + kSlack) / needed);
--- a/src/bookkeeping/resources.h
+++ b/src/bookkeeping/resources.h
@@ -38,7 +38,7 @@
         return need.cpus <= cpus + kSlack && need.gpus <= gpus + kSlack && need.memoryGb <= memoryGb + kSlack;
     }
     /// How many times `need` fits into this amount, at most protocol::kMaxTasks.
-    std::uint32_t times(const Resources& need) const;
+    std::uint32_t fitCount(const Resources& need) const;
 };
 
 /// The resources that one task of the job needs.
--- a/src/coordination/autoscaling/bin_packing.cpp
+++ b/src/coordination/autoscaling/bin_packing.cpp
@@ -20,7 +20,7 @@
 }  // namespace
 
 std::uint32_t TaskDemand::tasksThatFit(const Resources& room, const std::string& zone) const {
-    return std::min({room.times(perTask), unpacked, remainingTasksInZone(job.spec, tasksPerZone, zone)});
+    return std::min({room.fitCount(perTask), unpacked, remainingTasksInZone(job.spec, tasksPerZone, zone)});
 }
 
 void BinPacking::addMachine(const Machine& machine, Time now) {
@@ -70,7 +70,7 @@
     std::map<std::string, std::uint32_t> roomPerZone;
     for (const auto& bin : bins_) {
         if (!bin.room.covers(demand.perTask) || !admits(bin, demand.job)) continue;
-        roomPerZone[bin.offering.zone] += bin.room.times(demand.perTask);
+        roomPerZone[bin.offering.zone] += bin.room.fitCount(demand.perTask);
     }
     return roomPerZone;
 }
--- a/src/coordination/autoscaling/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -56,7 +56,7 @@
 
 void CapacityPlan::add(const Job& job) {
     if (job.terminalState != TerminalState::none || job.run->waiting == 0) return;
-    if (job.run->errorMachines.size() >= kMaxErrorMachines) return;
+    if (job.run->lastFailureByMachine.size() >= kMaxErrorMachines) return;
     const auto withinQuota = quota_.admit(job.spec, job.run->waiting);
     const auto concurrency =
         targetConcurrency(job, withinQuota, inputs_.policy, inputs_.dueTime, inputs_.now);
--- a/src/coordination/controller/peer_messenger.cpp
+++ b/src/coordination/controller/peer_messenger.cpp
@@ -26,7 +26,7 @@
 PeerMessenger::PeerMessenger(const PeerMessengerContext& context) : context_(context) {}
 
 bool PeerMessenger::onlyThisControllerRefused(Time now) const {
-    return context_.peers.refusedAlone(context_.state.lastAnswer(), now);
+    return context_.peers.isolatedFromStore(context_.state.lastAnswer(), now);
 }
 
 bool PeerMessenger::anyPeerInTouch(Time now) const {
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -81,7 +81,7 @@
 // leader, and all tasks would be lost. Therefore the key-value store must have answered a peer for a while
 // after its last answer to this controller. A refusal that is directly followed by an outage is no reason to
 // resign, as the peers' votes extend the leader's lease.
-bool PeerExchange::refusedAlone(Time lastAnswer, Time now) const {
+bool PeerExchange::isolatedFromStore(Time lastAnswer, Time now) const {
     if (now - lastAnswer < kIsolatedAfter) return false;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
         const auto& view = entry.second;
--- a/src/coordination/leadership/peer_exchange.h
+++ b/src/coordination/leadership/peer_exchange.h
@@ -47,7 +47,7 @@
 
     /// True if the key-value store answers at least one peer but not this controller, which received its last
     /// answer at `lastAnswer`. False if it answers no controller, as in an outage that affects all of them.
-    bool refusedAlone(Time lastAnswer, Time now) const;
+    bool isolatedFromStore(Time lastAnswer, Time now) const;
 
     /// Sets the fields of a leader's question to `peer` that describe which cancellations are known here, so
     /// that the peer answers with the others. Overwrites the values that an earlier call set.
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -167,7 +167,8 @@
 /// is at most the number of the job's waiting tasks.
 void DegradedFirstScheduler::reserveForWaitingJob(Machine& machine, const Job& job, Time now) {
     const auto& run = *job.run;
-    if (run.waiting == 0 || machine.reservation.isActive(now) || bookkeeping::isLargeGang(job.spec)) return;
+    if (run.waiting == 0 || machine.reservation.isActive(now) || bookkeeping::isMultiTaskGang(job.spec))
+        return;
     const auto need = bookkeeping::needOf(job.spec);
     if (availableCapacity(machine, job, now).covers(need)) return;
     if (!capacityWithPreemption(machine, job, now).covers(need)) return;
--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -26,10 +26,10 @@
 
 void FetchPacing::admit(Job& job, const Fleet& fleet) const {
     if (job.run->admitted || machinesUp_ == 0) return;
-    const auto& withImage = fleet.withImage(job.image());
-    const auto upWithImage = std::count_if(withImage.begin(), withImage.end(), [](const auto* machine) {
-        return machine->lease.active && machine->agent.acknowledged;
-    });
+    const auto& machinesWithImage = fleet.machinesWithImage(job.image());
+    const auto upWithImage = std::count_if(
+        machinesWithImage.begin(), machinesWithImage.end(),
+        [](const auto* machine) { return machine->lease.active && machine->agent.acknowledged; });
     // The ratio is limited to 1, because machines that came up since the last refresh are in the first count
     // only.
     const double share = std::min(1.0, static_cast<double>(upWithImage) / static_cast<double>(machinesUp_));
@@ -61,7 +61,7 @@
     }
     for (auto& [image, work] : imageWork_) {
         double processors = 0;
-        for (const auto* machine : fleet.withImage(image))
+        for (const auto* machine : fleet.machinesWithImage(image))
             if (machine->lease.active && machine->typeInfo) processors += machine->typeInfo->cpus;
         work = processors > 0 ? work / processors : 0;
     }
--- a/src/coordination/scheduling/gang_capacity.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -16,7 +16,7 @@
 
 std::uint32_t tasksWithReplicasOnly(const Machine& machine, const Resources& need) {
     const auto replicas = machine.use.plain[bookkeeping::kReplicaUse];
-    return (bookkeeping::sizeOf(*machine.typeInfo) - replicas).times(need);
+    return (bookkeeping::sizeOf(*machine.typeInfo) - replicas).fitCount(need);
 }
 
 void addMachine(Machine& machine, const Job& job, const PlacementConstraints& constraints, Time now,
@@ -27,9 +27,9 @@
     if (!bookkeeping::sizeOf(*machine.typeInfo).covers(need)) return;
     if (!constraints.mayStart(job, machine, now)) return;
     if (isReservedByPreemption(machine, now) && machine.reservation.job != &job) return;
-    const auto tasks = capacityWithPreemption(machine, job, now).times(need);
+    const auto tasks = capacityWithPreemption(machine, job, now).fitCount(need);
     if (tasks == 0) return;
-    capacity.free += availableCapacity(machine, job, now).times(need);
+    capacity.free += availableCapacity(machine, job, now).fitCount(need);
     capacity.withPreemption += tasks;
     capacity.machines.push_back({&machine, tasks});
 }
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -72,7 +72,7 @@
 }
 
 bool GangPlanner::isDue(const Job& job, Time now) const {
-    if (!bookkeeping::isLargeGang(job.spec) || job.terminalState != TerminalState::none) return false;
+    if (!bookkeeping::isMultiTaskGang(job.spec) || job.terminalState != TerminalState::none) return false;
     if (job.run->waiting == 0 || job.run->backoffUntil > now || !mayComplete(job, now)) return false;
     if (blockedByUnreconciled(job, fleet_)) return false;
     return withinTeamQuota(job, job.run->waiting, fleet_, types_);
@@ -131,7 +131,7 @@
     for (auto* machine : machines) {
         if (zone != kAllZones && machine->zone != zone) continue;
         if (!isCandidate(*machine, job, now)) continue;
-        const auto tasks = availableCapacity(*machine, job, now).times(need);
+        const auto tasks = availableCapacity(*machine, job, now).fitCount(need);
         if (tasks == 0) continue;
         candidates.push_back({machine, tasks, scoreOf(*machine, job), machine->hasImage(job.image())});
     }
@@ -143,7 +143,7 @@
     if (!constraints_.mayStart(job, machine, now)) return false;
     // A machine where a task of this attempt has ended must not get a replacement under the same attempt
     // number.
-    return job.run->placedTotal == 0 || !job.run->machinesLeft.contains(machine.id);
+    return job.run->placedTotal == 0 || !job.run->machinesWithEndedTasks.contains(machine.id);
 }
 
 /// Chooses a machine for each waiting task, in the order of the candidates. Returns fewer if the limit of
@@ -166,7 +166,7 @@
 void GangPlanner::place(const Machines& chosen, Job& job, Time now) {
     if (job.run->placedTotal == 0) {
         job.run->gangAttempt = attemptIds_.next();
-        job.run->machinesLeft.clear();
+        job.run->machinesWithEndedTasks.clear();
     }
     std::uint32_t task = 0;
     for (auto* machine : chosen) {
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -34,17 +34,17 @@
 
 std::uint32_t ImageLocality::capacityWithImage(Job& job, Time now) {
     auto& run = *job.run;
-    if (now < run.cachedRoomUntil) return run.roomWithImage;
-    run.cachedRoomUntil = now + kCacheTime;
+    if (now < run.roomWithImageExpiresAt) return run.roomWithImage;
+    run.roomWithImageExpiresAt = now + kCacheTime;
     run.roomWithImage = 0;
     const auto maxHeartbeatAge = toClockDuration(settings_.heartbeatInterval * kMaxHeartbeatIntervals);
     const auto need = bookkeeping::needOf(job.spec);
-    for (const auto* machine : fleet_.withImage(job.image())) {
+    for (const auto* machine : fleet_.machinesWithImage(job.image())) {
         scans_.add();
         if (!hasFreeCpus(*machine, need.cpus) || !usable(*machine, now)) continue;
         if (now - machine->lease.lastHeartbeat > maxHeartbeatAge) continue;
         if (!constraints_.mayStart(job, *machine, now)) continue;
-        run.roomWithImage += availableCapacity(*machine, job, now).times(need);
+        run.roomWithImage += availableCapacity(*machine, job, now).fitCount(need);
         if (run.roomWithImage >= run.waiting) break;
     }
     return run.roomWithImage;
@@ -66,7 +66,7 @@
     if (now < run.imageWaitUntil) return run.imageWait;
     run.imageWaitUntil = now + kCacheTime;
     const auto need = bookkeeping::needOf(job.spec);
-    const auto& machines = fleet_.withImage(job.image());
+    const auto& machines = fleet_.machinesWithImage(job.image());
     run.imageWait = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         scans_.add();
         if (!usable(*machine, now) || !constraints_.mayStart(job, *machine, now)) return false;
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -124,7 +124,7 @@
     run.overdue = age > policy_.longestPassedOver;
     if (!run.overdue) return;
     run.positionInRank = kOverduePosition;
-    if (!run.began() && job.doneCount == 0) setRank(job, std::max(rankOf(job), Rank::overdue));
+    if (!run.anyTaskStarted() && job.doneCount == 0) setRank(job, std::max(rankOf(job), Rank::overdue));
 }
 
 /// The position of a job with a deadline. The least remaining work comes first, so that as many jobs as
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -35,7 +35,7 @@
 }
 
 bool avoidsAfterFailure(const Job& job, const Machine& machine, Time now) {
-    const auto& failures = job.run->errorMachines;
+    const auto& failures = job.run->lastFailureByMachine;
     const auto failed = failures.find(machine.id);
     if (failed == failures.end() || failures.size() >= kMaxAvoidedMachines) return false;
     return now - failed->second < kFailureAvoidanceTime;
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -74,7 +74,7 @@
         }
         auto& job = *jobs[index];
         if (!isDue(job, now)) continue;
-        if (!bookkeeping::isLargeGang(job.spec))
+        if (!bookkeeping::isMultiTaskGang(job.spec))
             preemptions += preemptForTasks(job, now);
         else if (preemptForGang(job, now))
             ++preemptions;
@@ -93,7 +93,7 @@
     if (job.terminalState != TerminalState::none || run.waiting == 0 || run.backoffUntil > now) return false;
     if (Seconds(now - run.waitingSince) < maxWaitBeforePreemption(job)) return false;
     if (blockedByUnreconciled(job, context_.fleet)) return false;
-    const auto tasks = bookkeeping::isLargeGang(job.spec) ? run.waiting : 1;
+    const auto tasks = bookkeeping::isMultiTaskGang(job.spec) ? run.waiting : 1;
     return withinTeamQuota(job, tasks, context_.fleet, context_.types);
 }
 
@@ -160,7 +160,8 @@
 Preemption::CapacitySurvey Preemption::surveyCapacity(Job& job, Time now) {
     CapacitySurvey survey{0, job.run->zones, {}};
     if (context_.images.waitsForImage(job, now)) {
-        for (auto* machine : context_.fleet.withImage(job.image())) surveyMachine(*machine, job, now, survey);
+        for (auto* machine : context_.fleet.machinesWithImage(job.image()))
+            surveyMachine(*machine, job, now, survey);
         return survey;
     }
     for (const auto& [id, machine] : context_.fleet.machines()) {
@@ -183,7 +184,7 @@
     }
     const auto need = bookkeeping::needOf(job.spec);
     // Tasks that fit now start with the machine's next heartbeat.
-    const auto fitting = availableCapacity(machine, job, now).times(need);
+    const auto fitting = availableCapacity(machine, job, now).fitCount(need);
     survey.expected += fitting;
     if (fitting > 0) return;
     if (capacityWithPreemption(machine, job, now).covers(need)) survey.candidates.push_back(&machine);
--- a/src/coordination/scheduling/preemption_plan.cpp
+++ b/src/coordination/scheduling/preemption_plan.cpp
@@ -82,7 +82,7 @@
                 Time now) {
     const auto& spec = placement.job->spec;
     if (placement.job == &job) return false;
-    if (spec.kind == JobKind::service || bookkeeping::isLargeGang(spec)) return false;
+    if (spec.kind == JobKind::service || bookkeeping::isMultiTaskGang(spec)) return false;
     if (job.priority() != Priority::production && isProtectedStart(placement, now)) return false;
     if (placement.job->priority() < job.priority()) return true;
     return reclaimsGuaranteedQuota(placement, job, fleet, settings);
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -33,7 +33,7 @@
 }
 
 void TaskTerminator::stopJob(Job& job, Seconds grace, Time now) {
-    const bool openGang = bookkeeping::isLargeGang(job.spec) && job.terminalState == TerminalState::none;
+    const bool openGang = bookkeeping::isMultiTaskGang(job.spec) && job.terminalState == TerminalState::none;
     for (auto [machine, placement] : fleet_.placementsOf(job)) {
         if (placement->state == PlacementState::planned) {
             fleet_.remove(*machine, machine->placements.find({&job, placement->task, placement->attempt}));
--- a/src/coordination/workers/attempt_completion.cpp
+++ b/src/coordination/workers/attempt_completion.cpp
@@ -107,7 +107,7 @@
 /// Attributes a failure to the machine or to the job: a faulty machine fails the tasks of many jobs, whereas
 /// a faulty job fails on many machines.
 void AttemptCompletion::recordFailure(Machine& machine, Job& job, Time now) {
-    auto& failures = job.run->errorMachines;
+    auto& failures = job.run->lastFailureByMachine;
     failures[machine.id] = now;
     if (failures.size() < kFaultyJobMachines) {
         machine.history.failedJobs.insert(job.spec.id);
@@ -134,7 +134,7 @@
 void AttemptCompletion::handleGangTaskEnded(Machine& machine, const Placement& placement, ExitReason reason,
                                             Time now) {
     Job& job = *placement.job;
-    job.run->machinesLeft.insert(machine.id);
+    job.run->machinesWithEndedTasks.insert(machine.id);
     const bool replaceable = neverBegan(reason) && gangPlanner_.mayComplete(job, now);
     if (!job.isFinished(placement.task) && !replaceable) terminator_.stopJob(job, job.spec.saveTime, now);
     if (job.run->placedTotal == 0) job.run->gangAttempt = 0;
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -103,7 +103,7 @@
 /// Adopts the tasks that the status lists and ends the placements that it does not list.
 void HeartbeatReconciler::reconcilePlacements(Machine& machine, const Heartbeat& heartbeat,
                                               StatusSource source, Time now) {
-    for (auto& [key, placement] : machine.placements) placement.seen = isPlanned(placement);
+    for (auto& [key, placement] : machine.placements) placement.listedInStatus = isPlanned(placement);
     for (const auto& task : heartbeat.tasks) applyTask(machine, task, now);
     bool startUndelivered = false;
     const auto isGone = [&](const Placement& placement) {
@@ -112,7 +112,7 @@
         const bool mayBeUndelivered =
             source == StatusSource::answer || heartbeat.sequence <= placement.sentSequence;
         const bool inFlight = placement.state == PlacementState::sent && mayBeUndelivered;
-        const bool gone = !placement.seen && !inFlight;
+        const bool gone = !placement.listedInStatus && !inFlight;
         startUndelivered |= gone && placement.state == PlacementState::sent;
         return gone;
     };
@@ -130,7 +130,7 @@
     const bool known = it != machine.placements.end();
     if (known) recordProgress(machine, it->second, state, now);
     auto& placement = known ? it->second : adopt(machine, *job, key, state, now);
-    placement.seen = true;
+    placement.listedInStatus = true;
     if (state != PlacementState::fetching) {
         const double cacheGb = machine.typeInfo ? machine.typeInfo->cacheGb : 0;
         context_.fleet.useImage(machine, job->image(), job->spec.imageGb, cacheGb);
@@ -185,7 +185,7 @@
     if (!job.run) context_.activator.begin(job, JobOrigin::inherited, now);
     if (!markFinished(job, task)) return;
     context_.writer.noteUnstored(job);
-    job.run->errorMachines.clear();
+    job.run->lastFailureByMachine.clear();
     job.run->succeeded = true;
 }
 
@@ -209,7 +209,7 @@
 
 void HeartbeatReconciler::stopForInterruption(Machine& machine, Placement& placement, Time now) {
     const auto& spec = placement.job->spec;
-    if (bookkeeping::isLargeGang(spec)) {
+    if (bookkeeping::isMultiTaskGang(spec)) {
         // A gang can save its progress only if all of its tasks are stopped within a short time. Stopping one
         // task alone would lose the progress of all.
         context_.terminator.stopJob(*placement.job, spec.saveTime, now);
--- a/tests/autoscaling/capacity_plan_test.cpp
+++ b/tests/autoscaling/capacity_plan_test.cpp
@@ -274,11 +274,11 @@
 
 TEST_F(CapacityPlanTest, NothingIsRequestedForTerminatedOrRepeatedlyFailingJobs) {
     auto& job1 = job(makeSpec("wk-1", 1, 8));
-    for (const auto* id : {"m1", "m2"}) job1.run->errorMachines[id] = now;
+    for (const auto* id : {"m1", "m2"}) job1.run->lastFailureByMachine[id] = now;
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
-    job1.run->errorMachines["m3"] = now;
+    job1.run->lastFailureByMachine["m3"] = now;
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
-    job1.run->errorMachines.clear();
+    job1.run->lastFailureByMachine.clear();
     job1.terminalState = storage::TerminalState::cancelled;
     job1.run.reset();
     EXPECT_EQ(plan().missingMachines(), MissingMachines{});
--- a/tests/bookkeeping/fleet_recount.h
+++ b/tests/bookkeeping/fleet_recount.h
@@ -29,7 +29,7 @@
         const bool service = spec.kind == protocol::JobKind::service;
         expected.use.total += need;
         if (spec.gpus <= 0) expected.use.plain[service ? bookkeeping::kReplicaUse : priority] += need;
-        if (!service && !bookkeeping::isLargeGang(spec)) expected.use.preemptible[priority] += need;
+        if (!service && !bookkeeping::isMultiTaskGang(spec)) expected.use.preemptible[priority] += need;
     }
     std::string differences;
     if (differs(expected.use.total, machine.use.total)) differences += "use of " + machine.id + "; ";
@@ -40,7 +40,7 @@
         if (differs(expected.use.preemptible[i], machine.use.preemptible[i]))
             differences += "preemptible use of " + machine.id + "; ";
     for (const auto& [image, gb] : machine.images) {
-        const auto& with = fleet.withImage(image);
+        const auto& with = fleet.machinesWithImage(image);
         if (std::count(with.begin(), with.end(), &machine) != 1)
             differences += "image on " + machine.id + "; ";
     }
--- a/tests/bookkeeping/pipeline_test.cpp
+++ b/tests/bookkeeping/job_dependencies_test.cpp
@@ -167,7 +167,7 @@
 // for a replica that reads each change and for one that reads all records in random order. A job is ready
 // when all its dependencies are done, cancelled when one of them is cancelled, and has at least the priority
 // of its dependents.
-RC_GTEST_PROP(JobDependencies, RecordsReadInAnyOrderThenTheReplicaMatchesTheDefinition, ()) {
+RC_GTEST_PROP(JobDependencies, RecordsReadInAnyOrderThenTheReplicaMatchesTheModel, ()) {
     auto model = randomModel();
     std::uint64_t version = 100;
     StateReplica live;  // reads each change when it is made
@@ -188,7 +188,7 @@
 }
 
 // Covers a chain so long that recursion along it would overflow the stack, and a job with many dependents.
-TEST(JobDependencies, LongChainsAndWideFansThenPrioritiesAndCancellationsPropagate) {
+TEST(JobDependencies, LongChainAndManyDependentsThenPrioritiesAndCancellationsPropagate) {
     constexpr std::size_t kChainLength = 200'000;
     StateReplica replica;
     for (std::size_t n = 0; n < kChainLength; ++n)
--- a/tests/bookkeeping/jobs_test.cpp
+++ b/tests/bookkeeping/jobs_test.cpp
@@ -173,6 +173,6 @@
     auto& machine = fleet.add("m", Time{});
     for (const char* image : {"a", "b", "a", "c"}) fleet.useImage(machine, image, 10, 25);
     EXPECT_TRUE(machine.hasImage("a") && machine.hasImage("c") && !machine.hasImage("b"));
-    EXPECT_EQ(fleet.withImage("a").size(), 1u);
-    EXPECT_TRUE(fleet.withImage("b").empty());
+    EXPECT_EQ(fleet.machinesWithImage("a").size(), 1u);
+    EXPECT_TRUE(fleet.machinesWithImage("b").empty());
 }
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -55,7 +55,7 @@
 // A candidate whose attempt began while nobody led must not depose a controller that won in the meantime.
 TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
     ServiceController a(io, stub);
-    a.until([&] { return a.watcher.synced(); });
+    a.runUntil([&] { return a.watcher.synced(); });
     stub.holdLeaseResponses = true;
     while (stub.store.leases.empty()) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
@@ -64,7 +64,7 @@
                          {storage::keys::kToken, storage::encodeToken(1), 0}},
                         failed);
     stub.answerWatches();
-    a.until([&] { return a.replica.leader.has_value(); });
+    a.runUntil([&] { return a.replica.leader.has_value(); });
     stub.release();
     for (int i = 0; i < 200; ++i) a.election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_EQ(a.fencingToken, 0u);
@@ -84,7 +84,7 @@
                          {storage::keys::kToken, storage::encodeToken(9), 0}},
                         failed);
     stub.answerWatches();
-    a.until([&] { return a.replica.fencingToken == 9; });
+    a.runUntil([&] { return a.replica.fencingToken == 9; });
     a.election.tick(Clock::now());
     EXPECT_EQ(a.fencingToken, 0u);
 }
@@ -94,7 +94,7 @@
 TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
     ServiceController a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
-    b.until([&] { return b.replica.leader.has_value(); });
+    b.runUntil([&] { return b.replica.leader.has_value(); });
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);                   // the leader has not resigned
     b.election.noteResignation(a.fencingToken - 1);  // the token of an earlier leadership
@@ -114,7 +114,7 @@
     ServiceController a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
-    b.until([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
+    b.runUntil([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
     EXPECT_EQ(b.election.voteForExtension("one", a.fencingToken, Clock::now()),
               0ms);  // there is no outage
     const auto later = Clock::now() + 20s;
@@ -129,16 +129,16 @@
     EXPECT_FALSE(a.election.valid(later + duration));
     stub.store.revokeLease(stub.store.leases.begin()->first);
     stub.answerWatches();
-    b.until([&] { return !b.replica.leader; });
+    b.runUntil([&] { return !b.replica.leader; });
     for (int i = 0; i < 100; ++i) b.election.tick(later + i * duration / 120), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
     while (!b.fencingToken) b.election.tick(later + 2 * duration), io.run_one_for(5ms);
     // A restarted process does not know whether it voted before, so it waits as if it had.
     ServiceController c(io, stub, "three");
-    c.until([&] { return c.replica.leader && c.replica.leader->node == "two"; });
+    c.runUntil([&] { return c.replica.leader && c.replica.leader->node == "two"; });
     stub.store.revokeLease(stub.store.leases.rbegin()->first);
     stub.answerWatches();
-    c.until([&] { return !c.replica.leader; });
+    c.runUntil([&] { return !c.replica.leader; });
     for (int i = 0; i < 300; ++i) c.election.tick(Clock::now()), io.run_one_for(2ms);
     EXPECT_EQ(c.fencingToken, 0u);
     while (!c.fencingToken) c.election.tick(Clock::now() + 10s), io.run_one_for(5ms);
@@ -195,7 +195,7 @@
     EXPECT_EQ(a.fencingToken, fencingToken);
     EXPECT_TRUE(a.election.valid(Clock::now()));
     ServiceController b(io, stub, "two", Seconds(1));
-    b.until([&] { return b.watcher.synced(); });
+    b.runUntil([&] { return b.watcher.synced(); });
     a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
     const auto before = stub.store.rateLimited;
     while (stub.store.rateLimited < before + 3) b.election.tick(Clock::now()), io.run_one_for(5ms);
--- a/tests/leadership/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -96,19 +96,19 @@
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the other no longer leads
 }
 
-TEST_F(PeerExchangeTest, PeerServedForAWhileLongerThenRefusedAlone) {
+TEST_F(PeerExchangeTest, PeerAnsweredLongerThenIsolatedFromStore) {
     const auto lastAnswer = start;
     const auto now = start + 4s;
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // no peer is in touch
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now));  // no peer is in touch
     exchange.noteStatus(status("two", 0, 2100), now);
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now));  // the peer is no longer answered either
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now));  // the peer is no longer answered either
     exchange.noteStatus(status("two", 0, 100), now);
-    EXPECT_TRUE(exchange.refusedAlone(lastAnswer, now));
-    EXPECT_FALSE(exchange.refusedAlone(now - 2s, now));  // the store's silence is too short
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now + 3s));
+    EXPECT_TRUE(exchange.isolatedFromStore(lastAnswer, now));
+    EXPECT_FALSE(exchange.isolatedFromStore(now - 2s, now));  // the store's silence is too short
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now + 3s));
     // An outage that directly follows a refusal: the store answered the peer for less than 2 s longer.
     exchange.noteStatus(status("two", 0, 1900), now - 300ms);
-    EXPECT_FALSE(exchange.refusedAlone(lastAnswer, now - 300ms));
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now - 300ms));
 }
 
 TEST_F(PeerExchangeTest, ManyCancellationsThenSentInPartsAndOnlyOnce) {
@@ -149,7 +149,7 @@
     EXPECT_EQ(again.cancelled, answer.cancelled);
 }
 
-TEST_F(PeerExchangeTest, AnswerOfAPeerThenCancellationsAndLogPositionAreTakenIn) {
+TEST_F(PeerExchangeTest, AnswerOfAPeerThenCancellationsAndLogPositionAreApplied) {
     auto answer = status("two");
     answer.cancelled = {{"wk-1", 4}, {"wk-2", 9}};
     answer.log = 77;
--- a/tests/leadership/service_controller.h
+++ b/tests/leadership/service_controller.h
@@ -48,11 +48,11 @@
         watcher.start();
     }
     /// Runs the event loop until the condition is true.
-    void until(const std::function<bool()>& condition) {
+    void runUntil(const std::function<bool()>& condition) {
         while (!condition()) io.run_one();
     }
     /// The user API's response to a request. Its status is 599 if the user API does not serve this path.
-    transport::Response ask(const char* method, const std::string& path, std::string body = {}) {
+    transport::Response callApi(const char* method, const std::string& path, std::string body = {}) {
         std::optional<transport::Response> out;
         transport::Request request;
         request.method = method;
@@ -60,12 +60,12 @@
         request.body = std::move(body);
         if (!userApi.handle(request, [&](transport::Response r) { out = std::move(r); }))
             return {599, "", 0s, ""};
-        until([&] { return out.has_value(); });
+        runUntil([&] { return out.has_value(); });
         return *out;
     }
     /// The job's state as the user API reports it, or the HTTP status of the response if that is not 200.
-    std::string bearing(const std::string& id) {
-        const auto r = ask("GET", "/submissions/" + id);
+    std::string jobState(const std::string& id) {
+        const auto r = callApi("GET", "/submissions/" + id);
         if (r.status != 200) return std::to_string(r.status);
         return protocol::MapReader(protocol::unpackBody(r.body).get()).text("bearing");
     }
--- a/tests/scheduling/gang_planner_test.cpp
+++ b/tests/scheduling/gang_planner_test.cpp
@@ -124,7 +124,7 @@
     const auto attempt = job.run->gangAttempt;
     auto& lost = *fleet.find("m1");
     fleet.remove(lost, lost.placements.begin());
-    job.run->machinesLeft.insert("m1");
+    job.run->machinesWithEndedTasks.insert("m1");
     machine("m3");
     plan();
     EXPECT_EQ(job.run->waiting, 0u);
--- a/tests/simulation/rule_checker.cpp
+++ b/tests/simulation/rule_checker.cpp
@@ -177,7 +177,7 @@
         if (!mayHost(worker, spec)) continue;
         const auto& type = environment_.machineTypes.at(worker.type == "gpu" ? 1 : 0);
         const auto freeResources = bookkeeping::sizeOf(type) - usage.machines[id];
-        placeablePerZone[worker.zone] += freeResources.times(needOf(spec));
+        placeablePerZone[worker.zone] += freeResources.fitCount(needOf(spec));
     }
     std::uint32_t total = 0, largest = 0;
     for (const auto& [zone, placeable] : placeablePerZone) {
--- a/tests/storage/store_limits_test.cpp
+++ b/tests/storage/store_limits_test.cpp
@@ -24,7 +24,7 @@
 TEST_F(StoreLimits, SubmissionBeyondTheNextLimitsIsRefused) {
     ServiceController node(io, stub);
     node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
-    node.until([&] { return node.watcher.synced(); });
+    node.runUntil([&] { return node.watcher.synced(); });
     const auto longTexts = [](const std::string& id) {
         protocol::JobSpec spec;
         spec.id = id;
@@ -40,7 +40,7 @@
         protocol::packSpec(p, spec);
         return p.take();
     };
-    EXPECT_EQ(node.ask("POST", "/submissions", packed(longTexts("wk-1"))).status, 422);
+    EXPECT_EQ(node.callApi("POST", "/submissions", packed(longTexts("wk-1"))).status, 422);
     EXPECT_FALSE(stub.store.values.contains(storage::keys::job("wk-1")));
     std::vector<std::string> failed;
     const auto spec = longTexts("wk-2");
@@ -48,21 +48,21 @@
         {},
         {{storage::keys::job("wk-2"), storage::encodeJob({spec, storage::TerminalState::none, 0, 0, 4}), 0}},
         failed);
-    EXPECT_EQ(node.ask("POST", "/submissions", packed(spec)).status, 200);
-    EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-3")).status, 201);
+    EXPECT_EQ(node.callApi("POST", "/submissions", packed(spec)).status, 200);
+    EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-3")).status, 201);
     const auto handle = protocol::unpackBody(stub.store.values.at(storage::keys::job("wk-3")).data);
     EXPECT_EQ(storage::decodeJob(handle.get()).chunkTasks, storage::chunkTasks(2));
     // A job accepted under the higher limit can be cancelled under the lower one.
     stub.store.limits.maxValueBytes = 2048;
-    EXPECT_EQ(node.ask("POST", "/submissions/wk-2/cancel").status, 200);
-    EXPECT_EQ(node.bearing("wk-2"), "cancelled");
+    EXPECT_EQ(node.callApi("POST", "/submissions/wk-2/cancel").status, 200);
+    EXPECT_EQ(node.jobState("wk-2"), "cancelled");
 }
 
 // When the store's value limit is lower than in the settings, no accepted job may be lost, and no job may be
 // accepted without being stored.
 TEST_F(StoreLimits, UnannouncedLowerLimitLosesNoAcceptedJob) {
     ServiceController node(io, stub);
-    node.until([&] { return node.watcher.synced(); });
+    node.runUntil([&] { return node.watcher.synced(); });
     auto spec = protocol::JobSpec{};
     spec.id = "wk-1";
     spec.jobClass = spec.image = "x";
@@ -70,36 +70,36 @@
     spec.types = std::vector<std::string>{std::string(150, 'h'), "m"};
     MessagePacker p;
     protocol::packSpec(p, spec);
-    EXPECT_EQ(node.ask("POST", "/submissions", p.take()).status, 201);
+    EXPECT_EQ(node.callApi("POST", "/submissions", p.take()).status, 201);
     stub.store.limits.maxValueBytes = 500;
     const auto submitWithId = [&](const std::string& id) {
         auto other = spec;
         other.id = id;
         MessagePacker q;
         protocol::packSpec(q, other);
-        return node.ask("POST", "/submissions", q.take()).status;
+        return node.callApi("POST", "/submissions", q.take()).status;
     };
     EXPECT_EQ(submitWithId("wk-2"), 422);
     EXPECT_EQ(submitWithId("wk-1"), 200);
-    EXPECT_EQ(node.bearing("wk-2"), "404");
-    EXPECT_EQ(node.ask("POST", "/submissions/wk-1/cancel").status, 200);
-    EXPECT_EQ(node.bearing("wk-1"), "cancelled");
+    EXPECT_EQ(node.jobState("wk-2"), "404");
+    EXPECT_EQ(node.callApi("POST", "/submissions/wk-1/cancel").status, 200);
+    EXPECT_EQ(node.jobState("wk-1"), "cancelled");
 }
 
 // A submission whose write exceeds the store's rate limit is retried a few times and then answered with 503
 // and Retry-After. A later submission of the job must succeed.
 TEST_F(StoreLimits, RateLimitedSubmissionIsRetriedBeforeItIsRefused) {
     ServiceController node(io, stub);
-    node.until([&] { return node.watcher.synced(); });
+    node.runUntil([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
-    const auto rejected = node.ask("POST", "/submissions", submission("wk-1"));
+    const auto rejected = node.callApi("POST", "/submissions", submission("wk-1"));
     EXPECT_EQ(rejected.status, 503);
     EXPECT_GE(rejected.retryAfter, 1s);
     EXPECT_GT(stub.store.rateLimited, 1u);
     EXPECT_LT(stub.store.rateLimited, 5u);  // retries slow down
-    EXPECT_EQ(node.bearing("wk-1"), "404");
+    EXPECT_EQ(node.jobState("wk-1"), "404");
     stub.store.limits.changes = 5;
-    EXPECT_EQ(node.ask("POST", "/submissions", submission("wk-1")).status, 201);
+    EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1")).status, 201);
 }
 
 // Each reason for which the store rejects a transaction has its own status. The first rejection for the size
@@ -121,7 +121,7 @@
         std::optional<storage::TransactionStatus> out;
         node.state.transact({}, {write}, 1s,
                             [&](const storage::TransactionResult& result) { out = result.status; });
-        node.until([&] { return out.has_value(); });
+        node.runUntil([&] { return out.has_value(); });
         return *out;
     };
     const auto value = MessagePacker().value("0123456789").take();
