--- a/src/coordination/api/api_responses.cpp
+++ b/src/coordination/api/api_responses.cpp
@@ -7,16 +7,18 @@
 
 using transport::Response;
 
-Response storeUnavailable() { return protocol::retryLater(503, "the state service does not answer"); }
+Response storeUnavailable() {
+    return protocol::makeRetryLaterResponse(503, "the state service does not answer");
+}
 
-Response noSuchJob() { return protocol::respond(404, protocol::errorReply("no such job")); }
+Response noSuchJob() { return protocol::makeResponse(404, protocol::encodeErrorReply("no such job")); }
 
 Response rejected(RejectionReason reason) {
-    return protocol::respond(422, protocol::errorReply(textOf(reason)));
+    return protocol::makeResponse(422, protocol::encodeErrorReply(textOf(reason)));
 }
 
 Response methodNotAllowed(const char* allow) {
-    return protocol::wrongMethod(allow, protocol::errorReply("method not allowed"));
+    return protocol::makeMethodNotAllowedResponse(allow, protocol::encodeErrorReply("method not allowed"));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/api/job_queries.cpp
+++ b/src/coordination/api/job_queries.cpp
@@ -14,7 +14,7 @@
 void JobQueries::replyWithState(const Job& job, const Reply& reply) const {
     const auto running = runningTasks(job);
     const auto state = job.state(running);
-    reply(protocol::respond(200, protocol::jobReply(job.spec.id, state, job.doneCount, running)));
+    reply(protocol::makeResponse(200, protocol::encodeJobReply(job.spec.id, state, job.doneCount, running)));
 }
 
 std::uint32_t JobQueries::runningTasks(const Job& job) const {
--- a/src/coordination/api/submission_handler.cpp
+++ b/src/coordination/api/submission_handler.cpp
@@ -27,11 +27,11 @@
         const auto handle = protocol::unpackBody(body);
         spec = protocol::decodeSpec(handle.get());
     } catch (const protocol::MalformedMessage& error) {
-        return reply(protocol::respond(400, protocol::errorReply(error.what())));
+        return reply(protocol::makeResponse(400, protocol::encodeErrorReply(error.what())));
     }
     if (const auto* job = replica_.find(spec.id)) return replyToResubmission(*job, reply);
     if (!watcher_.synced() || replica_.types.empty())
-        return reply(protocol::retryLater(503, "not able to decide yet"));
+        return reply(protocol::makeRetryLaterResponse(503, "not able to decide yet"));
     if (const auto reason = findRejectionReason(spec, settings_, replica_.types))
         return reject(spec.id, *reason, reply);
     checkDependencies(std::move(spec), reply);
@@ -59,7 +59,7 @@
         const auto missing = missingDependency(spec);
         if (!missing) return writer_.submit(spec, reply);
         const auto message = "needs " + *missing + ", which was never accepted";
-        reply(protocol::respond(422, protocol::errorReply(message)));
+        reply(protocol::makeResponse(422, protocol::encodeErrorReply(message)));
     });
 }
 
--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -32,7 +32,7 @@
 void SubmissionWriter::submit(JobSpec spec, const Reply& reply) {
     const auto now = Clock::now();
     if (const auto retryAfter = queue_.retryAfterIfFull(now))
-        return reply(protocol::retryLater(429, "too many submissions", *retryAfter));
+        return reply(protocol::makeRetryLaterResponse(429, "too many submissions", *retryAfter));
     queue_.add({std::move(spec), reply, now});
     serveQueue();
 }
@@ -40,7 +40,7 @@
 void SubmissionWriter::serveQueue() {
     const auto now = Clock::now();
     for (const auto& expired : queue_.takeExpired(now))
-        expired.reply(protocol::retryLater(503, "the state service is busy"));
+        expired.reply(protocol::makeRetryLaterResponse(503, "the state service is busy"));
     while (auto submission = queue_.takeNext(now)) write(std::move(*submission));
     if (!queue_.empty()) serveQueueAfter(kQueuePause);
 }
@@ -70,7 +70,7 @@
     const auto& id = submission.spec.id;
     switch (result.status) {
         case TransactionStatus::applied:
-            submission.reply(protocol::respond(201, protocol::jobReply(id, JobState::queued)));
+            submission.reply(protocol::makeResponse(201, protocol::encodeJobReply(id, JobState::queued)));
             break;
         case TransactionStatus::conflict:  // accepted before, perhaps by another controller
             queries_.replyAfterRead(id, noSuchJob(), submission.reply);
--- a/src/coordination/autoscaling/scale_in_rules.cpp
+++ b/src/coordination/autoscaling/scale_in_rules.cpp
@@ -21,7 +21,7 @@
 
 bool failedToBoot(const Machine& machine, Time now) {
     if (!machine.typeInfo) return false;
-    const auto limit = toClockDuration(machine.typeInfo->boot * kMaxBootTimes + kBootMargin);
+    const auto limit = toClockDuration(machine.typeInfo->bootTime * kMaxBootTimes + kBootMargin);
     return now - machine.cloud.firstSeenAt > limit;
 }
 
@@ -46,11 +46,12 @@
 bool ScaleInRules::isIdle(const Machine& machine, Time now) const {
     // A machine of a type that boots slowly is kept longer, since the next job would have to wait for a full
     // boot.
-    const auto bootKeep = machine.typeInfo ? machine.typeInfo->boot * policy_.bootKeep : Seconds(0);
-    const auto idleKeep = toClockDuration(std::max(policy_.idleKeep, bootKeep));
-    const auto minimumKeep = toClockDuration(policy_.minimumKeep);
-    return now - machine.history.lastBusyAt > idleKeep && now - machine.cloud.firstSeenAt > minimumKeep &&
-           machine.reservation.until <= now;
+    const auto bootRetention =
+        machine.typeInfo ? machine.typeInfo->bootTime * policy_.bootRetention : Seconds(0);
+    const auto idleRetention = toClockDuration(std::max(policy_.idleRetention, bootRetention));
+    const auto minRetention = toClockDuration(policy_.minRetention);
+    return now - machine.history.lastBusyAt > idleRetention &&
+           now - machine.cloud.firstSeenAt > minRetention && machine.reservation.until <= now;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -46,7 +46,7 @@
 ScaleOutCompleted readInstanceResponse(const HttpResult& result, const std::string& name) {
     ScaleOutCompleted event;
     event.name = name;
-    const bool noCapacity = result.status == 503 && protocol::saysNoCapacity(result.body);
+    const bool noCapacity = result.status == 503 && protocol::isCapacityError(result.body);
     if (result.status == 400 || noCapacity) event.outcome = InstanceRequestOutcome::rejected;
     if (!result.ok()) return event;
     try {
@@ -72,7 +72,7 @@
 void ActionExecutor::end() {
     ++epoch_;
     fencingToken_ = 0;
-    for (auto& [request, reply] : std::exchange(pendingHeartbeats_, {})) reply(protocol::respond(503));
+    for (auto& [request, reply] : std::exchange(pendingHeartbeats_, {})) reply(protocol::makeResponse(503));
 }
 
 std::uint64_t ActionExecutor::addPendingHeartbeat(Reply reply) {
@@ -100,8 +100,8 @@
     const auto reply = std::move(found->second);
     pendingHeartbeats_.erase(found);
     if (action.verdict == HeartbeatVerdict::refused || !mayActAsLeader())
-        return reply(protocol::respond(503));
-    reply(protocol::respond(200, protocol::encodeHeartbeatResponse(fencingToken_, action.commands)));
+        return reply(protocol::makeResponse(503));
+    reply(protocol::makeResponse(200, protocol::encodeHeartbeatResponse(fencingToken_, action.commands)));
 }
 
 void ActionExecutor::execute(SendCommands& action) {
@@ -166,7 +166,7 @@
         if (result.ok()) {
             auto page = protocol::decodeInstancePage(result.body);
             std::move(page.machines.begin(), page.machines.end(), std::back_inserter(listed->machines));
-            if (page.more && !listed->machines.empty())
+            if (page.hasMore && !listed->machines.empty())
                 return requestPage(listed->machines.back().id, listed);
             listed->complete = true;
         }
--- a/src/coordination/controller/heartbeat_endpoint.cpp
+++ b/src/coordination/controller/heartbeat_endpoint.cpp
@@ -16,7 +16,7 @@
     : election_(election), leader_(leader), forwarder_(forwarder) {}
 
 void HeartbeatEndpoint::serve(transport::Request request, transport::Reply reply, HeartbeatOrigin origin) {
-    if (request.method != "POST") return reply(protocol::wrongMethod("POST"));
+    if (request.method != "POST") return reply(protocol::makeMethodNotAllowedResponse("POST"));
     const auto now = Clock::now();
     if (!election_.valid(now) || !leader_.leader()) {
         const auto role = election_.leading() ? LocalRole::leader : LocalRole::follower;
@@ -27,7 +27,7 @@
         event.heartbeat = protocol::decodeHeartbeat(request.body);
     } catch (const protocol::MalformedMessage& error) {
         spdlog::error("malformed heartbeat error={}", error.what());
-        return reply(protocol::respond(400, protocol::errorReply(error.what())));
+        return reply(protocol::makeResponse(400, protocol::encodeErrorReply(error.what())));
     }
     event.cancellationsCurrent = election_.cancellationsCurrent(Clock::now());
     leader_.handleHeartbeat(std::move(event), std::move(reply));
--- a/src/coordination/controller/heartbeat_forwarder.cpp
+++ b/src/coordination/controller/heartbeat_forwarder.cpp
@@ -22,7 +22,7 @@
 
 /// A redirect to the controller of that name. An empty name means any other controller.
 Response redirectTo(const std::string& controller) {
-    return protocol::respond(421, protocol::encodeRedirect(controller));
+    return protocol::makeResponse(421, protocol::encodeRedirect(controller));
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
     try {
         machine = protocol::decodeHeartbeat(heartbeat.body).machine;
     } catch (const protocol::MalformedMessage& error) {
-        return heartbeat.reply(protocol::respond(400, protocol::errorReply(error.what())));
+        return heartbeat.reply(protocol::makeResponse(400, protocol::encodeErrorReply(error.what())));
     }
     // Without this limit, the heartbeats of hundreds of workers after a failover used up the free sockets.
     // Forwarding then failed, and each worker lost a second with every controller until its lease expired.
@@ -81,7 +81,8 @@
     http_.request(peer->address, "POST", protocol::paths::kRelay, heartbeat.body, kForwardTimeout,
                   [this, reply = std::move(heartbeat.reply)](HttpResult result) {
                       --forwarding_;
-                      if (result.status == 200) return reply(protocol::respond(200, std::move(result.body)));
+                      if (result.status == 200)
+                          return reply(protocol::makeResponse(200, std::move(result.body)));
                       reply(redirectTo(""));
                   });
 }
--- a/src/coordination/controller/peer_messenger.cpp
+++ b/src/coordination/controller/peer_messenger.cpp
@@ -84,13 +84,13 @@
 }
 
 void PeerMessenger::serve(const transport::Request& request, const transport::Reply& reply) {
-    if (request.method != "POST") return reply(protocol::respond(405));
+    if (request.method != "POST") return reply(protocol::makeResponse(405));
     try {
         const auto query = protocol::decodePeerStatus(request.body);
         const auto answer = answerTo(query, Clock::now());
-        reply(protocol::respond(200, protocol::encodePeerStatus(answer)));
+        reply(protocol::makeResponse(200, protocol::encodePeerStatus(answer)));
     } catch (const MalformedMessage& error) {
-        reply(protocol::respond(400, protocol::errorReply(error.what())));
+        reply(protocol::makeResponse(400, protocol::encodeErrorReply(error.what())));
     }
 }
 
--- a/src/coordination/controller/request_router.cpp
+++ b/src/coordination/controller/request_router.cpp
@@ -23,24 +23,27 @@
 
 void RequestRouter::serveClient(IncomingRequest& incoming) {
     auto& [request, reply, listener] = incoming;
-    if (request.tooLarge) return reply(protocol::respond(413, protocol::errorReply("more than 64 KiB")));
+    if (request.tooLarge)
+        return reply(protocol::makeResponse(413, protocol::encodeErrorReply("more than 64 KiB")));
     if (request.path == paths::kReady) return serveReadiness(incoming);
     if (request.path == paths::kHeartbeat)
         return heartbeats_.serve(std::move(request), std::move(reply), HeartbeatOrigin::worker);
-    if (!userApi_.handle(request, reply)) reply(protocol::respond(404, protocol::errorReply("no such path")));
+    if (!userApi_.handle(request, reply))
+        reply(protocol::makeResponse(404, protocol::encodeErrorReply("no such path")));
 }
 
 void RequestRouter::serveReadiness(const IncomingRequest& incoming) const {
-    if (incoming.request.method != "GET") return incoming.reply(protocol::wrongMethod("GET"));
-    incoming.reply(protocol::respond(readiness_.ready() ? 200 : 503));
+    if (incoming.request.method != "GET")
+        return incoming.reply(protocol::makeMethodNotAllowedResponse("GET"));
+    incoming.reply(protocol::makeResponse(readiness_.ready() ? 200 : 503));
 }
 
 void RequestRouter::servePeer(IncomingRequest& incoming) {
     auto& [request, reply, listener] = incoming;
-    if (request.tooLarge) return reply(protocol::respond(413));
+    if (request.tooLarge) return reply(protocol::makeResponse(413));
     if (request.path == paths::kRelay)
         return heartbeats_.serve(std::move(request), std::move(reply), HeartbeatOrigin::peer);
-    if (request.path != paths::kPeer) return reply(protocol::respond(404));
+    if (request.path != paths::kPeer) return reply(protocol::makeResponse(404));
     peers_.serve(request, reply);
 }
 
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -44,8 +44,8 @@
     // The default is at most half of the workers' lease: when a leader hangs, its workers first wait for it
     // and then look for its successor, which must answer all of them before their leases expire. A longer
     // lease is not needed for outages of the key-value store, in which the peers' votes extend it.
-    const auto preferred = policy.leadership.count() > 0
-                               ? policy.leadership
+    const auto preferred = policy.leaderLease.count() > 0
+                               ? policy.leaderLease
                                : std::clamp(settings.workerLease * 0.5, Seconds(2), Seconds(8));
     maxTimeWithoutRead_ = maxTimeWithoutRead(settings);
     leaseDuration_ = std::min(std::chrono::duration_cast<Duration>(preferred), maxTimeWithoutRead_);
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -94,29 +94,29 @@
     const auto view = peers_.find(peer);
     const bool known = view != peers_.end();
     question.revision = replica_.revision;
-    question.log = known ? view->second.cancellationLogId : 0;
-    question.logAt = known ? view->second.cancellationLogPosition : 0;
+    question.logId = known ? view->second.cancellationLogId : 0;
+    question.logPosition = known ? view->second.cancellationLogPosition : 0;
 }
 
 void PeerExchange::appendCancellations(const PeerStatus& asking, PeerStatus& answer) const {
     const auto& known = replica_.cancelled();
-    answer.log = cancellationLogId_;
+    answer.logId = cancellationLogId_;
     // A position in the log of an earlier process of this controller is not valid in the log of this process.
-    const bool sameLog = asking.log == cancellationLogId_;
-    auto position = sameLog ? std::min<std::uint64_t>(asking.logAt, known.size()) : 0;
+    const bool sameLog = asking.logId == cancellationLogId_;
+    auto position = sameLog ? std::min<std::uint64_t>(asking.logPosition, known.size()) : 0;
     for (; position < known.size() && answer.cancelled.size() < kMaxCancellationsPerMessage; ++position) {
         const auto& job = *known[position];
         if (job.version > asking.revision) answer.cancelled.push_back({job.spec.id, job.version});
     }
-    answer.logAt = position;
+    answer.logPosition = position;
     answer.complete = position == known.size();
 }
 
 bool PeerExchange::applyCancellations(const PeerStatus& answer) {
     for (const auto& cancellation : answer.cancelled) noteCancelled_(cancellation);
     auto& view = peers_[answer.node];
-    view.cancellationLogId = answer.log;
-    view.cancellationLogPosition = answer.logAt;
+    view.cancellationLogId = answer.logId;
+    view.cancellationLogPosition = answer.logPosition;
     return !answer.cancelled.empty() && !answer.complete;
 }
 
--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -130,7 +130,7 @@
 }
 
 Seconds FetchPacing::expectedFetchTime() const {
-    return recordedFetchTimes_ > 0 ? meanFetchTime_ : policy_.fetchStart;
+    return recordedFetchTimes_ > 0 ? meanFetchTime_ : policy_.initialFetchEstimate;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/fetch_pacing.h
+++ b/src/coordination/scheduling/fetch_pacing.h
@@ -58,8 +58,8 @@
     /// Records the duration of a fetch whose end a worker's heartbeat reported.
     void recordFetchTime(Seconds took);
 
-    /// The paper's threshold: the moving average of the recorded fetch times, or the policy's `fetchStart`
-    /// before the first one is recorded.
+    /// The paper's threshold: the moving average of the recorded fetch times, or the policy's
+    /// `initialFetchEstimate` before the first one is recorded.
     Seconds expectedFetchTime() const;
 
   private:
--- a/src/coordination/scheduling/job_activator.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -22,7 +22,7 @@
     std::optional<Seconds> shortest;
     for (const auto& objective : settings.objectives) {
         if (objective.kind != kWaitObjective || objective.jobClass != jobClass) continue;
-        shortest = std::min(shortest.value_or(objective.within), objective.within);
+        shortest = std::min(shortest.value_or(objective.timeLimit), objective.timeLimit);
     }
     return shortest;
 }
--- a/src/coordination/scheduling/job_queue.cpp
+++ b/src/coordination/scheduling/job_queue.cpp
@@ -121,7 +121,7 @@
     run.positionInRank = job.dueAtMs ? positionByDeadline(job, clock, now) : kArrivalPosition;
     // Overdue jobs are served first, in order of arrival, so that none starves.
     const Seconds age = now - run.readyAt;
-    run.overdue = age > policy_.longestPassedOver;
+    run.overdue = age > policy_.starvationThreshold;
     if (!run.overdue) return;
     run.positionInRank = kOverduePosition;
     if (!run.anyTaskStarted() && job.doneCount == 0) setRank(job, std::max(rankOf(job), Rank::overdue));
--- a/src/coordination/scheduling/job_queue.h
+++ b/src/coordination/scheduling/job_queue.h
@@ -23,7 +23,7 @@
     normal,
     high,
     guaranteed,  // within its team's guaranteed quota
-    overdue,     // has waited longer than the policy's longestPassedOver, and not begun
+    overdue,     // has waited longer than the policy's starvationThreshold, and not begun
     production
 };
 
--- a/src/coordination/scheduling/zone_reservations.cpp
+++ b/src/coordination/scheduling/zone_reservations.cpp
@@ -22,7 +22,7 @@
 constexpr auto kOpenInterval = 30s;
 // A job may start in the open interval if it has waited for this long without any task on a machine.
 constexpr auto kMinWaitInOpenInterval = 20s;
-// A gang has to wait for the policy's `longestPassedOver` divided by this before it has a zone reserved.
+// A gang has to wait for the policy's `starvationThreshold` divided by this before it has a zone reserved.
 constexpr double kMinAgeDivisor = 3;
 
 }  // namespace
@@ -38,7 +38,7 @@
         return;
     }
     const auto readyAt = gang.run->readyAt;
-    if (now - readyAt <= policy_.longestPassedOver / kMinAgeDivisor) return;
+    if (now - readyAt <= policy_.starvationThreshold / kMinAgeDivisor) return;
     const auto holder = byZone_.find(zone);
     const bool taken = holder != byZone_.end();
     // The oldest gang has precedence; otherwise a sequence of younger gangs could starve it.
--- a/src/coordination/scheduling/zone_reservations.h
+++ b/src/coordination/scheduling/zone_reservations.h
@@ -27,7 +27,7 @@
 
     /// Reserves the zone for the gang for 10 s. Must be called again to renew the reservation while the gang
     /// waits. A gang that has a zone keeps it, whichever zone is passed. Does nothing for a gang that has
-    /// been ready for at most a third of the policy's `longestPassedOver`, nor while an older gang has the
+    /// been ready for at most a third of the policy's `starvationThreshold`, nor while an older gang has the
     /// reservation.
     void reserve(const bookkeeping::Job& gang, const std::string& zone, Time now);
 
--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -58,10 +58,10 @@
         load_.keys.insert(entry.key);
         apply(entry, changes);
     }
-    const bool more = page.more && !page.entries.empty();
-    if (!more) replica_.dropUnread(load_.keys, changes);
+    const bool hasMore = page.hasMore && !page.entries.empty();
+    if (!hasMore) replica_.dropUnread(load_.keys, changes);
     notifyChanges(changes);
-    if (more) return loadPage(page.entries.back().key);
+    if (hasMore) return loadPage(page.entries.back().key);
     finishLoad();
 }
 
--- a/src/coordination/workers/attempt_completion.cpp
+++ b/src/coordination/workers/attempt_completion.cpp
@@ -31,7 +31,7 @@
 
 /// True if the worker did not begin the attempt, according to its exit reason.
 bool neverBegan(ExitReason reason) {
-    return reason == ExitReason::none || reason == ExitReason::noRoom || reason == ExitReason::busy;
+    return reason == ExitReason::none || reason == ExitReason::machineFull || reason == ExitReason::busy;
 }
 
 }  // namespace
@@ -92,11 +92,11 @@
         case ExitReason::error:
             recordFailure(machine, job, now);
             break;
-        case ExitReason::noRoom:
+        case ExitReason::machineFull:
         case ExitReason::busy:
             machine.history.startBackoffUntil = now + kRefusalBackoff;
             break;
-        case ExitReason::unknown:
+        case ExitReason::unknownAttempt:
             job.run->backoffUntil = now + kRefusalBackoff;
             break;
         default:
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -124,7 +124,7 @@
     auto* job = context_.replica.find(task.attempt.job);
     if (!job || task.attempt.task >= job->spec.tasks) return;  // addCleanupCommands() stops it
     const AttemptKey key{job, task.attempt.task, task.attempt.number};
-    if (task.state == TaskState::exited) return applyExit(machine, *job, key, task.why, now);
+    if (task.state == TaskState::exited) return applyExit(machine, *job, key, task.exitReason, now);
     const auto state = placementState(task.state);
     const auto it = machine.placements.find(key);
     const bool known = it != machine.placements.end();
--- a/src/coordination/workers/worker_commands.cpp
+++ b/src/coordination/workers/worker_commands.cpp
@@ -24,7 +24,7 @@
 /// True if the worker may forget the exited task. Until its result is stored, the heartbeat is the only
 /// record of it.
 bool mayAcknowledge(const TaskStatus& task, const Job& job) {
-    return task.why != ExitReason::done || job.terminalState != TerminalState::none ||
+    return task.exitReason != ExitReason::done || job.terminalState != TerminalState::none ||
            job.isDone(task.attempt.task) || job.spec.kind == protocol::JobKind::service;
 }
 
--- a/src/protocol/cloud_messages.cpp
+++ b/src/protocol/cloud_messages.cpp
@@ -23,7 +23,7 @@
     type.fetchGbPerS = fields.amount(wire::cloud::kFetchGbPerS);
     type.price = fields.amount(wire::cloud::kPrice);
     type.spotPrice = fields.amount(wire::cloud::kSpotPrice);
-    type.boot = Seconds(fields.amount(wire::cloud::kBootS));
+    type.bootTime = Seconds(fields.amount(wire::cloud::kBootS));
     type.zones = fields.texts(wire::kZones);
     return type;
 }
@@ -38,7 +38,7 @@
     packer.field(wire::cloud::kFetchGbPerS, type.fetchGbPerS);
     packer.field(wire::cloud::kPrice, type.price);
     packer.field(wire::cloud::kSpotPrice, type.spotPrice);
-    packer.field(wire::cloud::kBootS, type.boot.count());
+    packer.field(wire::cloud::kBootS, type.bootTime.count());
     packer.field(wire::kZones, type.zones);
 }
 
@@ -68,7 +68,7 @@
     MessagePacker packer;
     packer.map(1).key(wire::kMachineTypes).list(types.size());
     for (const auto& type : types) packMachineType(packer, type);
-    return packer.take();
+    return packer.str();
 }
 
 std::string encodeInstanceRequest(const InstanceRequest& request) {
@@ -79,7 +79,7 @@
     packer.field(wire::kZone, request.zone);
     packer.field(wire::kSpot, request.spot);
     packer.field(wire::cloud::kCount, request.count);
-    return packer.take();
+    return packer.str();
 }
 
 std::vector<std::string> decodeInstanceIds(std::string_view body) {
@@ -88,7 +88,7 @@
 }
 
 std::string encodeInstanceDeletion(const std::vector<std::string>& machines) {
-    return MessagePacker().map(1).field(wire::kMachines, machines).take();
+    return MessagePacker().map(1).field(wire::kMachines, machines).str();
 }
 
 InstancePage decodeInstancePage(std::string_view body) {
@@ -98,11 +98,11 @@
     fields.each(wire::kMachines, [&](const msgpack::object& element) {
         page.machines.push_back(decodeInstance(MapReader(element)));
     });
-    page.more = fields.flagOr(wire::kHasMore, false);
+    page.hasMore = fields.flagOr(wire::kHasMore, false);
     return page;
 }
 
-bool saysNoCapacity(std::string_view body) { return decodeErrorReply(body) == wire::cloud::kNoCapacity; }
+bool isCapacityError(std::string_view body) { return decodeErrorReply(body) == wire::cloud::kNoCapacity; }
 
 namespace paths {
 
--- a/src/protocol/cloud_messages.h
+++ b/src/protocol/cloud_messages.h
@@ -24,7 +24,7 @@
     double fetchGbPerS = 0;          ///< speed at which a machine fetches images
     double price = 0;                ///< price per hour of an on-demand machine
     double spotPrice = 0;            ///< price per hour of a spot machine; changes continually
-    Seconds boot{0};                 ///< time until the worker of a new machine runs
+    Seconds bootTime{0};             ///< time until the worker of a new machine runs
     std::vector<std::string> zones;  ///< the zones that offer the type
     bool operator==(const MachineType&) const = default;
 };
@@ -54,7 +54,7 @@
 /// A page of the list of machines.
 struct InstancePage {
     std::vector<CloudInstance> machines;
-    bool more = false;  ///< another page follows
+    bool hasMore = false;  ///< another page follows
 };
 
 // Each decode function throws `MalformedMessage`.
@@ -68,7 +68,7 @@
 std::string encodeInstanceDeletion(const std::vector<std::string>& machines);
 InstancePage decodeInstancePage(std::string_view body);
 /// True if the body of an error response reports that the cloud has no capacity. False for a malformed body.
-bool saysNoCapacity(std::string_view body);
+bool isCapacityError(std::string_view body);
 
 namespace paths {
 inline constexpr char kTypes[] = "/flavors";            ///< machine types
--- a/src/protocol/job_messages.cpp
+++ b/src/protocol/job_messages.cpp
@@ -120,21 +120,21 @@
     if (hasDependencies) packer.field(wire::job::kDependencies, spec.dependencies);
 }
 
-std::string jobReply(const std::string& id, JobState state) {
+std::string encodeJobReply(const std::string& id, JobState state) {
     MessagePacker packer;
     packer.map(2).field(wire::kId, id).field(wire::kState, enumName(kJobStates, state));
-    return packer.take();
+    return packer.str();
 }
 
-std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running) {
+std::string encodeJobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running) {
     MessagePacker packer;
     packer.map(4).field(wire::kId, id).field(wire::kState, enumName(kJobStates, state));
     packer.field(wire::job::kTasksDone, done).field(wire::job::kTasksRunning, running);
-    return packer.take();
+    return packer.str();
 }
 
-std::string errorReply(std::string_view reason) {
-    return MessagePacker().map(1).field(wire::kError, reason).take();
+std::string encodeErrorReply(std::string_view reason) {
+    return MessagePacker().map(1).field(wire::kError, reason).str();
 }
 
 std::string decodeErrorReply(std::string_view body) {
--- a/src/protocol/job_messages.h
+++ b/src/protocol/job_messages.h
@@ -62,12 +62,12 @@
 /// Packs the spec as a map. Its size counts `extraFields` more fields, which the caller has to add.
 void packSpec(MessagePacker& packer, const JobSpec& spec, std::size_t extraFields = 0);
 
-std::string jobReply(const std::string& id, JobState state);
+std::string encodeJobReply(const std::string& id, JobState state);
 /// `done`, `running`: numbers of tasks.
-std::string jobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running);
+std::string encodeJobReply(const std::string& id, JobState state, std::uint32_t done, std::uint32_t running);
 
 /// The body of an error response.
-std::string errorReply(std::string_view reason);
+std::string encodeErrorReply(std::string_view reason);
 /// The reason in the body of an error response; empty if the body has none or is malformed.
 std::string decodeErrorReply(std::string_view body);
 
--- a/src/protocol/message_packer.h
+++ b/src/protocol/message_packer.h
@@ -54,7 +54,7 @@
     }
 
     /// A copy of the bytes packed so far.
-    std::string take() const { return {buffer_.data(), buffer_.size()}; }
+    std::string str() const { return {buffer_.data(), buffer_.size()}; }
 
   private:
     msgpack::sbuffer buffer_;
--- a/src/protocol/peer_messages.cpp
+++ b/src/protocol/peer_messages.cpp
@@ -20,8 +20,8 @@
     status.leaderToken = fields.integerOr(wire::peer::kLeaderToken, 0);
     status.voteMs = fields.integerOr(wire::peer::kVoteMs, 0);
     status.revision = fields.integerOr(wire::peer::kRevision, 0);
-    status.log = fields.integerOr(wire::peer::kLogId, 0);
-    status.logAt = fields.integerOr(wire::peer::kLogPosition, 0);
+    status.logId = fields.integerOr(wire::peer::kLogId, 0);
+    status.logPosition = fields.integerOr(wire::peer::kLogPosition, 0);
     status.complete = fields.flagOr(wire::peer::kComplete, false);
     fields.each(wire::peer::kCancelled, [&](const msgpack::object& element) {
         const MapReader cancellation(element);
@@ -47,8 +47,8 @@
     packer.field(wire::peer::kLeaderToken, status.leaderToken);
     packer.field(wire::peer::kVoteMs, status.voteMs);
     packer.field(wire::peer::kRevision, status.revision);
-    packer.field(wire::peer::kLogId, status.log);
-    packer.field(wire::peer::kLogPosition, status.logAt);
+    packer.field(wire::peer::kLogId, status.logId);
+    packer.field(wire::peer::kLogPosition, status.logPosition);
     packer.field(wire::peer::kComplete, status.complete);
     packer.key(wire::peer::kCancelled).list(status.cancelled.size());
     for (const auto& cancellation : status.cancelled) {
@@ -58,7 +58,7 @@
     packer.key(wire::peer::kRunning).list(status.running.size());
     for (const auto& [job, count] : status.running)
         packer.map(2).field(wire::peer::kJob, job).field(wire::peer::kCount, count);
-    return packer.take();
+    return packer.str();
 }
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/peer_messages.h
+++ b/src/protocol/peer_messages.h
@@ -33,9 +33,9 @@
     std::vector<std::pair<std::string, std::uint32_t>> running;
     std::uint64_t revision = 0;  ///< of a leader: the store revision up to which it has read all changes
     /// In a request: the log to read. In a response: the sender's own log.
-    std::uint64_t log = 0;
+    std::uint64_t logId = 0;
     /// In a request: where to begin reading. In a response: the end of the part that was read.
-    std::uint64_t logAt = 0;
+    std::uint64_t logPosition = 0;
     std::vector<Cancellation> cancelled;
     bool complete = false;  ///< in a response: the end of the log was reached
     bool operator==(const PeerStatus&) const = default;
--- a/src/protocol/policy.cpp
+++ b/src/protocol/policy.cpp
@@ -34,19 +34,19 @@
 bool readElement(const pugi::xml_node& node, Policy& policy) {
     const std::string_view name = node.name();
     if (name == "leadership-s")
-        policy.leadership = seconds(node, 1, 600);
+        policy.leaderLease = seconds(node, 1, 600);
     else if (name == "idle-keep-s")
-        policy.idleKeep = seconds(node, 0, kDayS);
+        policy.idleRetention = seconds(node, 0, kDayS);
     else if (name == "boot-keep")
-        policy.bootKeep = number(node, 0, 1000);
+        policy.bootRetention = number(node, 0, 1000);
     else if (name == "minimum-keep-s")
-        policy.minimumKeep = seconds(node, 0, kDayS);
+        policy.minRetention = seconds(node, 0, kDayS);
     else if (name == "backlog-horizon-s")
         policy.backlogHorizon = seconds(node, 1, kDayS);
     else if (name == "fetch-start-s")
-        policy.fetchStart = seconds(node, 0, 600);
+        policy.initialFetchEstimate = seconds(node, 0, 600);
     else if (name == "longest-passed-over-s")
-        policy.longestPassedOver = seconds(node, 1, kDayS);
+        policy.starvationThreshold = seconds(node, 1, kDayS);
     else if (name == "preempt")
         policy.preempt = number(node, 0, 1) != 0;
     else
--- a/src/protocol/responses.cpp
+++ b/src/protocol/responses.cpp
@@ -9,21 +9,21 @@
 
 using transport::Response;
 
-Response respond(int status, std::string body) {
+Response makeResponse(int status, std::string body) {
     Response response;
     response.status = status;
     response.body = std::move(body);
     return response;
 }
 
-Response retryLater(int status, std::string_view reason, std::chrono::seconds retryAfter) {
-    auto response = respond(status, errorReply(reason));
+Response makeRetryLaterResponse(int status, std::string_view reason, std::chrono::seconds retryAfter) {
+    auto response = makeResponse(status, encodeErrorReply(reason));
     response.retryAfter = retryAfter;
     return response;
 }
 
-Response wrongMethod(const char* allow, std::string body) {
-    auto response = respond(transport::http_status::kMethodNotAllowed, std::move(body));
+Response makeMethodNotAllowedResponse(const char* allow, std::string body) {
+    auto response = makeResponse(transport::http_status::kMethodNotAllowed, std::move(body));
     response.allow = allow;
     return response;
 }
--- a/src/protocol/responses.h
+++ b/src/protocol/responses.h
@@ -15,14 +15,14 @@
 inline constexpr std::chrono::seconds kDefaultRetryAfter{1};
 
 /// A response with that HTTP status. `body` is encoded.
-transport::Response respond(int status, std::string body = {});
+transport::Response makeResponse(int status, std::string body = {});
 
 /// A response that asks the client to retry after that time (`Retry-After`, at least 1 s). The body gives the
 /// reason.
-transport::Response retryLater(int status, std::string_view reason,
-                               std::chrono::seconds retryAfter = kDefaultRetryAfter);
+transport::Response makeRetryLaterResponse(int status, std::string_view reason,
+                                           std::chrono::seconds retryAfter = kDefaultRetryAfter);
 
 /// 405: the path accepts only the method `allow`. `body` is encoded.
-transport::Response wrongMethod(const char* allow, std::string body = {});
+transport::Response makeMethodNotAllowedResponse(const char* allow, std::string body = {});
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -67,7 +67,7 @@
         ServiceLevelObjective objective;
         objective.kind = section.text("kind");
         objective.jobClass = section.textOr("class", "");
-        objective.within = Seconds(section.numberOr("within_s", 0, kDayS, 0));
+        objective.timeLimit = Seconds(section.numberOr("within_s", 0, kDayS, 0));
         objective.share = section.numberOr("share", 0, 1, 1);
         settings.objectives.push_back(std::move(objective));
     }
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -35,7 +35,7 @@
 struct ServiceLevelObjective {
     std::string kind;      ///< the kind of objective, as named by the platform
     std::string jobClass;  ///< empty: all classes
-    Seconds within{0};     ///< the time after which the objective is missed
+    Seconds timeLimit{0};  ///< the time after which the objective is missed
     double share = 0;      ///< fraction of the class's tasks or jobs that should meet it, from 0 to 1
 };
 
--- a/src/protocol/store_messages.cpp
+++ b/src/protocol/store_messages.cpp
@@ -45,7 +45,7 @@
     }
     packer.key(wire::store::kWrites).list(writes.size());
     for (const auto& write : writes) packWrite(packer, write);
-    return packer.take();
+    return packer.str();
 }
 
 TransactionReply decodeTransactionReply(std::string_view body) {
@@ -62,7 +62,7 @@
         page.entries.push_back({entry.text(wire::store::kKey), &entry.need(wire::store::kValue),
                                 entry.integer(wire::store::kVersion)});
     });
-    page.more = fields.flagOr(wire::kHasMore, false);
+    page.hasMore = fields.flagOr(wire::kHasMore, false);
     page.revision = fields.integer(wire::store::kRevision);
     return page;
 }
@@ -78,7 +78,7 @@
 }
 
 std::string encodeLease(std::chrono::milliseconds ttl) {
-    return MessagePacker().map(1).field(wire::store::kLeaseTtlMs, ttl.count()).take();
+    return MessagePacker().map(1).field(wire::store::kLeaseTtlMs, ttl.count()).str();
 }
 
 std::uint64_t decodeLease(std::string_view body) {
--- a/src/protocol/store_messages.h
+++ b/src/protocol/store_messages.h
@@ -33,7 +33,7 @@
 /// A page of keys in their order, or the changes after a revision in the order in which they were made.
 struct KeyPage {
     std::vector<KeyChange> entries;
-    bool more = false;           ///< another page follows
+    bool hasMore = false;        ///< another page follows
     std::uint64_t revision = 0;  ///< revision of the store when it answered
 };
 /// The reply to a transaction that was committed, or that was rejected because a condition did not hold.
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -19,12 +19,12 @@
                                                {"exited", TaskState::exited}}};
 constexpr EnumNames<ExitReason, 8> kExitReasons{{{"done", ExitReason::done},
                                                  {"halted", ExitReason::stopped},
-                                                 {"peers", ExitReason::peers},
-                                                 {"alone", ExitReason::alone},
+                                                 {"peers", ExitReason::gangMemberExited},
+                                                 {"alone", ExitReason::gangTimedOut},
                                                  {"error", ExitReason::error},
-                                                 {"full", ExitReason::noRoom},
+                                                 {"full", ExitReason::machineFull},
                                                  {"busy", ExitReason::busy},
-                                                 {"no_such", ExitReason::unknown}}};
+                                                 {"no_such", ExitReason::unknownAttempt}}};
 constexpr EnumNames<CommandKind, 3> kCommandKinds{
     {{"start", CommandKind::start}, {"kill", CommandKind::stop}, {"clear", CommandKind::acknowledge}}};
 
@@ -57,18 +57,18 @@
     task.attempt = decodeAttempt(fields);
     task.state = parseEnum(kTaskStates, fields.textView(wire::kState));
     if (task.state == TaskState::exited)
-        task.why = parseEnum(kExitReasons, fields.textView(wire::worker::kExitReason));
-    task.saved = fields.flagOr(wire::worker::kCheckpointed, false);
+        task.exitReason = parseEnum(kExitReasons, fields.textView(wire::worker::kExitReason));
+    task.checkpointed = fields.flagOr(wire::worker::kCheckpointed, false);
     return task;
 }
 
 void packTaskStatus(MessagePacker& packer, const TaskStatus& task) {
     const bool exited = task.state == TaskState::exited;
-    packer.map(3 + exited + task.saved);
+    packer.map(3 + exited + task.checkpointed);
     packAttempt(packer, task.attempt);
     packer.field(wire::kState, enumName(kTaskStates, task.state));
-    if (exited) packer.field(wire::worker::kExitReason, enumName(kExitReasons, task.why));
-    if (task.saved) packer.field(wire::worker::kCheckpointed, true);
+    if (exited) packer.field(wire::worker::kExitReason, enumName(kExitReasons, task.exitReason));
+    if (task.checkpointed) packer.field(wire::worker::kCheckpointed, true);
 }
 
 void packCommands(MessagePacker& packer, const std::vector<WorkerCommand>& commands) {
@@ -122,14 +122,14 @@
         packer.nil(wire::worker::kInterruptionNoticeS);
     packer.key(wire::kTasks).list(heartbeat.tasks.size());
     for (const auto& task : heartbeat.tasks) packTaskStatus(packer, task);
-    return packer.take();
+    return packer.str();
 }
 
 std::string encodeHeartbeatResponse(std::uint64_t fencingToken, const std::vector<WorkerCommand>& commands) {
     MessagePacker packer;
     packer.map(2).field(wire::worker::kFencingToken, fencingToken);
     packCommands(packer, commands);
-    return packer.take();
+    return packer.str();
 }
 
 std::string encodeDirectCommands(std::uint64_t fencingToken, std::uint64_t incarnation,
@@ -138,7 +138,7 @@
     packer.map(3).field(wire::worker::kFencingToken, fencingToken);
     packer.field(wire::worker::kIncarnation, incarnation);
     packCommands(packer, commands);
-    return packer.take();
+    return packer.str();
 }
 
 std::vector<WorkerCommand> decodeCommands(std::string_view body) {
@@ -157,8 +157,8 @@
 
 std::string encodeRedirect(const std::string& leader) {
     MessagePacker packer;
-    if (leader.empty()) return packer.map(0).take();
-    return packer.map(1).field(wire::worker::kLeader, leader).take();
+    if (leader.empty()) return packer.map(0).str();
+    return packer.map(1).field(wire::worker::kLeader, leader).str();
 }
 
 }  // namespace burlpoint::protocol
--- a/src/protocol/worker_messages.h
+++ b/src/protocol/worker_messages.h
@@ -27,13 +27,13 @@
 enum class ExitReason {
     none,  ///< the task has not exited
     done,
-    stopped,  ///< stopped by a command
-    peers,    ///< another task of its gang has exited
-    alone,    ///< its gang was not complete in time
+    stopped,           ///< stopped by a command
+    gangMemberExited,  ///< another task of its gang has exited
+    gangTimedOut,      ///< its gang was not complete in time
     error,
-    noRoom,  ///< the worker refused to start it: the machine lacks free resources
-    busy,    ///< the worker temporarily refused to start it
-    unknown  ///< the worker does not know the attempt
+    machineFull,    ///< the worker refused to start it: the machine lacks free resources
+    busy,           ///< the worker temporarily refused to start it
+    unknownAttempt  ///< the worker does not know the attempt
 };
 
 /// What a command tells a worker to do with an attempt.
@@ -55,8 +55,8 @@
 struct TaskStatus {
     Attempt attempt;
     TaskState state = TaskState::fetching;
-    ExitReason why = ExitReason::none;
-    bool saved = false;  ///< its last checkpoint is stored
+    ExitReason exitReason = ExitReason::none;
+    bool checkpointed = false;  ///< its last checkpoint is stored
     bool operator==(const TaskStatus&) const = default;
 };
 
--- a/src/storage/records.cpp
+++ b/src/storage/records.cpp
@@ -54,7 +54,7 @@
     packer.field(field::kTasksDone, record.done);
     packer.field(field::kChunkTasks, record.chunkTasks);
     packer.field(field::kEndedMs, record.endedMs);
-    return packer.take();
+    return packer.str();
 }
 
 std::string encodeTerminatedJob(JobRecord record, std::size_t maxBytes) {
@@ -93,7 +93,7 @@
 std::string encodeLeader(const LeaderRecord& record) {
     MessagePacker packer;
     packer.map(2).field(field::kNode, record.node).field(field::kFencingToken, record.fencingToken);
-    return packer.take();
+    return packer.str();
 }
 
 LeaderRecord decodeLeader(const msgpack::object& value) {
@@ -102,7 +102,7 @@
 }
 
 std::string encodeToken(std::uint64_t fencingToken) {
-    return MessagePacker().map(1).field(field::kFencingToken, fencingToken).take();
+    return MessagePacker().map(1).field(field::kFencingToken, fencingToken).str();
 }
 
 std::uint64_t decodeToken(const msgpack::object& value) {
@@ -116,7 +116,7 @@
     packer.field(field::kType, record.type);
     packer.field(field::kZone, record.zone);
     packer.field(field::kSpot, record.spot);
-    return packer.take();
+    return packer.str();
 }
 
 MachineRecord decodeMachine(const msgpack::object& value) {
--- a/src/storage/task_bitmap.cpp
+++ b/src/storage/task_bitmap.cpp
@@ -44,7 +44,7 @@
             digit |= bits[task + bit] ? 1u << bit : 0u;
         text += kDigits[digit];
     }
-    return protocol::MessagePacker().value(text).take();
+    return protocol::MessagePacker().value(text).str();
 }
 
 void decodeBits(const msgpack::object& value, std::vector<bool>& bits, std::size_t first, std::size_t count) {
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -20,7 +20,7 @@
     ServiceController node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.callApi("POST", "/submissions", "nonsense").status, 400);
-    EXPECT_EQ(node.callApi("POST", "/submissions", MessagePacker().map(0).take()).status, 400);
+    EXPECT_EQ(node.callApi("POST", "/submissions", MessagePacker().map(0).str()).status, 400);
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1", 1, "nobody")).status, 422);
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1", 9)).status, 422);
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1", 8, "team", 3, protocol::JobKind::gang))
--- a/tests/autoscaling/autoscaler_test.cpp
+++ b/tests/autoscaling/autoscaler_test.cpp
@@ -38,9 +38,9 @@
         settings.zones = {"z"};
         settings.cloudRequestsPerSecond = 50;
         settings.cloudListLag = Seconds(10);
-        policy.idleKeep = Seconds(10);
-        policy.bootKeep = 0.8;
-        policy.minimumKeep = Seconds(55);
+        policy.idleRetention = Seconds(10);
+        policy.bootRetention = 0.8;
+        policy.minRetention = Seconds(55);
         types["plain"] = {"plain", 8, 0, 32, 50, 1, 1, 0.3, Seconds(10), {"z"}};
         types["slow"] = {"slow", 8, 0, 32, 50, 1, 9, 3, Seconds(100), {"z"}};
         createAutoscaler();
--- a/tests/bookkeeping/job_dependencies_test.cpp
+++ b/tests/bookkeeping/job_dependencies_test.cpp
@@ -55,7 +55,7 @@
     p.field("ramGb", 2.0).field("cargo", "i").field("pullGb", 1.0).nil("hulls").nil("quay");
     p.field("together", false).field("apart", false).field("driftwood", true).field("voyageS", 15.0);
     p.field("logbookS", 0.0).field("stowS", 0.0).nil("sailingS").field("final", terminalState);
-    return p.field("accepted_ms", 7000u).field("tasks_done", 0u).field("chunk_tasks", 16384u).take();
+    return p.field("accepted_ms", 7000u).field("tasks_done", 0u).field("chunk_tasks", 16384u).str();
 }
 
 /// A reference model of jobs with dependencies. Computes each result from all jobs, without any incremental
@@ -229,7 +229,7 @@
         for (const auto& pair : handle.get().via.map) p.value(pair.key).value(pair.val);
         p.key("towlines");
         field(p);
-        const auto body = p.take();
+        const auto body = p.str();
         return protocol::decodeSpec(protocol::unpackBody(body).get()).dependencies;
     };
     using Ids = std::vector<std::string>;
--- a/tests/bookkeeping/jobs_test.cpp
+++ b/tests/bookkeeping/jobs_test.cpp
@@ -148,7 +148,7 @@
     const auto spec = arrayJob(3);
     EXPECT_FALSE(applyStored(replica, storage::keys::job("wk-2"), record(spec, TerminalState::none),
                              1));  // under another job's key
-    EXPECT_FALSE(applyStored(replica, storage::keys::kToken, protocol::MessagePacker().value(7).take(), 1));
+    EXPECT_FALSE(applyStored(replica, storage::keys::kToken, protocol::MessagePacker().value(7).str(), 1));
     EXPECT_EQ(replica.find("wk-2"), nullptr);
     EXPECT_EQ(replica.tokenVersion, 0u);
 }
--- a/tests/controller/action_executor_test.cpp
+++ b/tests/controller/action_executor_test.cpp
@@ -151,7 +151,7 @@
     EXPECT_EQ(creation.outcome, coordination::InstanceRequestOutcome::unknown);
     perform(coordination::ListMachines{});
     EXPECT_FALSE(nextEvent<coordination::MachinesListed>().complete);
-    perform(coordination::WriteState{{}, {{"bp/x", protocol::MessagePacker().value("x").take(), 0}}});
+    perform(coordination::WriteState{{}, {{"bp/x", protocol::MessagePacker().value("x").str(), 0}}});
     EXPECT_EQ(nextEvent<coordination::StateWritten>().result.status, storage::TransactionStatus::applied);
     perform(coordination::RefreshReplica{});
     EXPECT_EQ(nextEvent<coordination::ReplicaRefreshed>().outcome, coordination::RefreshOutcome::refreshed);
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -146,7 +146,7 @@
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
-    policy.leadership = Seconds(4);
+    policy.leaderLease = Seconds(4);
     for (auto* s : {&one, &two, &three}) s->teams = {{"team", 0, 0, 0, 0}};
     one.storeAddress = separateStub.address();
     one.peers = {peer(two), peer(three)};
@@ -158,7 +158,7 @@
     for (const auto* id : {"wk-1", "wk-2"}) {
         protocol::MessagePacker p;
         protocol::packSpec(p, makeJob(id));
-        while (post(two.listenAddress, protocol::paths::kSubmissions, p.take()).status != 201) runFor(50ms);
+        while (post(two.listenAddress, protocol::paths::kSubmissions, p.str()).status != 201) runFor(50ms);
     }
     std::vector<protocol::TaskStatus> tasks;
     std::uint64_t fencingToken = 0;
@@ -201,7 +201,7 @@
     std::vector<std::string> failed;
     protocol::MachineType type{"plain", 8, 0, 32, 10, 1, 1, 1, Seconds(5), {"z"}};
     stub.store.transact({}, {{storage::keys::kTypes, protocol::encodeMachineTypes({type}), 0}}, failed);
-    policy.leadership = Seconds(8);
+    policy.leaderLease = Seconds(8);
     for (auto* s : {&one, &two}) {
         s->teams = {{"team", 0, 0, 0, 0}};
         s->workerLease = Seconds(24);
@@ -215,7 +215,7 @@
     coordination::Controller second(io, two, policy);
     protocol::MessagePacker p;
     protocol::packSpec(p, makeJob("wk-1"));
-    const auto body = p.take();
+    const auto body = p.str();
     while (post(two.listenAddress, protocol::paths::kSubmissions, body).status != 201) runFor(50ms);
     std::vector<protocol::TaskStatus> tasks;
     std::uint64_t fencingToken = 0;
@@ -235,7 +235,7 @@
     const auto exitTasks = [&] {
         for (auto& task : tasks) {
             task.state = protocol::TaskState::exited;
-            task.why = protocol::ExitReason::stopped;
+            task.exitReason = protocol::ExitReason::stopped;
         }
     };
     while (starts < 1) round();
@@ -278,7 +278,7 @@
     query.node = "one";
     query.fencingToken = 7;
     query.revision = stub.store.revision;
-    while (queryPeer(two, query).log == 0) runFor(50ms);
+    while (queryPeer(two, query).logId == 0) runFor(50ms);
     while (post(two.listenAddress, std::string(protocol::paths::kSubmissions) + "/wk-0/cancel").status != 200)
         runFor(50ms);
     stub.outage = true;
@@ -293,13 +293,13 @@
         answer = queryPeer(two, query);
         EXPECT_EQ(answer.voteMs > 0, answer.complete);
         for (const auto& c : answer.cancelled) EXPECT_TRUE(reportedJobs.insert(c.job).second);
-        query.log = answer.log;
-        query.logAt = answer.logAt;
+        query.logId = answer.logId;
+        query.logPosition = answer.logPosition;
     }
     EXPECT_EQ(reportedJobs.size(), 1200u);
     EXPECT_GE(parts, 3);
     EXPECT_TRUE(queryPeer(two, query).cancelled.empty());
-    query.log += 1;  // the log id of another process, which has ended
+    query.logId += 1;  // the log id of another process, which has ended
     EXPECT_EQ(queryPeer(two, query).cancelled.size(), answer.cancelled.size() + 300);
     query.revision = middleRevision;
     EXPECT_FALSE(queryPeer(two, query).complete);
--- a/tests/controller/large_fleet_test.cpp
+++ b/tests/controller/large_fleet_test.cpp
@@ -148,7 +148,7 @@
     SimulatedFleet simulated(machines);
     simulated.harness().settings.storeWritesPerSecond = 100;
     simulated.harness().settings.cloudRequestsPerSecond = 3;
-    simulated.harness().policy.idleKeep = Seconds(3600);  // no scale-in before all entries are stored
+    simulated.harness().policy.idleRetention = Seconds(3600);  // no scale-in before all entries are stored
     simulated.boot();
     EXPECT_EQ(simulated.harness().replica.registeredMachines.size(), static_cast<std::size_t>(machines));
 
--- a/tests/controller/leader_dependencies_test.cpp
+++ b/tests/controller/leader_dependencies_test.cpp
@@ -84,7 +84,7 @@
     harness.submitJob(next);
     ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
     auto done = harness.taskStatus("wk-1/0", TaskState::exited);
-    done.why = protocol::ExitReason::done;
+    done.exitReason = protocol::ExitReason::done;
     bool writing = false;
     harness.now += 200ms;
     for (const auto& action : harness.deliver(HeartbeatReceived{1, harness.makeHeartbeat("m1", {done}, 5)}))
--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -150,17 +150,17 @@
 void traceJobMessages() {
     protocol::MessagePacker packed;
     protocol::packSpec(packed, fullSpec());
-    writeEncoding("job", packed.take());
+    writeEncoding("job", packed.str());
     writeEncoding("minimal-job", [] {
         JobSpec minimal;
         minimal.id = "wk-1";
         protocol::MessagePacker packer;
         protocol::packSpec(packer, minimal);
-        return packer.take();
+        return packer.str();
     }());
-    writeEncoding("job-reply", protocol::jobReply("wk-1", protocol::JobState::running));
-    writeEncoding("job-counts", protocol::jobReply("wk-1", protocol::JobState::done, 3, 13));
-    writeEncoding("error", protocol::errorReply("some reason"));
+    writeEncoding("job-reply", protocol::encodeJobReply("wk-1", protocol::JobState::running));
+    writeEncoding("job-counts", protocol::encodeJobReply("wk-1", protocol::JobState::done, 3, 13));
+    writeEncoding("error", protocol::encodeErrorReply("some reason"));
 }
 
 void traceWorkerMessages() {
@@ -170,8 +170,9 @@
     for (const auto state : {TaskState::fetching, TaskState::waiting, TaskState::running, TaskState::saving})
         heartbeat.tasks.push_back(
             {{"wk-1", static_cast<std::uint32_t>(state), 7}, state, ExitReason::none, false});
-    for (const auto reason : {ExitReason::done, ExitReason::stopped, ExitReason::peers, ExitReason::alone,
-                              ExitReason::error, ExitReason::noRoom, ExitReason::busy, ExitReason::unknown})
+    for (const auto reason :
+         {ExitReason::done, ExitReason::stopped, ExitReason::gangMemberExited, ExitReason::gangTimedOut,
+          ExitReason::error, ExitReason::machineFull, ExitReason::busy, ExitReason::unknownAttempt})
         heartbeat.tasks.push_back({{"wk-2", static_cast<std::uint32_t>(reason), 8},
                                    TaskState::exited,
                                    reason,
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -48,7 +48,7 @@
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
     EXPECT_EQ(stub.store.transact({{storage::keys::kToken, old}},
-                                  {{"bp/x", MessagePacker().nilValue().take(), 0}}, failed),
+                                  {{"bp/x", MessagePacker().nilValue().str(), 0}}, failed),
               0u);
 }
 
--- a/tests/leadership/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -141,26 +141,26 @@
     PeerExchange restarted(settings, replica, [](const Cancellation&) {});
     PeerStatus question, answer, again;
     exchange.appendCancellations(question, answer);
-    EXPECT_NE(answer.log, 0u);
-    question.log = answer.log;
-    question.logAt = answer.logAt;
+    EXPECT_NE(answer.logId, 0u);
+    question.logId = answer.logId;
+    question.logPosition = answer.logPosition;
     restarted.appendCancellations(question, again);
-    EXPECT_NE(again.log, answer.log);
+    EXPECT_NE(again.logId, answer.logId);
     EXPECT_EQ(again.cancelled, answer.cancelled);
 }
 
 TEST_F(PeerExchangeTest, AnswerOfAPeerThenCancellationsAndLogPositionAreApplied) {
     auto answer = status("two");
     answer.cancelled = {{"wk-1", 4}, {"wk-2", 9}};
-    answer.log = 77;
-    answer.logAt = 12;
+    answer.logId = 77;
+    answer.logPosition = 12;
     EXPECT_TRUE(exchange.applyCancellations(answer));  // the peer has more cancellations
     EXPECT_EQ(appliedCancellations, answer.cancelled);
     PeerStatus question;
     exchange.describeKnownState("two", question);
-    EXPECT_EQ(question.log, 77u);
-    EXPECT_EQ(question.logAt, 12u);
+    EXPECT_EQ(question.logId, 77u);
+    EXPECT_EQ(question.logPosition, 12u);
     exchange.describeKnownState("three", question);
-    EXPECT_EQ(question.log, 0u);
-    EXPECT_EQ(question.logAt, 0u);
+    EXPECT_EQ(question.logId, 0u);
+    EXPECT_EQ(question.logPosition, 0u);
 }
--- a/tests/leadership/service_controller.h
+++ b/tests/leadership/service_controller.h
@@ -35,10 +35,10 @@
 /// A controller's user API and election, connected to a stub of the key-value store.
 struct ServiceController {
     ServiceController(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
-                      Seconds leadership = Seconds(0))
+                      Seconds leaderLease = Seconds(0))
         : io(context),
           config(serviceSettings(name)),
-          policy{leadership},
+          policy{leaderLease},
           state(http, stub.address(), 1000, 1, Clock::now()),
           watcher(io, state, replica, [](const auto&) {}),
           userApi(io, config, state, replica, watcher),
@@ -96,7 +96,7 @@
     spec.dependencies = std::move(dependencies);
     protocol::MessagePacker p;
     protocol::packSpec(p, spec);
-    return p.take();
+    return p.str();
 }
 
 /// The body of a submission of a job with dependencies.
--- a/tests/protocol/codec_test.cpp
+++ b/tests/protocol/codec_test.cpp
@@ -64,10 +64,10 @@
         t.state = *rc::gen::element(TaskState::fetching, TaskState::waiting, TaskState::running,
                                     TaskState::saving, TaskState::exited);
         if (t.state == TaskState::exited) {
-            t.why = *rc::gen::element(ExitReason::done, ExitReason::stopped, ExitReason::peers,
-                                      ExitReason::alone, ExitReason::error, ExitReason::noRoom,
-                                      ExitReason::busy, ExitReason::unknown);
-            t.saved = *rc::gen::arbitrary<bool>();
+            t.exitReason = *rc::gen::element(
+                ExitReason::done, ExitReason::stopped, ExitReason::gangMemberExited, ExitReason::gangTimedOut,
+                ExitReason::error, ExitReason::machineFull, ExitReason::busy, ExitReason::unknownAttempt);
+            t.checkpointed = *rc::gen::arbitrary<bool>();
         }
         r.tasks.push_back(t);
     }
@@ -100,7 +100,7 @@
 std::string packed(const JobSpec& s) {
     MessagePacker p;
     packSpec(p, s);
-    return p.take();
+    return p.str();
 }
 
 }  // namespace
@@ -195,7 +195,7 @@
     tryDecode([&] { decodeKeyPage(unpackBody(bytes).get()); });
     tryDecode([&] { decodeMachineTypes(unpackBody(bytes).get()); });
     tryDecode([&] { decodeLease(bytes); });
-    saysNoCapacity(bytes);
+    isCapacityError(bytes);
 }
 
 TEST(Codec, LengthsBeyondTheBodyAreMalformed) {
@@ -225,6 +225,6 @@
     expectRefusal([](auto& s) { s.cpus = -1; });
     expectRefusal([](auto& s) { s.memoryGb = std::numeric_limits<double>::infinity(); });
     expectRefusal([](auto& s) { s.estimatedRunTime = Seconds(std::nan("")); });
-    EXPECT_THROW(decodeBody(MessagePacker().map(1).field("uid", "wk-1").take()), MalformedMessage);
-    EXPECT_THROW(decodeBody(MessagePacker().list(0).take()), MalformedMessage);
+    EXPECT_THROW(decodeBody(MessagePacker().map(1).field("uid", "wk-1").str()), MalformedMessage);
+    EXPECT_THROW(decodeBody(MessagePacker().list(0).str()), MalformedMessage);
 }
--- a/tests/protocol/json_size_test.cpp
+++ b/tests/protocol/json_size_test.cpp
@@ -12,7 +12,7 @@
 // The result is an upper bound, since JSON writers differ in spaces and escapes.
 TEST(JsonBytes, IsAtLeastTheSizeOfTheJsonText) {
     using protocol::MessagePacker;
-    const auto bytes = [](const MessagePacker& p) { return protocol::jsonBytes(p.take()); };
+    const auto bytes = [](const MessagePacker& p) { return protocol::jsonBytes(p.str()); };
     EXPECT_EQ(bytes(MessagePacker().value("abc")), 5u);
     EXPECT_EQ(bytes(MessagePacker().value("a\"b\\\n")), 14u);
     EXPECT_EQ(bytes(MessagePacker().value("\xc3\xa9")), 8u);           // "\u00e9"
--- a/tests/protocol/settings_test.cpp
+++ b/tests/protocol/settings_test.cpp
@@ -150,8 +150,9 @@
 }
 
 TEST(Policy, ErrorNamesTheInvalidElement) {
-    EXPECT_EQ(parsePolicy("<burlpoint/>").idleKeep, Policy{}.idleKeep);
-    EXPECT_EQ(parsePolicy("<burlpoint><idle-keep-s>7.5</idle-keep-s></burlpoint>").idleKeep, Seconds(7.5));
+    EXPECT_EQ(parsePolicy("<burlpoint/>").idleRetention, Policy{}.idleRetention);
+    EXPECT_EQ(parsePolicy("<burlpoint><idle-keep-s>7.5</idle-keep-s></burlpoint>").idleRetention,
+              Seconds(7.5));
     EXPECT_TRUE(contains(policyError("<burlpoint><idle-keep>1</idle-keep></burlpoint>"), "<idle-keep>"));
     EXPECT_TRUE(contains(policyError("<burlpoint><boot-keep>much</boot-keep></burlpoint>"), "<boot-keep>"));
     EXPECT_TRUE(contains(policyError("<burlpoint><boot-keep>-1</boot-keep></burlpoint>"), "<boot-keep>"));
--- a/tests/scheduling/fetch_pacing_test.cpp
+++ b/tests/scheduling/fetch_pacing_test.cpp
@@ -29,7 +29,7 @@
 
     FetchPacingTest() {
         settings.heartbeatInterval = Seconds(2);
-        policy.fetchStart = Seconds(5);
+        policy.initialFetchEstimate = Seconds(5);
     }
     Machine& machine(const std::string& id, const std::string& zone, const std::vector<std::string>& images) {
         auto& machine = fleet.add(id, now);
@@ -164,7 +164,7 @@
     EXPECT_EQ(paced.run->pacedFetches, 2u);
     EXPECT_FALSE(pacing.allows(paced, host, now));
     EXPECT_FALSE(pacing.allows(paced, host, now + 4900ms));
-    EXPECT_TRUE(pacing.allows(paced, host, now + 5s));  // the policy's fetchStart
+    EXPECT_TRUE(pacing.allows(paced, host, now + 5s));  // the policy's initialFetchEstimate
     pacing.recordFetchTime(Seconds(3));
     EXPECT_FALSE(pacing.allows(paced, host, now + 2900ms));
     EXPECT_TRUE(pacing.allows(paced, host, now + 3s));
--- a/tests/scheduling/job_queue_test.cpp
+++ b/tests/scheduling/job_queue_test.cpp
@@ -31,7 +31,7 @@
     WallClock clock{Time{1000s}, kStartMs};
     JobQueue jobQueue{policy};
 
-    JobQueueTest() { policy.longestPassedOver = Seconds(120); }
+    JobQueueTest() { policy.starvationThreshold = Seconds(120); }
     Job& job(const std::string& id, Priority priority = Priority::normal) {
         auto& job = *jobs.emplace_back(std::make_unique<Job>());
         job.spec.id = id;
--- a/tests/scheduling/zone_reservations_test.cpp
+++ b/tests/scheduling/zone_reservations_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A gang may reserve a zone after a third of longestPassedOver, which is 40 s here.
+// A gang may reserve a zone after a third of starvationThreshold, which is 40 s here.
 constexpr auto kLongWait = 41s;
 
 /// Machines with accelerators in zones "a" and "b" and a plain machine in zone "a". Jobs have no task on any
@@ -31,7 +31,7 @@
     ZoneReservations zones{policy};
 
     ZoneReservationsTest() {
-        policy.longestPassedOver = Seconds(120);
+        policy.starvationThreshold = Seconds(120);
         setUp(gpuA, gpuType, "a");
         setUp(gpuB, gpuType, "b");
         setUp(plainA, plainType, "a");
--- a/tests/simulation/simulated_tasks.cpp
+++ b/tests/simulation/simulated_tasks.cpp
@@ -50,7 +50,7 @@
         return member.state != TaskState::exited || member.exitReason == ExitReason::done;
     });
     if (remainingMembers < spec.tasks && environment_.random.chance(0.05))
-        markExited(worker, task, ExitReason::peers);
+        markExited(worker, task, ExitReason::gangMemberExited);
 }
 
 void SimulatedWorkers::finishFetch(SimulatedWorker& worker, const Attempt& attempt, SimulatedTask& task) {
@@ -70,7 +70,7 @@
         worker.changedSinceHeartbeat = true;
         task.state = TaskState::running;
     } else if (environment_.now() - task.fetched > environment_.settings.gangWaitTimeout) {
-        markExited(worker, task, ExitReason::alone);
+        markExited(worker, task, ExitReason::gangTimedOut);
     }
 }
 
@@ -133,7 +133,7 @@
     }
     const double machineGpus = worker.type == "gpu" ? kGpusOfGpuMachine : 0;
     const bool fits = cpus <= kMachineCpus + kRoundingTolerance && gpus <= machineGpus + kRoundingTolerance;
-    return fits ? ExitReason::none : ExitReason::noRoom;
+    return fits ? ExitReason::none : ExitReason::machineFull;
 }
 
 void SimulatedWorkers::start(SimulatedWorker& worker, const Attempt& attempt) {
--- a/tests/storage/store_limits_test.cpp
+++ b/tests/storage/store_limits_test.cpp
@@ -38,7 +38,7 @@
     const auto packed = [](const protocol::JobSpec& spec) {
         MessagePacker p;
         protocol::packSpec(p, spec);
-        return p.take();
+        return p.str();
     };
     EXPECT_EQ(node.callApi("POST", "/submissions", packed(longTexts("wk-1"))).status, 422);
     EXPECT_FALSE(stub.store.values.contains(storage::keys::job("wk-1")));
@@ -70,14 +70,14 @@
     spec.types = std::vector<std::string>{std::string(150, 'h'), "m"};
     MessagePacker p;
     protocol::packSpec(p, spec);
-    EXPECT_EQ(node.callApi("POST", "/submissions", p.take()).status, 201);
+    EXPECT_EQ(node.callApi("POST", "/submissions", p.str()).status, 201);
     stub.store.limits.maxValueBytes = 500;
     const auto submitWithId = [&](const std::string& id) {
         auto other = spec;
         other.id = id;
         MessagePacker q;
         protocol::packSpec(q, other);
-        return node.callApi("POST", "/submissions", q.take()).status;
+        return node.callApi("POST", "/submissions", q.str()).status;
     };
     EXPECT_EQ(submitWithId("wk-2"), 422);
     EXPECT_EQ(submitWithId("wk-1"), 200);
@@ -124,15 +124,15 @@
         node.runUntil([&] { return out.has_value(); });
         return *out;
     };
-    const auto value = MessagePacker().value("0123456789").take();
+    const auto value = MessagePacker().value("0123456789").str();
     stub.store.limits = {32, 12, 1};
     EXPECT_EQ(status({"bp/x", value, 99}), storage::TransactionStatus::leaseExpired);
-    EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789a").take(), 0}),
+    EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789a").str(), 0}),
               storage::TransactionStatus::tooLarge);
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::applied);
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::rateLimited);
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::rateLimited);
-    EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789b").take(), 0}),
+    EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789b").str(), 0}),
               storage::TransactionStatus::tooLarge);
     stub.outage = true;
     EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::refused);
--- a/tests/storage/store_stub.h
+++ b/tests/storage/store_stub.h
@@ -226,7 +226,7 @@
         const Duration life(protocol::MapReader(protocol::unpackBody(r.body).get()).integer("lifeMs"));
         primary_.leaseDeadlines_[store.nextLease] = {Clock::now() + life, life};
         const auto sendResponse = [answer, lease = store.nextLease] {
-            answer(200, MessagePacker().map(1).field("mooring", lease).take());
+            answer(200, MessagePacker().map(1).field("mooring", lease).str());
         };
         if (!holdLeaseResponses) return sendResponse();
         heldLeaseResponses_.push_back(sendResponse);
@@ -236,7 +236,7 @@
     void changeLease(const transport::Request& r, const Answer& answer) {
         const auto idAt = kLeasePrefix.size();
         const auto lease = number(r.path.substr(idAt, r.path.find('/', idAt) - idAt));
-        if (!store.leases.contains(lease)) return answer(404, MessagePacker().map(0).take());
+        if (!store.leases.contains(lease)) return answer(404, MessagePacker().map(0).str());
         auto& deadlines = primary_.leaseDeadlines_;
         if (r.method == "DELETE") {
             deadlines.erase(lease);
@@ -245,7 +245,7 @@
         } else if (const auto found = deadlines.find(lease); found != deadlines.end()) {
             found->second.at = Clock::now() + found->second.life;
         }
-        answer(200, MessagePacker().map(0).take());
+        answer(200, MessagePacker().map(0).str());
     }
 
     void transaction(const transport::Request& r, const Answer& answer) {
@@ -264,11 +264,11 @@
             } else {
                 MessagePacker p;
                 p.value(w.need("data"));
-                writes.push_back({w.text("write"), p.take(), w.integerOr("mooring", 0)});
+                writes.push_back({w.text("write"), p.str(), w.integerOr("mooring", 0)});
             }
         });
         const auto refuse = [&](int status, const char* why) {
-            answer(status, MessagePacker().map(1).field("error", why).take());
+            answer(status, MessagePacker().map(1).field("error", why).str());
         };
         for (const auto& w : writes)
             if (w.lease && !store.leases.contains(w.lease)) return refuse(400, "no such lease");
@@ -281,8 +281,8 @@
         if (dropWriteResponses) return;
         if (revision == 0)
             return answer(
-                409, MessagePacker().map(2).field("failed", failed).field("chart", store.revision).take());
-        answer(200, MessagePacker().map(1).field("chart", revision).take());
+                409, MessagePacker().map(2).field("failed", failed).field("chart", store.revision).str());
+        answer(200, MessagePacker().map(1).field("chart", revision).str());
     }
 
     void page(const transport::Request& r, const Answer& answer) {
@@ -301,7 +301,7 @@
         p.map(3).key("entries").list(entries.size());
         for (const auto* e : entries)
             p.map(3).field("path", e->first).key("data").raw(e->second.data).field("mark", e->second.version);
-        answer(200, p.field("hasNext", more).field("chart", store.revision).take());
+        answer(200, p.field("hasNext", more).field("chart", store.revision).str());
     }
 
     std::span<const Store::Event> eventsAfter(std::uint64_t revision) const {
@@ -327,7 +327,7 @@
             if (e.data) p.key("data").raw(*e.data);
             p.field("mark", e.version);
         }
-        pendingWatch.answer(200, p.take());
+        pendingWatch.answer(200, p.str());
     }
 
     transport::HttpServer server_;
--- a/tests/transport/http_test.cpp
+++ b/tests/transport/http_test.cpp
@@ -151,7 +151,7 @@
     EXPECT_LE(echo.server->connections(), limits.connections);
 }
 
-TEST(Http, ConnectionsStayOpenWhileServerIsNotCrowded) {
+TEST(Http, ConnectionsStayOpenWhileNotNearTheLimit) {
     ServerLimits limits;
     limits.connections = 20;
     EchoServer echo(limits);
--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud.cpp
@@ -52,7 +52,7 @@
         packer.field("quay", worker->zone()).field("driftwood", false).field("bearing", "running");
         packer.field("heldS", held.count());
     }
-    return packer.field("hasNext", false).take();
+    return packer.field("hasNext", false).str();
 }
 
 std::size_t CloudStub::countInZone(const std::string& zone) const {
@@ -76,9 +76,9 @@
     }
     if (created.empty()) {
         response.status = 503;
-        response.body = protocol::errorReply("no capacity");
+        response.body = protocol::encodeErrorReply("no capacity");
     } else {
-        response.body = MessagePacker().map(1).field("bollards", created).take();
+        response.body = MessagePacker().map(1).field("bollards", created).str();
     }
     return response;
 }
--- a/tests/upgrade/machines.cpp
+++ b/tests/upgrade/machines.cpp
@@ -198,7 +198,7 @@
 ExitReason Worker::rejectionReason(const Attempt& attempt) const {
     const auto& jobs = machines_.oracle_.jobs;
     const auto job = jobs.find(attempt.job);
-    if (job == jobs.end() || attempt.task >= job->second.spec.tasks) return ExitReason::unknown;
+    if (job == jobs.end() || attempt.task >= job->second.spec.tasks) return ExitReason::unknownAttempt;
     if (findActiveAttempt(attempt.job, attempt.task)) return ExitReason::busy;
     double cpus = job->second.spec.cpus, memory = job->second.spec.memoryGb;
     for (const auto& [other, task] : tasks_) {
@@ -208,14 +208,14 @@
     }
     constexpr double kRounding = 1e-6;
     const bool fits = cpus <= type_.cpus + kRounding && memory <= type_.memoryGb + kRounding;
-    return fits ? ExitReason::none : ExitReason::noRoom;
+    return fits ? ExitReason::none : ExitReason::machineFull;
 }
 
 void Worker::start(const Attempt& attempt, Time now) {
     const auto rejection = rejectionReason(attempt);
-    machines_.oracle_.require(rejection != ExitReason::unknown,
+    machines_.oracle_.require(rejection != ExitReason::unknownAttempt,
                               "start command for an unknown task: " + nameOf(attempt));
-    if (rejection == ExitReason::unknown) return;
+    if (rejection == ExitReason::unknownAttempt) return;
     if (rejection == ExitReason::none) machines_.checkStart(*this, attempt, now);
     tasks_[attempt] = {TaskState::fetching, ExitReason::none, now};
     expediteHeartbeat(now);
@@ -328,7 +328,7 @@
         for (const auto& [worker, member] : gang.members) worker->exitTask(member, exitReason, now);
     };
     if (startedGangs_.contains(attempt)) {
-        if (gang.members.size() < job.spec.tasks) return exitAll(ExitReason::peers);
+        if (gang.members.size() < job.spec.tasks) return exitAll(ExitReason::gangMemberExited);
         if (job.completionLimit < job.spec.tasks) return;
         for (std::uint32_t task = 0; task < job.spec.tasks; ++task) job.completed.insert(task);
         return exitAll(ExitReason::done);
@@ -343,7 +343,7 @@
         const auto& task = worker->tasks().at(member);
         const bool waitTimedOut =
             task.state == TaskState::waiting && now - task.enteredAt > ticks(settings_.gangWaitTimeout);
-        if (waitTimedOut) worker->exitTask(member, ExitReason::alone, now);
+        if (waitTimedOut) worker->exitTask(member, ExitReason::gangTimedOut, now);
     }
 }
 
--- a/tests/upgrade/users.cpp
+++ b/tests/upgrade/users.cpp
@@ -23,7 +23,7 @@
 std::string encodeSubmission(const protocol::JobSpec& spec) {
     protocol::MessagePacker packer;
     protocol::packSpec(packer, spec);
-    return packer.take();
+    return packer.str();
 }
 
 std::string jobPath(const std::string& id) { return std::string(protocol::paths::kSubmissions) + "/" + id; }
--- a/tests/upgrade/users_check_test.cpp
+++ b/tests/upgrade/users_check_test.cpp
@@ -60,8 +60,8 @@
         }
         const bool first = request.path == protocol::paths::kSubmissions && !oracle.jobs.at(id).accepted;
         response.status = first ? 201 : 200;
-        response.body =
-            protocol::jobReply(id, answeredStates.contains(id) ? answeredStates.at(id) : JobState::queued);
+        response.body = protocol::encodeJobReply(
+            id, answeredStates.contains(id) ? answeredStates.at(id) : JobState::queued);
         return response;
     }
     static std::string jobIdOf(const Request& request) {
@@ -146,7 +146,7 @@
     submitCompletedJob(kJob);
     controller.script = [](const Request& request) {
         Response response;
-        response.body = protocol::jobReply(jobIdOf(request), JobState::queued);
+        response.body = protocol::encodeJobReply(jobIdOf(request), JobState::queued);
         return response;
     };
     stepUntilViolation("invented");
@@ -156,7 +156,7 @@
     submitCompletedJob(kJob);
     controller.script = [this](const Request& request) {
         auto response = answerCorrectly(request);
-        if (response.status == 200) response.body = protocol::jobReply(kDependent, JobState::queued);
+        if (response.status == 200) response.body = protocol::encodeJobReply(kDependent, JobState::queued);
         return response;
     };
     stepUntilViolation(std::string(kJob) + " at scripted answered for another job");
--- a/tests/workers/heartbeat_reconciler_test.cpp
+++ b/tests/workers/heartbeat_reconciler_test.cpp
@@ -36,8 +36,8 @@
                 std::move(tasks)};
     }
     static TaskStatus task(const bookkeeping::Placement& placement, TaskState state,
-                           ExitReason why = ExitReason::none) {
-        return {{placement.job->spec.id, placement.task, placement.attempt}, state, why, false};
+                           ExitReason exitReason = ExitReason::none) {
+        return {{placement.job->spec.id, placement.task, placement.attempt}, state, exitReason, false};
     }
     void apply(Machine& sender, const Heartbeat& heartbeat, StatusSource source = StatusSource::heartbeat) {
         now += 1s;
--- a/tests/workers/worker_commands_test.cpp
+++ b/tests/workers/worker_commands_test.cpp
@@ -38,11 +38,11 @@
         job.beginRun(bookkeeping::JobOrigin::accepted, Time{});
         return job;
     }
-    void addToHeartbeat(const std::string& job, std::uint32_t task, TaskState state, ExitReason why) {
+    void addToHeartbeat(const std::string& job, std::uint32_t task, TaskState state, ExitReason exitReason) {
         protocol::TaskStatus listed;
         listed.attempt = {job, task, 1};
         listed.state = state;
-        listed.why = why;
+        listed.exitReason = exitReason;
         heartbeat.tasks.push_back(listed);
     }
     std::vector<protocol::WorkerCommand> cleanupCommands() {
