--- a/tests/upgrade/check_fixture.h
+++ b/tests/upgrade/check_fixture.h
@@ -15,7 +15,7 @@
 #include "transport/http_message.h"
 #include "transport/http_server.h"
 #include "upgrade/machines.h"
-#include "upgrade/rules.h"
+#include "upgrade/test_oracle.h"
 
 namespace burlpoint::tests {
 
--- a/tests/upgrade/cloud.cpp
+++ b/tests/upgrade/cloud_stub.cpp
@@ -1,4 +1,4 @@
-#include "upgrade/cloud.h"
+#include "upgrade/cloud_stub.h"
 
 #include "protocol/errors.h"
 #include "protocol/msgpack_codec.h"
--- a/tests/upgrade/cluster.h
+++ b/tests/upgrade/cluster.h
@@ -10,11 +10,11 @@
 
 #include "storage/store_stub.h"
 #include "transport/executor.h"
-#include "upgrade/cloud.h"
-#include "upgrade/launcher.h"
+#include "upgrade/cloud_stub.h"
+#include "upgrade/controller_process.h"
 #include "upgrade/machines.h"
-#include "upgrade/rules.h"
 #include "upgrade/store_check.h"
+#include "upgrade/test_oracle.h"
 #include "upgrade/users.h"
 
 namespace burlpoint::tests {
--- a/tests/upgrade/launcher.cpp
+++ b/tests/upgrade/controller_process.cpp
@@ -1,4 +1,4 @@
-#include "upgrade/launcher.h"
+#include "upgrade/controller_process.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
--- a/tests/upgrade/machines_check_test.cpp
+++ b/tests/upgrade/machines_check_test.cpp
@@ -26,9 +26,9 @@
 
 /// Two machines in different zones that send heartbeats to a scripted controller. The controller sends each
 /// queued command once, in the response to the next heartbeat from its zone.
-class MachinesCheck : public testing::Test {
+class MachinesTest : public testing::Test {
   protected:
-    MachinesCheck() {
+    MachinesTest() {
         settings.heartbeatInterval = Seconds(0.1);
         settings.workerLease = Seconds(600);
         settings.cancelTimeout = Seconds(0);
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-TEST_F(MachinesCheck, StartsThatKeepTheRulesBreakNone) {
+TEST_F(MachinesTest, PermittedStartsBreakNoRule) {
     auto spec = makeSmallJob(kJob, {kDependent});
     spec.zone = "a";
     registerJob(spec);
@@ -89,7 +89,7 @@
     EXPECT_EQ(oracle.violations, std::vector<std::string>());
 }
 
-TEST_F(MachinesCheck, TaskOnTwoMachinesBreaksRanTwice) {
+TEST_F(MachinesTest, TaskOnTwoMachinesBreaksRanTwice) {
     registerJob(makeSmallJob(kJob));
     queueStart("a", 0, 1);
     stepUntilStarted(1);
@@ -97,13 +97,13 @@
     stepUntilViolation("ran_twice");
 }
 
-TEST_F(MachinesCheck, StartBeforeADependencyIsDoneBreaksTooEarly) {
+TEST_F(MachinesTest, StartBeforeADependencyIsDoneBreaksTooEarly) {
     registerJob(makeSmallJob(kJob, {kDependent}));
     queueStart("a", 0, 1);
     stepUntilViolation("too_early");
 }
 
-TEST_F(MachinesCheck, StartInAnotherZoneBreaksWrongPlace) {
+TEST_F(MachinesTest, StartInAnotherZoneBreaksWrongPlace) {
     auto spec = makeSmallJob(kJob);
     spec.zone = "a";
     registerJob(spec);
@@ -111,14 +111,14 @@
     stepUntilViolation("wrong_place");
 }
 
-TEST_F(MachinesCheck, StartAfterACancellationBreaksRanCancelled) {
+TEST_F(MachinesTest, StartAfterACancellationBreaksRanCancelled) {
     registerJob(makeSmallJob(kJob));
     oracle.markCancelConfirmed(kJob, Clock::now());
     queueStart("a", 0, 1);
     stepUntilViolation("ran_cancelled: a start of");
 }
 
-TEST_F(MachinesCheck, TaskLeftAfterACancellationBreaksRanCancelled) {
+TEST_F(MachinesTest, TaskLeftAfterACancellationBreaksRanCancelled) {
     registerJob(makeSmallJob(kJob));
     queueStart("a", 0, 1);
     stepUntilStarted(1);
@@ -126,7 +126,7 @@
     stepUntilViolation("ran_cancelled: a task of");
 }
 
-TEST_F(MachinesCheck, StartOfAnUnknownJobIsReported) {
+TEST_F(MachinesTest, StartOfAnUnknownJobIsReported) {
     queueStart("a", 0, 1);
     stepUntilViolation("start command for an unknown task");
 }
--- a/tests/upgrade/store_check.h
+++ b/tests/upgrade/store_check.h
@@ -9,7 +9,7 @@
 
 #include "storage/records.h"
 #include "storage/store_stub.h"
-#include "upgrade/rules.h"
+#include "upgrade/test_oracle.h"
 
 namespace burlpoint::tests {
 
--- a/tests/upgrade/store_check_test.cpp
+++ b/tests/upgrade/store_check_test.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-class StoredCheck : public testing::Test {
+class StoreCheckTest : public testing::Test {
   protected:
-    StoredCheck() { oracle.jobs[kJob].spec = makeSmallJob(kJob); }
+    StoreCheckTest() { oracle.jobs[kJob].spec = makeSmallJob(kJob); }
 
     void write(const std::string& key, std::optional<std::string> value) {
         std::vector<std::string> failed;
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_F(StoredCheck, JobThatRunsToItsEndBreaksNoRule) {
+TEST_F(StoreCheckTest, JobThatRunsToItsEndBreaksNoRule) {
     write(storage::keys::kToken, storage::encodeToken(1));
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
     writeRecord(TerminalState::none);
@@ -56,51 +56,51 @@
     EXPECT_TRUE(check.isDone(kJob));
 }
 
-TEST_F(StoredCheck, LowerTokenIsReported) {
+TEST_F(StoreCheckTest, LowerTokenIsReported) {
     write(storage::keys::kToken, storage::encodeToken(2));
     write(storage::keys::kToken, storage::encodeToken(1));
     EXPECT_EQ(firstViolation(oracle), "the fencing token went from 2 to 1");
 }
 
-TEST_F(StoredCheck, TokenUsedByTwoLeadersIsReported) {
+TEST_F(StoreCheckTest, TokenUsedByTwoLeadersIsReported) {
     write(storage::keys::kLeader, storage::encodeLeader({"one", 1}));
     write(storage::keys::kLeader, storage::encodeLeader({"two", 1}));
     EXPECT_EQ(firstViolation(oracle), "fencing token 1 of two was used before");
 }
 
-TEST_F(StoredCheck, ChangedTerminalStateIsReported) {
+TEST_F(StoreCheckTest, ChangedTerminalStateIsReported) {
     writeRecord(TerminalState::cancelled);
     writeRecord(TerminalState::none);
     EXPECT_EQ(firstViolation(oracle), std::string("the stored terminal state of ") + kJob + " has changed");
 }
 
-TEST_F(StoredCheck, DeletedRecordIsReported) {
+TEST_F(StoreCheckTest, DeletedRecordIsReported) {
     writeRecord(TerminalState::none);
     write(storage::keys::job(kJob), std::nullopt);
     EXPECT_EQ(firstViolation(oracle), std::string("the record of ") + kJob + " was deleted");
 }
 
-TEST_F(StoredCheck, RecordOfAnUnsubmittedJobIsReported) {
+TEST_F(StoreCheckTest, RecordOfAnUnsubmittedJobIsReported) {
     writeRecord(TerminalState::none, kDependent);
     EXPECT_EQ(firstViolation(oracle),
               std::string("a record of ") + kDependent + ", which was never submitted");
 }
 
-TEST_F(StoredCheck, DoneRecordBeforeTheLastTaskBreaksNotDone) {
+TEST_F(StoreCheckTest, DoneRecordBeforeTheLastTaskBreaksNotDone) {
     complete({0});
     writeRecord(TerminalState::done);
     EXPECT_EQ(firstViolation(oracle),
               std::string("not_done: ") + kJob + " is stored as done with incomplete tasks");
 }
 
-TEST_F(StoredCheck, BitOfAnOpenTaskBreaksNotDone) {
+TEST_F(StoreCheckTest, BitOfAnIncompleteTaskBreaksNotDone) {
     writeRecord(TerminalState::none);
     writeBitmap({true, false});
     EXPECT_EQ(firstViolation(oracle),
               std::string("not_done: a bit is set for the incomplete task ") + kJob + "/0");
 }
 
-TEST_F(StoredCheck, LostBitIsReported) {
+TEST_F(StoreCheckTest, ClearedBitIsReported) {
     writeRecord(TerminalState::none);
     complete({0});
     writeBitmap({true, false});
@@ -108,7 +108,7 @@
     EXPECT_EQ(firstViolation(oracle), std::string("the bit of ") + kJob + "/0 was cleared");
 }
 
-TEST_F(StoredCheck, BitsDeletedBeforeTheEndAreReported) {
+TEST_F(StoreCheckTest, BitmapDeletedBeforeATerminalStateIsReported) {
     writeRecord(TerminalState::none);
     writeBitmap({false, false});
     write(storage::keys::doneChunk(kJob, 0), std::nullopt);
--- a/tests/upgrade/users.h
+++ b/tests/upgrade/users.h
@@ -13,7 +13,7 @@
 #include "transport/executor.h"
 #include "transport/http_client.h"
 #include "upgrade/machines.h"
-#include "upgrade/rules.h"
+#include "upgrade/test_oracle.h"
 
 namespace burlpoint::tests {
 
--- a/tests/upgrade/users_check_test.cpp
+++ b/tests/upgrade/users_check_test.cpp
@@ -23,9 +23,9 @@
 
 namespace {
 
-class UsersCheck : public testing::Test {
+class UsersTest : public testing::Test {
   protected:
-    UsersCheck() {
+    UsersTest() {
         controller.script = [this](const Request& request) { return answerCorrectly(request); };
     }
 
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-TEST_F(UsersCheck, TruthfulAnswersBreakNoRule) {
+TEST_F(UsersTest, CorrectAnswersBreakNoRule) {
     submitCompletedJob(kJob);
     submitCompletedJob(kDependent, {kJob});
     stepUntilRequestsAnswered(30);
@@ -93,7 +93,7 @@
     EXPECT_EQ(oracle.violations, std::vector<std::string>());
 }
 
-TEST_F(UsersCheck, DoneJobAnsweredAsRunningBreaksWentBack) {
+TEST_F(UsersTest, DoneJobAnsweredAsRunningBreaksWentBack) {
     submitCompletedJob(kJob);
     answeredStates[kJob] = JobState::done;
     stepUntil([&] { return oracle.job(kJob).terminalState.has_value(); });
@@ -101,13 +101,13 @@
     stepUntilViolation("went_back");
 }
 
-TEST_F(UsersCheck, UnrequestedCancellationBreaksWentBack) {
+TEST_F(UsersTest, UnrequestedCancellationBreaksWentBack) {
     submitCompletedJob(kJob);
     answeredStates[kJob] = JobState::cancelled;
     stepUntilViolation("went_back");
 }
 
-TEST_F(UsersCheck, PendingDependentOfACancelledJobBreaksOrphaned) {
+TEST_F(UsersTest, PendingDependentOfACancelledJobBreaksOrphaned) {
     submitCompletedJob(kJob);
     submitCompletedJob(kDependent, {kJob});
     answeredStates[kJob] = JobState::cancelled;
@@ -115,14 +115,14 @@
     stepUntilViolation(std::string("orphaned: ") + kDependent);
 }
 
-TEST_F(UsersCheck, DoneJobWithAnOpenTaskBreaksNotDone) {
+TEST_F(UsersTest, DoneJobWithAnIncompleteTaskBreaksNotDone) {
     submitCompletedJob(kJob);
     oracle.job(kJob).completed.erase(1);
     answeredStates[kJob] = JobState::done;
     stepUntilViolation("not_done");
 }
 
-TEST_F(UsersCheck, AcceptedJobAnsweredWith404BreaksForgotten) {
+TEST_F(UsersTest, AcceptedJobAnsweredWith404BreaksForgotten) {
     submitCompletedJob(kJob);
     controller.script = [](const Request& request) {
         Response response;
@@ -132,7 +132,7 @@
     stepUntilViolation("forgotten");
 }
 
-TEST_F(UsersCheck, AcceptedJobAcceptedAsNewBreaksForgotten) {
+TEST_F(UsersTest, AcceptedJobAcceptedAsNewBreaksForgotten) {
     submitCompletedJob(kJob);
     controller.script = [this](const Request& request) {
         auto response = answerCorrectly(request);
@@ -142,7 +142,7 @@
     stepUntilViolation("forgotten");
 }
 
-TEST_F(UsersCheck, StateOfAnUnsubmittedJobBreaksInvented) {
+TEST_F(UsersTest, StateOfAnUnsubmittedJobBreaksInvented) {
     submitCompletedJob(kJob);
     controller.script = [](const Request& request) {
         Response response;
@@ -152,7 +152,7 @@
     stepUntilViolation("invented");
 }
 
-TEST_F(UsersCheck, AnswerForAnotherJobIsReported) {
+TEST_F(UsersTest, AnswerForAnotherJobIsReported) {
     submitCompletedJob(kJob);
     controller.script = [this](const Request& request) {
         auto response = answerCorrectly(request);
