--- a/tests/simulation/combined_failures/cancellations_and_pipelines_test.cpp
+++ b/tests/simulation/combined_failures/cancellations_and_pipelines_test.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST(History, RulesHoldWhenUsersCancelAskAndResubmitAsTheLastTaskEnds) {
+TEST(History, InvariantsHoldWhenUsersCancelQueryAndResubmitAsTheLastTaskEnds) {
     Scenario scenario;
     scenario.faults = Faults::none();
     scenario.faults.userActionsAtJobEndProbability = 0.8;
--- a/tests/simulation/combined_failures/capacity_and_zones_test.cpp
+++ b/tests/simulation/combined_failures/capacity_and_zones_test.cpp
@@ -9,7 +9,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, RulesHoldWhenWorkOfAllPrioritiesExceedsCapacityAndFetchesAreSlow) {
+TEST(History, InvariantsHoldWhenWorkOfAllPrioritiesExceedsCapacityAndFetchesAreSlow) {
     Scenario scenario;
     scenario.maxJobs = 25;
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
@@ -25,7 +25,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenJobsBoundToOneZoneLoseMachines) {
+TEST(History, InvariantsHoldWhenJobsBoundToOneZoneLoseMachines) {
     Scenario scenario;
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
         auto spec = randomJob(cluster, number);
@@ -49,7 +49,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenAZoneWithWorkersAndAControllerIsCutOffForLongerThanALease) {
+TEST(History, InvariantsHoldWhenAZoneWithWorkersAndAControllerIsPartitionedForLongerThanALease) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(130);
--- a/tests/simulation/combined_failures/late_messages_test.cpp
+++ b/tests/simulation/combined_failures/late_messages_test.cpp
@@ -11,7 +11,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, RulesHoldWhenHeartbeatsOfEarlierIncarnationsArriveAfterNewerOnes) {
+TEST(History, InvariantsHoldWhenHeartbeatsOfEarlierIncarnationsArriveAfterNewerOnes) {
     Scenario scenario;
     scenario.faults.heartbeatDuplicateProbability = 0.4;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.2;
@@ -24,7 +24,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenHeartbeatsArriveOnlyAfterANewLeaderHasActed) {
+TEST(History, InvariantsHoldWhenHeartbeatsArriveOnlyAfterANewLeaderHasActed) {
     Scenario scenario;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.6;
     scenario.faults.workerRestartsPerSecond = 0.01;
@@ -36,7 +36,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenTransactionsAreCarriedOutAfterNewerOnesOfTheSameController) {
+TEST(History, InvariantsHoldWhenTransactionsAreAppliedAfterNewerOnesOfTheSameController) {
     Scenario scenario;
     scenario.faults.unansweredWriteProbability = 0.35;
     scenario.faults.workerDeathsPerSecond = 0.01;
@@ -47,7 +47,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenMessagesAreHeldUntilTheirMachineRecovers) {
+TEST(History, InvariantsHoldWhenMessagesAreHeldUntilTheirMachineRecovers) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.messageHeldUntilRecoveryProbability = 0.8;
@@ -70,7 +70,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenWorkersReachNoControllerButTakeDirectCommands) {
+TEST(History, InvariantsHoldWhenWorkersReachNoControllerButReceiveDirectCommands) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.outboundLinkFailuresPerSecond = 0.02;
--- a/tests/simulation/combined_failures/leader_changes_test.cpp
+++ b/tests/simulation/combined_failures/leader_changes_test.cpp
@@ -9,7 +9,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, RulesHoldWhenLeaderEndsWhileBusyMachinesAreUnreachable) {
+TEST(History, InvariantsHoldWhenLeaderEndsWhileBusyMachinesAreUnreachable) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.script = [](SimulatedCluster& cluster, int second) {
@@ -26,7 +26,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenAllControllersAreDownForLongerThanALease) {
+TEST(History, InvariantsHoldWhenAllControllersAreDownForLongerThanALease) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.1;
@@ -39,7 +39,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenLeadersChangeWithinASecondAndAllControllersEnd) {
+TEST(History, InvariantsHoldWhenLeadersChangeWithinASecondAndAllControllersStop) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.1;
@@ -52,7 +52,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenLeadersChangeTenTimesInTwoMinutesWithStoreOutages) {
+TEST(History, InvariantsHoldWhenLeadersChangeTenTimesInTwoMinutesWithStoreOutages) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(125);
@@ -67,7 +67,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenTasksOfSmallJobsEndBeforeAndAfterAFailover) {
+TEST(History, InvariantsHoldWhenTasksOfSmallJobsEndBeforeAndAfterAFailover) {
     Scenario scenario;
     scenario.prepare = [](SimulatedCluster& cluster) {
         cluster.workers.minRunTime = Seconds(1);
@@ -86,7 +86,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenLeaderChangesWithATeamAtItsMaximumAndMachinesUnreachable) {
+TEST(History, InvariantsHoldWhenLeaderChangesWithATeamNearItsQuotaAndMachinesUnreachable) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.generateJob = [](SimulatedCluster& cluster, int number) {
--- a/tests/simulation/combined_failures/store_outages_test.cpp
+++ b/tests/simulation/combined_failures/store_outages_test.cpp
@@ -9,7 +9,7 @@
 using simulation::Occurrences;
 using simulation::SimulatedCluster;
 
-TEST(History, RulesHoldWhenJobsAreCancelledWhileTheLeaderHasLostTheStore) {
+TEST(History, InvariantsHoldWhenJobsAreCancelledWhileTheLeaderHasLostTheStore) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.faults.heartbeatHeldForNextLeaderProbability = 0.1;
@@ -27,7 +27,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenTheStoreIsSlowThenRefusesTheLeaderThenEverybody) {
+TEST(History, InvariantsHoldWhenTheStoreIsSlowThenRefusesTheLeaderThenAllClients) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(130);
@@ -46,7 +46,7 @@
     checkScenario(scenario);
 }
 
-TEST(History, RulesHoldWhenJobsAreCancelledAsTheLeaderLosesTheStoreASecondBeforeAnOutage) {
+TEST(History, InvariantsHoldWhenJobsAreCancelledAsTheLeaderLosesTheStoreASecondBeforeAnOutage) {
     Scenario scenario;
     scenario.prepare = useLongTasks;
     scenario.time = Seconds(130);
--- a/tests/simulation/history_test.cpp
+++ b/tests/simulation/history_test.cpp
@@ -26,10 +26,10 @@
 
 // The default fault rates, which cover the failures named in the protocol description. All of them occur at
 // random in the same history, over several leaderships.
-RC_GTEST_PROP(History, RulesHoldUnderEveryFailure, ()) { checkRandomHistory({}, Seconds(150)); }
+RC_GTEST_PROP(History, InvariantsHoldUnderEveryFailure, ()) { checkRandomHistory({}, Seconds(150)); }
 
 // Leaders crash every 8 s on average; the next one is elected 0.2 to 8 s later.
-RC_GTEST_PROP(History, RulesHoldWhileLeadersKeepCrashing, ()) {
+RC_GTEST_PROP(History, InvariantsHoldWhileLeadersKeepCrashing, ()) {
     Faults faults;
     faults.leaderCrashesPerSecond = 0.12;
     checkRandomHistory(faults, Seconds(100));
@@ -37,7 +37,7 @@
 
 // Workers are partitioned or hang while their tasks run, so no leader learns of the tasks; heartbeats and
 // commands arrive late.
-RC_GTEST_PROP(History, RulesHoldWhileWorkersAreCutOff, ()) {
+RC_GTEST_PROP(History, InvariantsHoldWhileWorkersArePartitioned, ()) {
     Faults faults;
     faults.workerPartitionsPerSecond = 0.03;
     faults.workerHangsPerSecond = 0.02;
@@ -49,7 +49,7 @@
 
 // Workers send heartbeats but receive nothing, copies of heartbeats arrive up to 50 s late, workers restart,
 // some with their counters reset, and leaders lose the store while workers still reach them.
-RC_GTEST_PROP(History, RulesHoldWithUnreachableMachinesDuplicateHeartbeatsAndRestarts, ()) {
+RC_GTEST_PROP(History, InvariantsHoldWithUnreachableMachinesDuplicateHeartbeatsAndRestarts, ()) {
     Faults faults;
     faults.inboundLinkFailuresPerSecond = 0.02;
     faults.heartbeatDuplicateProbability = 0.4;
@@ -61,14 +61,14 @@
 }
 
 // Jobs with dependencies, in chains, fans and diamonds, under the default faults.
-RC_GTEST_PROP(History, RulesHoldForPipelinesUnderEveryFailure, ()) {
+RC_GTEST_PROP(History, InvariantsHoldForPipelinesUnderEveryFailure, ()) {
     checkRandomHistory({}, Seconds(150), randomJobWithDependencies);
 }
 
 // The key-value store lowers its limits during the history, in half of the histories announced in the
 // settings, under the default faults. A history with few writes may not reach the limits, so refusals are
 // counted over all histories.
-TEST(History, RulesHoldAcrossLoweredLimits) {
+TEST(History, InvariantsHoldAcrossLoweredLimits) {
     constexpr std::uint64_t kHistories = 100;
     constexpr std::size_t kMinRefusals = 50;
     std::size_t tooLarge = 0, rateLimited = 0, tooLargeThoughAnnounced = 0;
--- a/tests/simulation/rule_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "simulation/rule_checker.h"
+#include "simulation/invariant_checker.h"
 
 #include <algorithm>
 
@@ -31,18 +31,18 @@
 
 }  // namespace
 
-std::optional<Clock::duration> RuleChecker::timeSinceCancellation(const std::string& job) const {
+std::optional<Clock::duration> InvariantChecker::timeSinceCancellation(const std::string& job) const {
     const auto found = environment_.jobs.cancelledAt.find(job);
     if (found == environment_.jobs.cancelledAt.end()) return std::nullopt;
     return environment_.now() - found->second;
 }
 
-bool RuleChecker::cancelTimeoutExpired(const std::string& job) const {
+bool InvariantChecker::cancelTimeoutExpired(const std::string& job) const {
     const auto time = timeSinceCancellation(job);
     return time && *time > environment_.settings.cancelTimeout;
 }
 
-void RuleChecker::checkPlacement(const SimulatedWorker& worker, const Attempt& attempt) {
+void InvariantChecker::checkPlacement(const SimulatedWorker& worker, const Attempt& attempt) {
     const auto& specs = environment_.jobs.specs;
     const auto& spec = specs.at(attempt.job);
     double teamCpus = spec.cpus, teamGpus = spec.gpus;
@@ -69,8 +69,8 @@
     if (cancelTimeoutExpired(attempt.job)) report("ran_cancelled: " + taskName(attempt));
 }
 
-void RuleChecker::checkZones(const SimulatedWorker& worker, const Attempt& attempt,
-                             std::map<std::string, std::uint32_t> tasksPerZone) {
+void InvariantChecker::checkZones(const SimulatedWorker& worker, const Attempt& attempt,
+                                  std::map<std::string, std::uint32_t> tasksPerZone) {
     const auto& spec = environment_.jobs.specs.at(attempt.job);
     const bool zoneAllowed = (!spec.zone || *spec.zone == worker.zone) &&
                              (!spec.singleZone || tasksPerZone.size() == 1) &&
@@ -79,14 +79,14 @@
     if (!zoneAllowed || !machineAllowed) report("wrong_place: " + taskName(attempt) + " on " + worker.id);
 }
 
-bool RuleChecker::isOverQuota(const JobSpec& spec, double cpus, double gpus) const {
+bool InvariantChecker::isOverQuota(const JobSpec& spec, double cpus, double gpus) const {
     const auto* team = environment_.settings.team(spec.team);
     return (team->maxCpus > 0 && cpus > team->maxCpus + kRoundingTolerance) ||
            (team->maxGpus > 0 && gpus > team->maxGpus + kRoundingTolerance);
 }
 
-void RuleChecker::checkStartCommand(const protocol::WorkerCommand& command,
-                                    bookkeeping::StateReplica& replica, bool leaderReachesStore) {
+void InvariantChecker::checkStartCommand(const protocol::WorkerCommand& command,
+                                         bookkeeping::StateReplica& replica, bool leaderReachesStore) {
     if (command.kind != protocol::CommandKind::start) return;
     const auto sinceCancellation = timeSinceCancellation(command.attempt.job);
     if (!sinceCancellation) return;
@@ -98,7 +98,7 @@
     if (known || shouldBeKnown) report("start sent after the cancellation of " + command.attempt.job);
 }
 
-void RuleChecker::checkAcknowledgement(const Attempt& attempt) {
+void InvariantChecker::checkAcknowledgement(const Attempt& attempt) {
     const auto record = store_.recordOf(attempt.job);
     if (record.terminalState != TerminalState::none || record.spec.kind == JobKind::service) return;
     std::vector<bool> done(record.spec.tasks);
@@ -111,7 +111,7 @@
     if (!done[attempt.task]) report("acknowledged before the result was stored: " + taskName(attempt));
 }
 
-void RuleChecker::checkCancelledTasks() {
+void InvariantChecker::checkCancelledTasks() {
     for (const auto& [id, worker] : workers_.all()) {
         if (worker.tasks.empty() || !workers_.holdsLease(worker)) continue;
         for (const auto& [attempt, task] : worker.tasks) {
@@ -122,7 +122,7 @@
     }
 }
 
-void RuleChecker::checkStoredRecords() {
+void InvariantChecker::checkStoredRecords() {
     const std::string prefix = storage::keys::kJobPrefix;
     const auto& log = store_.contents().log;
     for (; checkedEvents_ < log.size(); ++checkedEvents_) {
@@ -147,7 +147,7 @@
     }
 }
 
-RuleChecker::Usage RuleChecker::currentUsage() const {
+InvariantChecker::Usage InvariantChecker::currentUsage() const {
     Usage usage;
     for (const auto& [id, worker] : workers_.all()) {
         if (!workers_.holdsLease(worker)) continue;
@@ -162,7 +162,7 @@
     return usage;
 }
 
-bool RuleChecker::mayHost(const SimulatedWorker& worker, const JobSpec& spec) const {
+bool InvariantChecker::mayHost(const SimulatedWorker& worker, const JobSpec& spec) const {
     const auto now = environment_.now();
     const bool faultFree = workers_.holdsLease(worker) && now - worker.lastFault >= kFaultFreeTime &&
                            now - worker.bootAt >= kFaultFreeTime;
@@ -171,7 +171,7 @@
     return faultFree && spotAllowed && zoneAllowed && typeAllowed(spec, worker.type);
 }
 
-std::uint32_t RuleChecker::placeableTasks(const JobSpec& spec, Usage& usage) const {
+std::uint32_t InvariantChecker::placeableTasks(const JobSpec& spec, Usage& usage) const {
     std::map<std::string, std::uint32_t> placeablePerZone;
     for (const auto& [id, worker] : workers_.all()) {
         if (!mayHost(worker, spec)) continue;
@@ -187,7 +187,7 @@
     return spec.singleZone ? largest : total;
 }
 
-bool RuleChecker::couldStart(const JobSpec& spec, Usage& usage) const {
+bool InvariantChecker::couldStart(const JobSpec& spec, Usage& usage) const {
     if (usage.runningJobs.contains(spec.id) || store_.terminalStateOf(spec.id) != TerminalState::none ||
         environment_.jobs.allTasksCompleted(spec.id) || !store_.dependenciesDone(spec.id))
         return false;
@@ -198,7 +198,7 @@
     return placeableTasks(spec, usage) >= wanted;
 }
 
-void RuleChecker::checkWaitingJobs(const std::function<std::string(const std::string&)>& explain) {
+void InvariantChecker::checkWaitingJobs(const std::function<std::string(const std::string&)>& explain) {
     auto usage = currentUsage();
     for (const auto& [id, spec] : environment_.jobs.specs) {
         if (!couldStart(spec, usage)) {
--- a/tests/simulation/rule_checker.h
+++ b/tests/simulation/invariant_checker.h
@@ -21,9 +21,9 @@
 
 namespace burlpoint::simulation {
 
-class RuleChecker {
+class InvariantChecker {
   public:
-    RuleChecker(Environment& environment, const SimulatedStore& store, const SimulatedWorkers& workers)
+    InvariantChecker(Environment& environment, const SimulatedStore& store, const SimulatedWorkers& workers)
         : environment_(environment), store_(store), workers_(workers) {}
 
     // --- called at single events ---
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -12,7 +12,7 @@
 
 #include "base/clock.h"
 #include "simulation/environment.h"
-#include "simulation/rule_checker.h"
+#include "simulation/invariant_checker.h"
 #include "simulation/simulated_cloud.h"
 #include "simulation/simulated_leaders.h"
 #include "simulation/simulated_network.h"
@@ -63,7 +63,7 @@
   private:
     void step();
 
-    RuleChecker invariantChecker_{environment, store, workers};
+    InvariantChecker invariantChecker_{environment, store, workers};
     bool faultsEnded_ = false;
     Time nextWaitingCheck_{};
 };
