--- a/src/coordination/api/job_queries.h
+++ b/src/coordination/api/job_queries.h
@@ -45,7 +45,7 @@
 
     bookkeeping::StateReplica& replica_;
     StateWatcher& watcher_;
-    std::unordered_map<std::string, std::uint32_t> running_;  // number of tasks by job
+    std::unordered_map<std::string, std::uint32_t> running_;  // number of running tasks by job id
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/api/readiness.h
+++ b/src/coordination/api/readiness.h
@@ -10,9 +10,9 @@
 namespace burlpoint::coordination {
 
 /// Readiness with flap damping. After a loss of readiness, the controller has to stay healthy for a hold-down
-/// time before it is ready again, and each further loss shortly afterwards doubles the hold-down. A
-/// controller that is healthy only intermittently stays out of the load balancer's rotation instead of
-/// flapping.
+/// time of 3 s before it is ready again. Each further loss less than 120 s after the previous one doubles the
+/// hold-down, up to 40 s. A controller that is healthy only intermittently stays out of the load balancer's
+/// rotation instead of flapping.
 class Readiness {
   public:
     /// Records whether the controller can serve users at `now`. Must be called several times a second, with
--- a/src/coordination/api/submission_handler.h
+++ b/src/coordination/api/submission_handler.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // Decides whether a submitted job is accepted: handles decoding, idempotent resubmission, validation and job
-// dependencies. Passes accepted jobs to the `SubmissionWriter`, which it owns. Used on the controller's
-// thread.
+// dependencies. Owns the `SubmissionWriter` and passes valid jobs to it; a job counts as accepted once it is
+// stored. Used on the controller's thread.
 
 #include <optional>
 #include <string>
@@ -37,8 +37,8 @@
     void replyToResubmission(const bookkeeping::Job& job, const transport::Reply& reply);
     /// Rejects the job unless it was accepted before.
     void reject(const std::string& id, RejectionReason reason, const transport::Reply& reply);
-    /// Accepts the job if all of its dependencies were accepted. If the replica lacks one, decides after a
-    /// linearizable read.
+    /// Passes the job to the writer if all of its dependencies were accepted, and otherwise rejects it. If
+    /// the replica lacks a dependency, decides after a linearizable read.
     void checkDependencies(protocol::JobSpec spec, const transport::Reply& reply);
     void checkDependenciesAfterRead(const protocol::JobSpec& spec, const transport::Reply& reply);
     /// The first dependency of the job that the replica does not have; empty if it has all of them.
--- a/src/coordination/api/submission_queue.cpp
+++ b/src/coordination/api/submission_queue.cpp
@@ -10,9 +10,9 @@
 
 constexpr std::size_t kMaxQueued = 400;  // total over all queues; bounds their memory
 constexpr std::size_t kMaxWritesInFlight = 8;
-// Share of the key-value store's write rate that submissions may use. The writes of a leader have a separate
-// budget: with a shared one, the leader's controller would reject submissions whenever the leader has much to
-// store.
+// Share of the key-value store's write rate that the submissions to one controller may use. The writes of a
+// leader have a separate budget: with a shared one, the leader's controller would reject submissions whenever
+// the leader has much to store.
 constexpr double kWriteBudgetShare = 0.3;
 constexpr std::chrono::seconds kMinRetryAfter = 1s;
 constexpr Seconds kMaxRetryAfter = 30s;
--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Queues the accepted submissions that wait to be stored, fairly by team and with a limit on their total
+// Queues the validated submissions that wait to be stored, fairly by team and with a limit on their total
 // number. Owns the waiting submissions, the round-robin position, the number of writes in flight, and the
 // budget of key-value store writes that all submissions share. Used on the controller's thread.
 
@@ -20,7 +20,7 @@
 
 namespace burlpoint::coordination {
 
-/// An accepted submission that waits to be stored.
+/// A validated submission that waits to be stored.
 struct Submission {
     protocol::JobSpec spec;
     transport::Reply reply;
@@ -36,9 +36,9 @@
 
     SubmissionQueue(const protocol::Settings& settings, Time now);
 
-    /// Admission control. Empty if one more submission can be stored within `kMaxWait`. Otherwise the
-    /// submission must be rejected, and the result is the time (1 to 30 s) after which the user should try
-    /// again.
+    /// Admission control. Empty if the queue has space for one more submission, which is expected to be
+    /// written within `kMaxWait`. Otherwise the submission must be rejected, and the result is the time (1 to
+    /// 30 s) after which the user should try again.
     std::optional<std::chrono::seconds> retryAfterIfFull(Time now);
 
     /// Appends a submission to the queue of its team.
--- a/src/coordination/api/submission_validation.cpp
+++ b/src/coordination/api/submission_validation.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr double kRoundingError = 1e-9;  // of sums of processors, accelerators and memory
+constexpr double kRoundingError = 1e-9;  // tolerance when processors, accelerators or memory are compared
 
 bool exceeds(double need, double quota) { return quota > 0 && need > quota + kRoundingError; }
 
--- a/src/coordination/api/submission_validation.h
+++ b/src/coordination/api/submission_validation.h
@@ -15,7 +15,7 @@
 /// Why a job can never run in this cluster.
 enum class RejectionReason {
     unknownTeam,
-    exceedsTeamQuota,   // a task of an array, or all tasks of another job, need more than the maximum quota
+    exceedsTeamQuota,   // a task of an array, or all tasks of any other job, need more than the team's quota
     fitsNoMachineType,  // no machine type that the job may use is large enough for a task
     recordTooLarge,     // the job's record is larger than a value of the key-value store may be
 };
--- a/src/coordination/api/submission_writer.h
+++ b/src/coordination/api/submission_writer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Stores accepted submissions, paced by the write rate of the key-value store. Owns the submission queue and
+// Stores validated submissions, paced by the write rate of the key-value store. Owns the submission queue and
 // the timer that triggers its processing. Used on the controller's thread.
 
 #include "base/clock.h"
@@ -35,7 +35,8 @@
     void serveQueueAfter(Duration pause);
     void write(Submission submission);
     void writeCompleted(const Submission& submission, const storage::TransactionResult& result);
-    /// Handles a write that the key-value store refused temporarily.
+    /// Handles a write that the key-value store refused temporarily: requeues the submission if it arrived
+    /// less than `SubmissionQueue::kMaxWait / 2` ago, and otherwise replies with 503.
     void retryOrGiveUp(const Submission& submission);
 
     const protocol::Settings& settings_;
--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -129,7 +129,8 @@
 
 void ActionExecutor::execute(ScaleOut& action) {
     const auto& name = action.request.name;
-    // Machines, like commands to workers, may be created and deleted only under a valid leader lease.
+    // Like commands to workers, requests to create or delete machines may be sent only under a valid leader
+    // lease.
     if (!mayActAsLeader()) return deliver_(ScaleOutCompleted{name, InstanceRequestOutcome::unknown, {}});
     services_.http.request(settings_.cloudAddress, "POST", paths::kInstanceRequest,
                            protocol::encodeInstanceRequest(action.request), kCloudTimeout,
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -26,8 +26,9 @@
     return limits;
 }
 
-/// The minimum time between two reads that update the replica. Three quarters of the key-value store's
-/// request rate limit are divided among the controllers for such reads.
+/// The minimum time between two reads that update the replica on demand. Three quarters of the key-value
+/// store's request rate limit are divided among the controllers for all their reads. The factor of 1.5 covers
+/// the watches: `StateWatcher` pauses for two intervals after each, so it opens up to one in two intervals.
 Duration minReadInterval(const protocol::Settings& settings) {
     constexpr Duration kMinInterval{25};
     const double controllers = static_cast<double>(settings.peers.size()) + 1;
--- a/src/coordination/controller/direct_commands.h
+++ b/src/coordination/controller/direct_commands.h
@@ -18,12 +18,14 @@
     /// `actions`.
     DirectCommands(bookkeeping::Fleet& fleet, TaskTerminator& terminator, std::vector<Action>& actions);
 
-    /// Sends the machine's worker a direct message that carries the fencing token. The worker's response is
-    /// newer than all messages received from it so far. Does nothing while a probe is pending, or if the
-    /// machine's address is not known.
+    /// Sends the machine's worker a direct message that carries the fencing token and the pending stop
+    /// commands, if any. The worker's response is newer than all messages received from it so far. Does
+    /// nothing while a probe is pending, or if the machine's address is not known.
     void probe(bookkeeping::Machine& machine);
 
-    /// Sends the stop commands that the terminator has marked as urgent since the last call.
+    /// Sends all pending stop commands of each machine for which the terminator has requested new stops since
+    /// the last call and which has had no heartbeat answered since. Skips machines whose worker has not yet
+    /// acknowledged the fencing token, or whose address is not known.
     void sendUrgentStops();
 
   private:
--- a/src/coordination/controller/fleet_health_check.h
+++ b/src/coordination/controller/fleet_health_check.h
@@ -1,9 +1,9 @@
 #pragma once
 
 // Acts on the findings of the failure detector: expires the leases of workers without recent heartbeats,
-// probes suspected machines, has failed machines deleted, and resigns if it is rather this controller that is
-// partitioned from the workers. Owns no state: the failure detector keeps the schedule of the checks. Part of
-// a leader, used on its thread.
+// probes suspected machines, has failed machines deleted, and has the leader resign if this controller itself
+// appears to be partitioned from the workers. Owns no state: the failure detector keeps the schedule of the
+// checks. Part of a leader, used on its thread.
 
 #include <vector>
 
--- a/src/coordination/controller/fleet_membership.cpp
+++ b/src/coordination/controller/fleet_membership.cpp
@@ -19,7 +19,7 @@
     machine.spot = offering.spot;
     machine.typeInfo = bookkeeping::findType(types_, offering.type);
     machine.registry.reconciled = !registry_.mayHoldTasks(id);
-    tombstones_.restoreCounters(machine);  // it may have been removed earlier and be listed again
+    tombstones_.restoreCounters(machine);  // the machine may have left the fleet earlier
     return machine;
 }
 
--- a/src/coordination/controller/fleet_membership.h
+++ b/src/coordination/controller/fleet_membership.h
@@ -25,8 +25,8 @@
                     MachineRegistry& registry, AttemptCompletion& completion, JobQueue& jobQueue);
 
     /// Returns the machine, which is added with the properties of `offering` if it is not in the fleet. An
-    /// added machine counts as reconciled unless its stored registry entry shows that an earlier leader may
-    /// have started tasks on it.
+    /// added machine counts as reconciled, that is, as having no tasks unknown to this leader, unless its
+    /// stored registry entry shows that an earlier leader may have started tasks on it.
     bookkeeping::Machine& findOrAdd(const std::string& id, const bookkeeping::Offering& offering, Time now);
 
     /// Ends all attempts on the machine, has its registry entry deleted and removes it from the fleet.
--- a/src/coordination/controller/heartbeat_commands.cpp
+++ b/src/coordination/controller/heartbeat_commands.cpp
@@ -19,8 +19,9 @@
     std::vector<WorkerCommand> commands;
     if (addCleanupCommands(event.heartbeat, replica_, commands) == CommandFit::truncated) return commands;
     for (auto& command : stopCommands(machine)) commands.push_back(std::move(command));
-    // A leader that is partitioned from the key-value store may act for some more seconds, in which other
-    // controllers may confirm cancellations to users. Running tasks continue, but nothing new is started.
+    // A leader that is partitioned from the key-value store may act for up to 10 s more, see
+    // `Election::maxTimeWithoutRead`. Meanwhile other controllers may confirm cancellations to users that
+    // this leader does not know of. Running tasks continue, but no new task is started.
     if (!event.cancellationsCurrent || !usable(machine, now)) return commands;
     inputs_.refresh(now);
     scheduler_.schedule(machine, commands, now);
--- a/src/coordination/controller/heartbeat_forwarder.h
+++ b/src/coordination/controller/heartbeat_forwarder.h
@@ -19,8 +19,8 @@
 
 /// Decides whether a follower forwards a worker's heartbeat or redirects the worker to the leader. The first
 /// heartbeat is forwarded, as the worker's lease may expire soon; on the second the worker is redirected. A
-/// worker that returns shortly after a redirect cannot reach the leader, whereas this controller can, so its
-/// heartbeats are forwarded for a period.
+/// worker that returns within 9 s of a redirect cannot reach the leader, whereas this controller can, so its
+/// heartbeats are forwarded for 30 s before it is redirected again.
 class ForwardDecider {
   public:
     enum class Decision { forward, redirect };
@@ -28,7 +28,8 @@
     /// Decides about the worker's next heartbeat, which was received at `now`.
     Decision decide(Time now);
 
-    /// True if the last heartbeat is so old that the worker's history no longer affects a decision.
+    /// True if the last heartbeat is at least 9 s old and no forwarding period is in progress. The worker's
+    /// history then no longer affects a decision.
     bool isObsolete(Time now) const;
 
   private:
@@ -65,7 +66,7 @@
     /// heartbeat is forwarded at most once.
     void answer(PendingHeartbeat heartbeat, LocalRole role, Time now);
 
-    /// Drops the history of workers that have sent no heartbeats for a while.
+    /// Drops the history of the workers for which `ForwardDecider::isObsolete` is true.
     void dropObsolete(Time now);
 
   private:
--- a/src/coordination/controller/heartbeat_handler.cpp
+++ b/src/coordination/controller/heartbeat_handler.cpp
@@ -77,7 +77,7 @@
 /// was overtaken by the response to a direct command.
 void HeartbeatHandler::handleStale(Machine& machine, const HeartbeatReceived& event) {
     // A stale heartbeat with an older fencing token may come from a worker that has restarted its message
-    // counters. An accepting response would carry this leader's token to that worker unnoticed.
+    // counters. Accepting it would give that worker this leader's token, and the restart would go undetected.
     if (machine.lease.active && !hasOlderToken(event.heartbeat)) {
         context_.leases.extendForStaleHeartbeat(machine);
         // The response may renew the worker's lease, so it must carry the pending stop commands.
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -16,7 +16,8 @@
 
 namespace {
 
-// Intervals between full scans of the waiting jobs and the fleet.
+// Intervals between runs of preemption, autoscaling and debug logging, each of which may scan all waiting
+// jobs and the whole fleet.
 constexpr auto kPreemptionInterval = 250ms;
 constexpr auto kAutoscalingInterval = 1s;
 constexpr auto kLogInterval = 10s;
@@ -74,7 +75,7 @@
     for (const auto& [id, stored] : replica_.registeredMachines) {
         const auto& record = stored.record;
         auto& machine = membership_.findOrAdd(id, {record.type, record.zone, record.spot}, now_);
-        if (!registry_.mayHoldTasks(id)) continue;  // it was requested and may still be booting
+        if (!registry_.mayHoldTasks(id)) continue;  // the machine was requested and may still be booting
         machine.address = record.address;
         fleet_.setRegistration(machine, RegistrationState::stored);
         leases_.inherit(machine, now_);
--- a/src/coordination/controller/leader.h
+++ b/src/coordination/controller/leader.h
@@ -68,7 +68,7 @@
 
     std::uint64_t fencingToken() const { return fencingToken_; }
     const bookkeeping::Fleet& fleet() const { return fleet_; }
-    /// The writer of the leader's state, whose stored and pending writes are of use in tests and logs.
+    /// The writer of the leader's state. Simulations include its summary in their reports.
     const StateWriter& stateWriter() const { return writer_; }
     /// The number of machines scanned so far on behalf of waiting jobs. Measures the cost that may grow with
     /// the size of the fleet.
--- a/src/coordination/controller/leader_actions.h
+++ b/src/coordination/controller/leader_actions.h
@@ -29,8 +29,8 @@
     std::vector<protocol::WorkerCommand> commands;  // empty if the heartbeat is refused
 };
 
-/// A direct message to a worker with commands; the outcome is a `CommandsAnswered`. A message without
-/// commands is a probe.
+/// A direct message to a worker, as a probe or to stop tasks without waiting for the next heartbeat; the
+/// outcome is a `CommandsAnswered`. The commands of a probe may be empty.
 struct SendCommands {
     std::string machine;
     std::string address;
--- a/src/coordination/controller/leader_events.h
+++ b/src/coordination/controller/leader_events.h
@@ -23,7 +23,8 @@
 struct HeartbeatReceived {
     std::uint64_t request = 0;
     protocol::Heartbeat heartbeat;
-    /// Whether the controller knows all recent cancellations. If not, no new tasks are started.
+    /// Whether this controller knew all recent cancellations when the heartbeat arrived, as defined by
+    /// `Election::cancellationsCurrent`. If false, no new tasks are started.
     bool cancellationsCurrent = true;
 };
 
@@ -41,7 +42,7 @@
 
 enum class RefreshOutcome {
     refreshed,
-    failed  // the key-value store could not be read, and the replica is unchanged
+    failed  // the read failed, so the replica may still be stale
 };
 
 /// The outcome of `RefreshReplica`.
@@ -74,7 +75,7 @@
     std::vector<protocol::MachineType> types;
 };
 
-/// A timer tick; occurs several times a second.
+/// A timer tick. Occurs about every 100 ms while the leader lease is valid.
 struct Tick {};
 
 using LeaderEvent =
--- a/src/coordination/controller/peer_messenger.h
+++ b/src/coordination/controller/peer_messenger.h
@@ -48,10 +48,10 @@
     /// Answers a peer's status message.
     void serve(const transport::Request& request, const transport::Reply& reply);
 
-    /// True if the key-value store answers peers but not this controller.
+    /// True if the key-value store answers at least one peer but not this controller.
     bool onlyThisControllerRefused(Time now) const;
 
-    /// True if a status message was recently received from any peer.
+    /// True if a status of any peer arrived within the last 2.5 s.
     bool anyPeerInTouch(Time now) const;
 
   private:
--- a/src/coordination/controller/periodic_tasks.cpp
+++ b/src/coordination/controller/periodic_tasks.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr auto kTickInterval = 100ms;
-// The age of the newest read from which on another read is made to keep the replica fresh. It is lower on the
-// leader, which must know of cancellations.
+// A read is made if the key-value store's last response to any request is older than this.
 constexpr auto kMaxReadAge = 800ms;
+// A leader also reads if its last successful read is older than this, as it must know of cancellations.
 constexpr auto kLeaderMaxReadAge = 400ms;
 constexpr auto kMaxStoreResponseAge = 3s;  // a newer response shows that the key-value store is available
 constexpr auto kCleanUpInterval = 5s;
--- a/src/coordination/controller/periodic_tasks.h
+++ b/src/coordination/controller/periodic_tasks.h
@@ -42,7 +42,7 @@
     /// All objects that the context refers to must outlive this object.
     PeriodicTasks(asio::io_context& io, const PeriodicTasksContext& context);
 
-    /// Runs the tasks once at once, and then on every expiry of the timer for the lifetime of this object.
+    /// Runs the tasks immediately, and then on every expiry of the timer for the lifetime of this object.
     void start() { tick(); }
 
   private:
--- a/src/coordination/controller/worker_leases.cpp
+++ b/src/coordination/controller/worker_leases.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr double kClockDrift = 1.002;      // two clocks, each off by up to 0.05%, in opposite directions
+constexpr double kClockDrift = 1.002;      // twice the 0.1% between two clocks, each off by up to 0.05%
 constexpr Seconds kProcessingMargin{0.3};  // a busy controller handles a message with a delay
 
 }  // namespace
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -13,7 +13,8 @@
 namespace keys = storage::keys;
 
 namespace {
-// Without an answer of the key-value store for this long, a controller treats it as being in an outage.
+// A controller treats the key-value store as being in an outage once it has had no answer from the store for
+// this long.
 constexpr Duration kOutageAfter{1200};
 // Timeout of the transaction that writes the leader's key.
 constexpr Duration kAcquireTimeout{1500};
@@ -26,7 +27,8 @@
 constexpr Duration kRenewalRetryDelay{300};
 // How long a controller that defers to its peers starts no attempt.
 constexpr Duration kDeferralTime{20'000};
-// Renewals within the time to live of the lease, so that several in a row may fail.
+// The renewal interval is the lease's time to live divided by this, so that the lease outlasts several failed
+// renewals in a row.
 constexpr int kRenewalsPerLease = 6;
 }  // namespace
 
@@ -41,9 +43,10 @@
       onLost_(std::move(leadershipLost)),
       random_(std::random_device{}()),
       processStartedAt_(Clock::now()) {
-    // The default is at most half of the workers' lease: when a leader hangs, its workers first wait for it
-    // and then look for its successor, which must answer all of them before their leases expire. A longer
-    // lease is not needed for outages of the key-value store, in which the peers' votes extend it.
+    // The default is half of a worker's lease, but at least 2 s and at most 8 s: when a leader hangs, its
+    // workers first wait for it and then look for its successor, which must answer all of them before their
+    // leases expire. A longer leader lease is not needed for outages of the key-value store, in which the
+    // peers' votes extend it.
     const auto preferred = policy.leaderLease.count() > 0
                                ? policy.leaderLease
                                : std::clamp(settings.workerLease * 0.5, Seconds(2), Seconds(8));
@@ -88,9 +91,9 @@
         return false;
     }
     if (role_ == Role::vacancy) return true;
-    // Controllers that see the key disappear at the same moment should not all try at once. If the key names
-    // this controller, an earlier process of it held the key. That process has ended, and as all other
-    // controllers still respect the key, no random delay is needed.
+    // The random delay spreads the attempts of controllers that see the leader's key disappear at the same
+    // moment. No delay is needed if the key names this controller: an earlier leadership of this controller
+    // wrote it and has ended. If that was in an earlier process, all other controllers still respect the key.
     role_ = Role::vacancy;
     const Duration jitter = namesThisController ? Duration(0) : randomUpTo(kMaxAttemptJitter);
     earliestAttempt_ = std::max(earliestAttempt_, now + jitter);
@@ -99,8 +102,9 @@
 
 bool Election::isBoundByVote(Time now) const {
     if (votes_.isBound(now, resignedTokens_)) return true;
-    // An earlier process of this controller may have voted, which this process cannot know. It has not voted
-    // if the key names this controller, because then it was the leader itself.
+    // An earlier process of this controller may have voted, and as votes are not stored, this process cannot
+    // know. If the leader's key names this controller, there was no such vote, because the earlier process
+    // was the leader itself.
     return !isNamedLeader() && replica_.fencingToken > resignedTokens_ &&
            now < processStartedAt_ + LeaseVotes::kUnknownVoteDuration;
 }
@@ -176,7 +180,8 @@
     if (lease) state_.revokeLease(lease);
     ++round_;
     earliestAttempt_ = Clock::now() + kAttemptBackoff + randomUpTo(kAttemptBackoff);
-    // Only a read shows who won, or whether the transaction of this attempt was executed despite an error.
+    // Only a read shows which controller became leader, or whether the transaction of this attempt was
+    // executed despite an error.
     const auto round = round_;
     watcher_.readLatest([this, round](FreshRead) {
         if (round == round_) role_ = Role::vacancy;
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -33,7 +33,7 @@
     /// What a leader does after it has resigned.
     enum class Resignation {
         mayTryAgain,  // it may become a candidate again at once
-        deferToPeers  // it is in a bad position to lead, so it starts no attempt for 20 s
+        deferToPeers  // the cause is likely its own host or network, so it starts no attempt for 20 s
     };
 
     /// All referenced objects must outlive this one. The two callbacks are called alternately, from `tick`
@@ -55,14 +55,16 @@
                              extendedByVotes(now));
     }
 
-    /// True if this leader knows all cancellations that were confirmed until shortly before `now`. If not, it
-    /// must not start any task.
+    /// True if this leader knows the recent cancellations: its last successful read was sent less than 1.5 s
+    /// before `now`, or the votes of all peers are in force, which arrive with the cancellations that the
+    /// peers know. If false, the leader must not start any task.
     bool cancellationsCurrent(Time now) const {
         return now - watcher_.asOf() < kCancellationFreshness || extendedByVotes(now);
     }
 
     /// How long a leader may act without a successful read of the key-value store while only the renewals of
-    /// its lease succeed. With this limit, the workers' leases expire within the cancel timeout.
+    /// its lease succeed: between 2 s and 10 s, depending on the settings. With this limit, the workers'
+    /// leases expire within the cancel timeout, provided that it exceeds a worker's lease by more than 2 s.
     static Duration maxTimeWithoutRead(const protocol::Settings& settings);
 
     /// Handles a leader's request for a vote during an outage of the key-value store. Returns for how long
@@ -82,13 +84,14 @@
     /// True if this controller has the leader role. To act it also needs an unexpired lease, see `valid`.
     bool leading() const { return role_ == Role::leader; }
 
-    /// Records that a leader has resigned and told its peers so, as a leader does that the key-value store
-    /// refuses. Its key may then be replaced although its lease has not expired.
+    /// Records that the leader with `fencingToken` has resigned, as its status message to this controller
+    /// says. Its key may then be replaced even if its lease in the key-value store has not expired, as
+    /// happens if the store refused the request to revoke the lease.
     void noteResignation(std::uint64_t fencingToken) {
         resignedTokens_ = std::max(resignedTokens_, fencingToken);
     }
 
-    /// The fencing token of this controller's last leadership that has ended, 0 if it has led none.
+    /// The fencing token of the last leadership of this process that has ended, 0 if there is none.
     std::uint64_t resignedToken() const { return resignedToken_; }
 
   private:
@@ -112,7 +115,7 @@
     bool isBoundByVote(Time now) const;
     /// True if the leader's key names this controller.
     bool isNamedLeader() const { return replica_.leader && replica_.leader->node == settings_.name; }
-    /// True if that leader is known to have resigned.
+    /// True if the controller named in `leader` is known to have resigned that leadership.
     bool hasResigned(const storage::LeaderRecord& leader) const {
         return leader.fencingToken <= resignedTokens_;
     }
--- a/src/coordination/leadership/lease_votes.h
+++ b/src/coordination/leadership/lease_votes.h
@@ -22,7 +22,7 @@
     /// How long a vote is valid for the leader that receives it, from when the leader sent its request.
     static constexpr Duration kVoteDuration{2500};
     /// How long a restarted process must assume that a vote from before its restart binds it, because votes
-    /// are not stored.
+    /// are not stored. The added 1% exceeds the 0.1% for clock drift that `giveVote` adds to a vote.
     static constexpr Duration kUnknownVoteDuration = kVoteDuration + kVoteDuration / 100;
 
     /// Promises the leader with `fencingToken` that this controller will not become leader from `now` on.
--- a/src/coordination/leadership/overload_monitor.cpp
+++ b/src/coordination/leadership/overload_monitor.cpp
@@ -11,12 +11,13 @@
 constexpr auto kLateTickThreshold = 200ms;
 // The process counts as overloaded once all ticks have been late for this long.
 constexpr auto kOverloadedAfter = 1200ms;
-// A new leader is not judged for this long: after a failover it reads the state, reconciles heartbeats and
-// answers all workers at once, which makes it late for some seconds on any machine.
+// A new leader does not resign for overload within this time: after a failover it reads the state, reconciles
+// heartbeats and answers all workers at once, which makes its ticks late for some seconds on any machine.
 constexpr auto kFailoverGracePeriod = 8s;
+// Minimum time between two resignations for overload: its initial value, and the upper limit of its doubling.
 constexpr Clock::duration kInitialPause = 60s;
 constexpr Clock::duration kMaxPause = 960s;
-// A resignation longer ago than this no longer doubles the pause.
+// If the last resignation is at least this long ago, the next pause is `kInitialPause` again.
 constexpr auto kPauseResetAfter = 3600s;
 
 }  // namespace
--- a/src/coordination/leadership/overload_monitor.h
+++ b/src/coordination/leadership/overload_monitor.h
@@ -11,14 +11,15 @@
 
 /// Decides when a leader whose event loop falls behind should resign, because its processor may be slower
 /// than its peers' for a while. As the peers may be no faster, the minimum time until this controller resigns
-/// again doubles with each resignation, up to 960 s.
+/// again is 60 s after the first resignation and doubles with each further one, up to 960 s.
 class OverloadMonitor {
   public:
     /// Records that a tick that was due at `due` runs at `now`. Must be called for every tick.
     void noteTick(Time due, Time now);
     /// Records that this controller became leader at `now`. Earlier late ticks no longer count.
     void noteLeading(Time now);
-    /// True if all ticks have been late for so long that workers would not be answered in time.
+    /// True if every tick that was due in the last 1.2 s or longer ran at least 200 ms late, so that workers
+    /// would not be answered in time.
     bool isOverloaded(Time now) const;
     /// True if the leader should resign now. Must only be called while this controller leads.
     bool shouldResign(Time now) const;
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -11,15 +11,16 @@
 
 namespace {
 
-// A peer is in touch if its last status is more recent than this. Peers are asked every second, so after this
-// time two questions have gone unanswered.
+// A peer is in touch if its last status is more recent than this. Each peer is sent a status message every
+// second, so after this time two messages have gone unanswered.
 constexpr auto kPeerTimeout = 2500ms;
-// The minimum time since the key-value store last answered this controller.
+// This and the next two constants are thresholds of `PeerExchange::isolatedFromStore`. The key-value store's
+// last answer to this controller must be at least this long ago.
 constexpr auto kIsolatedAfter = 2500ms;
-// The minimum time by which the key-value store's last answer to a peer is later than that to this
+// The store's last answer to some peer must be at least this much later than its last answer to this
 // controller.
 constexpr auto kMinAnswerGap = 2000ms;
-// The maximum age of the key-value store's last answer to that peer.
+// The store's last answer to the same peer must be less than this long ago.
 constexpr auto kMaxPeerAnswerAge = 2000ms;
 // Keeps a message below its limit of 64 KiB.
 constexpr std::size_t kMaxCancellationsPerMessage = 500;
@@ -78,9 +79,9 @@
 }
 
 // In an outage that affects all controllers, a resignation would be harmful: no controller could become
-// leader, and all tasks would be lost. Therefore the key-value store must have answered a peer for a while
-// after its last answer to this controller. A refusal that is directly followed by an outage is no reason to
-// resign, as the peers' votes extend the leader's lease.
+// leader, and all tasks would be lost. Therefore the key-value store must still have answered a peer at least
+// `kMinAnswerGap` after its last answer to this controller. A refusal of this controller that is directly
+// followed by an outage is no reason to resign, as the peers' votes extend the leader's lease.
 bool PeerExchange::isolatedFromStore(Time lastAnswer, Time now) const {
     if (now - lastAnswer < kIsolatedAfter) return false;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
--- a/src/coordination/leadership/peer_exchange.h
+++ b/src/coordination/leadership/peer_exchange.h
@@ -2,8 +2,8 @@
 
 // The status that controllers exchange: the leader that each is in touch with, when the key-value store last
 // answered each, and the cancellations that a leader may not know. Owns the last status of each peer and the
-// id of this controller's own cancellation log. It does no I/O: the controller sends and answers the
-// messages, on the event loop's thread.
+// id of this controller's cancellation log, which is the list `StateReplica::cancelled`. It does no I/O: the
+// controller sends and answers the messages, on the event loop's thread.
 
 #include <cstdint>
 #include <functional>
@@ -29,8 +29,8 @@
     PeerExchange(const protocol::Settings& settings, const bookkeeping::StateReplica& replica,
                  NoteCancelled noteCancelled);
 
-    /// Records a peer's status, received at `now`. False if the settings list no such peer, in which case no
-    /// part of the message may be used.
+    /// Records a peer's status, received at `now`. Returns false if the settings list no such peer, in which
+    /// case no part of the message may be used.
     bool noteStatus(const protocol::PeerStatus& status, Time now);
 
     /// True if a status of the peer arrived within the last 2.5 s.
@@ -49,20 +49,22 @@
     /// answer at `lastAnswer`. False if it answers no controller, as in an outage that affects all of them.
     bool isolatedFromStore(Time lastAnswer, Time now) const;
 
-    /// Sets the fields of a leader's question to `peer` that describe which cancellations are known here, so
-    /// that the peer answers with the others. Overwrites the values that an earlier call set.
+    /// Sets the fields of `question`, a leader's status message to `peer`, that describe which cancellations
+    /// this leader knows, so that the peer answers with the others. Overwrites the values that an earlier
+    /// call set.
     void describeKnownState(const std::string& peer, protocol::PeerStatus& question) const;
 
-    /// Adds to the answer to a leader's question the cancellations that the leader may not know, up to the
-    /// maximum for one message. Sets `answer.complete` to whether there are no more.
+    /// Adds to `answer`, the response to the leader's status message `asking`, the cancellations that the
+    /// leader may not know, at most 500. Sets `answer.complete` to true if there are no more.
     void appendCancellations(const protocol::PeerStatus& asking, protocol::PeerStatus& answer) const;
 
-    /// Applies the cancellations in a peer's answer and records the position reached in the peer's log. True
-    /// if the peer has more of them and should be asked again at once. `answer.node` must be one of the
-    /// peers.
+    /// Applies the cancellations in a peer's answer and records the position reached in the peer's
+    /// cancellation log. Returns true if the peer has more cancellations and should be asked again at once.
+    /// `answer.node` must be one of the peers.
     bool applyCancellations(const protocol::PeerStatus& answer);
 
   private:
+    /// What this controller knows of one peer from the messages of that peer.
     struct PeerView {
         Time heardAt{};                       // when its last status arrived
         Time storeAnsweredAt{};               // when the key-value store last answered it, as it reports
@@ -75,7 +77,7 @@
     const protocol::Settings& settings_;
     const bookkeeping::StateReplica& replica_;
     const NoteCancelled noteCancelled_;
-    const std::uint64_t cancellationLogId_;  // of this process
+    const std::uint64_t cancellationLogId_;  // random; positions in the log are valid for this process only
     std::unordered_map<std::string, PeerView> peers_;
 };
 
--- a/src/coordination/state/machine_registry.h
+++ b/src/coordination/state/machine_registry.h
@@ -21,8 +21,9 @@
     MachineRegistry(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet);
 
     /// Returns the entry that the machine should have. The entry has no address until the machine has sent a
-    /// heartbeat. An entry without an address only tells the next leader that the machine exists; no task may
-    /// be started on its basis, since each new leader would otherwise have to wait for all booting machines.
+    /// heartbeat. An entry without an address only tells the next leader that the machine exists. No task may
+    /// be started on the machine while its stored entry has no address, so that a new leader need not assume
+    /// tasks, and thus an active lease, on machines that are still booting.
     static storage::MachineRecord recordOf(const bookkeeping::Machine& machine);
     /// True if an earlier leader may have started a task on the machine, that is, if its stored entry has an
     /// address.
@@ -73,7 +74,7 @@
     bookkeeping::Fleet& fleet_;
     std::set<std::string> additions_;
     std::set<std::string> removals_;
-    std::set<std::string> removalsSent_;  // deletions sent, without a later write of the entry
+    std::set<std::string> removalsSent_;  // ids of entries not written again since a deletion was sent
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/pending_writes.h
+++ b/src/coordination/state/pending_writes.h
@@ -33,7 +33,8 @@
     PendingWrites(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet, MachineRegistry& registry,
                   const std::map<std::string, protocol::MachineType>& types, const WallClock& wallClock);
 
-    /// Records that finished tasks or the end of the job must be stored. The job must be open and have a run.
+    /// Records that finished tasks or the end of the job must be stored. The job must have a `run` and must
+    /// not be in a terminal state.
     void noteUnstored(bookkeeping::Job& job) { unstoredJobs_.insert(&job); }
     /// Discards pending writes of the job.
     void forget(bookkeeping::Job& job) { unstoredJobs_.erase(&job); }
--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -21,7 +21,7 @@
 constexpr auto kWatchTimeout = 7s;
 constexpr auto kReadTimeout = 1200ms;     // users wait up to 2 s for an answer
 constexpr auto kRetryPause = 400ms;       // after a failed read
-constexpr double kReservedRequests = 10;  // left for lease renewals and a leader's writes
+constexpr double kReservedRequests = 10;  // requests that watches leave for lease renewals and writes
 }  // namespace
 
 StateWatcher::StateWatcher(asio::io_context& io, storage::KeyValueClient& store,
--- a/src/coordination/state/state_writer.h
+++ b/src/coordination/state/state_writer.h
@@ -2,7 +2,7 @@
 
 // Writes the leader's state to the key-value store: machine registry entries, terminal records of jobs,
 // machine types and the bitmaps of finished tasks. Owns the transaction in flight and combines the due writes
-// (PendingWrites), the accepted sizes (TransactionLimits) and the write rate (WritePacing). At most one
+// (PendingWrites), the size limits (TransactionLimits) and the write rate (WritePacing). At most one
 // transaction is in flight, and each is conditional on the leader's fencing token and on the version of every
 // key that it writes. Transactions are sent by the leader's actions, not by this class.
 
@@ -51,7 +51,8 @@
                 const std::map<std::string, protocol::MachineType>& types, const WallClock& wallClock,
                 Time now);
 
-    /// Records that finished tasks or the end of the job must be stored. The job must be open and have a run.
+    /// Records that finished tasks or the end of the job must be stored. The job must have a `run` and must
+    /// not be in a terminal state.
     void noteUnstored(bookkeeping::Job& job) { pending_.noteUnstored(job); }
     /// Discards pending writes of a job whose end is already in the key-value store.
     void forget(bookkeeping::Job& job) { pending_.forget(job); }
--- a/src/coordination/state/transaction_draft.cpp
+++ b/src/coordination/state/transaction_draft.cpp
@@ -20,8 +20,9 @@
 
 bool TransactionDraft::put(const std::string& key, std::optional<std::string> value, std::uint64_t version) {
     if (limits_.isDeferred(key)) return false;
-    // The key counts twice, since each write has a condition on its key. Together with the condition on the
-    // fencing token, the conditions stay within the four that the store allows for each write.
+    // The key counts twice, since each write has a condition on its key. With the condition on the fencing
+    // token, a transaction of n writes has n + 1 conditions. The store's limit on conditions is four times
+    // its limit on writes, so the number of conditions need not be checked.
     const auto valueBytes = value ? protocol::jsonBytes(*value) : 0;
     const auto bytes = valueBytes + 2 * key.size() + kWriteOverheadBytes;
     full_ = !empty() && contents.bytes + bytes > limits_.maxBytes();
--- a/src/coordination/state/transaction_limits.h
+++ b/src/coordination/state/transaction_limits.h
@@ -1,8 +1,9 @@
 #pragma once
 
 // Size limits for the transactions of a leader's state writer. The key-value store's limits may be lower than
-// those in the settings, so the limits are lowered when the store rejects a transaction as too large, and
-// slowly raised again. Owns the current limits and the keys whose value alone is too large.
+// those in the settings, so the limits are lowered when the store rejects a transaction as too large. The
+// limits on the number of writes and on the total size are slowly raised again; those on a single value stay
+// lowered. Owns the current limits and the keys whose value alone is too large.
 
 #include <cstddef>
 #include <map>
@@ -23,7 +24,7 @@
     std::size_t maxWrites() const { return maxWrites_; }
     /// Maximum size of a transaction, estimated as in `TransactionContents::bytes`.
     std::size_t maxBytes() const { return maxBytes_; }
-    /// Maximum size of a bitmap's value.
+    /// Maximum size of the value of a bitmap of finished tasks.
     std::size_t maxBitmapBytes() const { return maxBitmapBytes_; }
     /// Maximum size of the record of a job that has ended.
     std::size_t maxTerminalRecordBytes() const { return maxTerminalRecordBytes_; }
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -7,7 +7,8 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Share of the store's write rate; the rest is left for submissions and other controllers.
+// Share of the store's write rate that the leader's own writes may use. Submissions and other controllers,
+// which write to the same store, have budgets of their own.
 constexpr double kRateShare = 0.6;
 // Leaves the store time for its other clients, and batches writes.
 constexpr auto kPauseBetweenTransactions = 150ms;
