--- a/src/bookkeeping/fleet.h
+++ b/src/bookkeeping/fleet.h
@@ -71,8 +71,9 @@
     /// The number of registered machines, by offering, on which tasks of an earlier leader may still run.
     const std::map<Offering, std::uint32_t>& unreconciled() const { return unreconciled_; }
 
-    /// Records that the machine used the image: makes it the most recently used one in the machine's cache,
-    /// and evicts the least recently used images while the cache exceeds `cacheGb`.
+    /// Records that the machine used the image, whose size is `gb`: makes it the most recently used one in
+    /// the machine's cache, and evicts the least recently used images while the cache exceeds `cacheGb`. Both
+    /// are in GB. The image itself is never evicted.
     void useImage(Machine& machine, const Image& image, double gb, double cacheGb);
     /// The machines that have the image in their cache.
     const std::vector<Machine*>& machinesWithImage(const Image& image) const;
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -31,10 +31,10 @@
     protocol::JobSpec spec;
     storage::TerminalState terminalState = storage::TerminalState::none;
     std::uint64_t acceptedMs = 0;  // wall-clock time at which it was accepted
-    std::uint64_t endedMs = 0;     // wall-clock time at which it was done
+    std::uint64_t endedMs = 0;     // wall-clock time at which it was done; 0 unless done
     std::uint32_t chunkTasks = 1;  // tasks per chunk of its bitmap
     std::uint64_t version = 0;     // of the record
-    std::uint64_t accepted = 0;    // revision at which the record was first read: the order of arrival
+    std::uint64_t accepted = 0;    // version that the record had when first read: the order of arrival
 
     // State that is stored in the job's bitmap.
     std::vector<bool> done;       // by task; empty until a task is done, and after the job has ended
@@ -45,13 +45,14 @@
     std::uint32_t openDependencies = 0;  // dependencies that are not known to be done
     std::uint64_t readyMs = 0;           // wall-clock time at which it became ready
     bool cancelledByDependency = false;  // cancelled with a dependency and not by its own record
-    bool priorityPropagated = false;     // its dependencies have been told its effective priority
+    bool priorityPropagated = false;  // an update of its dependencies' priorities was scheduled at least once
     /// The maximum of its own priority and the effective priorities of its dependents.
     protocol::Priority effectivePriority = protocol::Priority::normal;
     /// Wall-clock time by which it should be done for its own deadline and those of its dependents.
     std::optional<std::uint64_t> dueAtMs = {};
 
-    std::unique_ptr<JobRun> run;  // null unless this controller leads and the job has become ready
+    /// Null unless this controller leads and the job has become ready or a worker has reported a task of it.
+    std::unique_ptr<JobRun> run;
 
     /// The image of its tasks. `spec.image` must not change after the first call.
     const Image& image() const;
--- a/src/bookkeeping/job_run.h
+++ b/src/bookkeeping/job_run.h
@@ -1,8 +1,8 @@
 #pragma once
 
 // The run of a job: what a leader knows of the job beyond its stored state. It exists from when the job
-// becomes ready under this leader until the leadership ends. Owned by its Job. Used on the thread that owns
-// the leader.
+// becomes ready under this leader, or a worker first reports a task of it, until the leadership ends. Owned
+// by its Job. Used on the thread that owns the leader.
 
 #include <cstdint>
 #include <map>
@@ -52,28 +52,29 @@
     double positionInRank = 0;  // within a rank, jobs of a lower position are served first
     protocol::Priority priority = protocol::Priority::normal;  // its own, or that of a job that depends on it
     bool guaranteed = false;                                   // it is within its team's guaranteed quota
-    bool overdue = false;                                      // it has been passed over for too long
-    const protocol::Team* team = nullptr;
-    std::optional<Seconds> shortestWaitObjective;  // shortest of the objectives for its class
-    Time readyAt{};                                // when it was accepted and all its dependencies done
-    Time waitingSince{};
+    bool overdue = false;                          // ready for longer than the policy's starvationThreshold
+    const protocol::Team* team = nullptr;          // null if the settings do not list its team
+    std::optional<Seconds> shortestWaitObjective;  // shortest time to start in the objectives for its class
+    Time readyAt{};       // when it was accepted or, if later, the last of its dependencies was done
+    Time waitingSince{};  // when the run began or, if later, an attempt last ended with tasks left waiting
 
-    // Pacing of image fetches. m, md and Md are the symbols of the design.
+    // Pacing of image fetches. m, md and Md are the symbols of the paper cited in fetch_pacing.h.
     std::uint32_t launchedTasks = 0;  // m: tasks that were started
-    std::uint32_t pacedFetches = 0;   // md: fetches that were paced
-    double expectedPacedFetches = 0;  // Md: paced fetches expected at admission
+    std::uint32_t pacedFetches = 0;   // md: image fetches that task starts caused, paced or not
+    double expectedPacedFetches = 0;  // Md: fetches expected when the job was admitted to the pacing
     bool admitted = false;            // expectedPacedFetches has been set
-    /// The first task that was started, if the job had become overdue before its first start.
+    /// The first task that was started, if the job had become overdue before its first start. Empty again
+    /// once an attempt of that task has ended.
     std::optional<std::uint32_t> firstOverdueTask;
 
     // Gangs.
     std::uint64_t gangAttempt = 0;                 // number of the attempt in progress, 0 if there is none
-    std::set<std::string> machinesWithEndedTasks;  // machines on which a task of this attempt has ended
+    std::set<std::string> machinesWithEndedTasks;  // machines on which a task of that attempt has ended
 
     // Failures, and the writing of results.
     Time backoffUntil{};                               // after failures, no task is started before this time
     std::map<std::string, Time> lastFailureByMachine;  // last failure by machine, since a task last succeeded
-    bool succeeded = false;                            // a task has been done
+    bool succeeded = false;                            // a worker has reported a task of this run as done
     Time nextBitmapWrite{};                            // earliest time of the next write of bits
 
     // Image locality, computed at intervals and not for each heartbeat.
--- a/src/bookkeeping/job_table.h
+++ b/src/bookkeeping/job_table.h
@@ -24,8 +24,8 @@
     /// The open jobs in order of arrival.
     std::vector<Job*> openJobs() const;
 
-    /// Adds a job whose id is not in the table. `revision` is that at which its record was first read. The
-    /// job does not count as open until markOpen().
+    /// Adds a job whose id is not in the table. `revision` is the version that its record had when it was
+    /// first read, by which jobs are ordered by arrival. The job does not count as open until markOpen().
     Job& add(protocol::JobSpec spec, std::uint64_t revision);
     void markOpen(Job& job) { open_.insert(&job); }
     /// Sets the job's terminal state and discards the state that only open jobs need.
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -31,9 +31,9 @@
 /// Whether the machine's entry is in the stored machine registry.
 enum class RegistrationState { absent, writing, stored };
 
-/// What the messages of the worker's agent have shown, and what this leader concludes from them about whether
-/// the worker can be reached. Written by the reconciliation of heartbeats and by the modules that send
-/// commands and handle the responses to them.
+/// What the worker's messages have shown, and what this leader concludes from them about whether the worker
+/// can be reached. Written by the reconciliation of heartbeats and by the modules that send commands and
+/// handle the responses to them.
 struct AgentState {
     std::uint64_t incarnation = 0;  // of the newest message
     std::uint64_t sequence = 0;     // of the newest message
@@ -66,7 +66,7 @@
 /// The state of the machine in the cloud. Written by the modules that handle the cloud's lists of machines,
 /// interruption notices and deletions.
 struct CloudState {
-    Time firstSeenAt{};                  // when it was requested, or first listed or heard from
+    Time firstSeenAt{};  // when this leader added it, or earlier by the age that the cloud lists
     std::optional<Time> interruptionAt;  // when the cloud reclaims the spot machine
     bool draining = false;               // no more tasks are started on it
     bool deletionRequested = false;
@@ -75,7 +75,7 @@
 
 /// The history of the tasks on the machine. Written where tasks start and end.
 struct TaskHistory {
-    Time lastBusyAt{};                 // when it last had a task
+    Time lastBusyAt{};                 // when it last had a task, or was added if it had none so far
     Time startBackoffUntil{};          // no task is started before this time, as the worker refused one
     std::set<std::string> failedJobs;  // jobs whose tasks failed on it since a task last succeeded
 };
@@ -93,7 +93,7 @@
 /// Sums of the resources that the machine's placements use. Written by the Fleet only.
 struct ResourceUse {
     Resources total;
-    /// Use by tasks without accelerators, by priority. Use by service replicas is at the index kReplicaUse.
+    /// Use by tasks that need no accelerators, by priority; by service replicas at the index kReplicaUse.
     std::array<Resources, kPriorities + 1> plain;
     /// Use by tasks that may be preempted, by priority. Service replicas and tasks of gangs of at least two
     /// tasks may not.
@@ -101,11 +101,13 @@
 };
 
 /// The machine's entry in the registry from which the next leader will know it, and whether it has been
-/// reconciled with this leader. Written by Fleet::setRegistration and Fleet::setReconciled only.
+/// reconciled with this leader. Written when the machine is added, then only by Fleet::setRegistration and
+/// Fleet::setReconciled.
 struct RegistryStatus {
     RegistrationState state = RegistrationState::absent;
-    /// No task of an earlier leader that is unknown to this one can be on it: it has sent a heartbeat, or its
-    /// lease has expired.
+    /// No task of an earlier leader that is unknown to this one can be on it: no earlier leader can have
+    /// started one, its worker has reported this leader's fencing token together with its tasks, or its lease
+    /// has expired.
     bool reconciled = false;
     bool countedUnreconciled = false;  // it is counted in Fleet::unreconciled
 };
--- a/src/bookkeeping/placement.h
+++ b/src/bookkeeping/placement.h
@@ -14,12 +14,12 @@
 
 /// The progress of an attempt, as far as the leader knows.
 enum class PlacementState {
-    planned,  // capacity is reserved for it, and no start command has been sent
-    sent,     // the start command was sent in a heartbeat response, and no status has listed the attempt yet
-    fetching,
-    waiting,
+    planned,   // capacity is reserved for it, and no start command has been sent
+    sent,      // the start command was sent in a heartbeat response, and no status has listed the attempt yet
+    fetching,  // the worker fetches the image
+    waiting,   // the task waits for the other tasks of its gang
     running,
-    saving
+    saving  // the task writes its last checkpoint before it stops
 };
 
 /// One attempt of a task that may be on a machine.
@@ -30,7 +30,7 @@
     PlacementState state = PlacementState::planned;
     std::uint64_t sentSequence = 0;  // of the heartbeat whose response contained the start command
     Time since{};                    // when it entered its state
-    Time runningSince{};
+    Time runningSince{};             // when it began to run; until then when it was placed
     bool stopping = false;
     Seconds grace{0};             // while stopping: the time it has to save its state
     bool listedInStatus = false;  // the status that is being reconciled lists it
--- a/src/bookkeeping/state_replica.cpp
+++ b/src/bookkeeping/state_replica.cpp
@@ -110,7 +110,8 @@
         dependencies_.add(job, changes);
 }
 
-/// Terminates a job as its record says, or will say once it is read.
+/// Terminates a job. `version` is that of its record in the terminal state, which this controller has read or
+/// knows to be stored.
 void StateReplica::terminate(Job& job, TerminalState terminalState, std::uint32_t doneCount,
                              std::uint64_t version, std::vector<Change>& changes) {
     const auto before = job.terminalState;
--- a/src/bookkeeping/state_replica.h
+++ b/src/bookkeeping/state_replica.h
@@ -38,7 +38,7 @@
     StateReplica(const StateReplica&) = delete;
     StateReplica& operator=(const StateReplica&) = delete;
 
-    // Each function with a parameter `changes` appends the changes that it has made to it.
+    // Each function with a parameter `changes` appends to it the changes that the function has made.
 
     /// Applies a change of a key, unless it is older than the known value. False if its value is malformed,
     /// in which case nothing has changed.
--- a/src/coordination/autoscaling/bin_packing.h
+++ b/src/coordination/autoscaling/bin_packing.h
@@ -50,7 +50,8 @@
     /// Packs as many of the tasks as fit into the bin added last.
     void packIntoLast(TaskDemand& demand) { packInto(bins_.back(), demand); }
 
-    /// How many tasks like those of `demand` have room, by zone. Zones without room may be missing.
+    /// How many tasks of the size of those of `demand` fit into the free resources of the bins that admit its
+    /// job, by zone. The job's zone rules are not applied. Zones without free resources may be missing.
     std::map<std::string, std::uint32_t> roomPerZone(const TaskDemand& demand) const;
 
     /// How many requested machines are needed by tasks packed into them, by zone.
--- a/src/coordination/autoscaling/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-// Number of machines with failures of a job from which on the job, not the machines, is the likely cause.
+// A job whose tasks have failed on this many machines is the likely cause of the failures itself, so no
+// capacity is planned for it.
 constexpr std::size_t kMaxErrorMachines = 3;
 
 }  // namespace
--- a/src/coordination/autoscaling/instance_selection.cpp
+++ b/src/coordination/autoscaling/instance_selection.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-// Highest price per processor, relative to a plain machine, at which an array without need of accelerators
-// uses a machine that has some. Above it the array waits for plain machines.
+// Highest price per processor, relative to a plain machine, at which an array that needs no accelerators uses
+// a machine that has some. Above it the array waits for plain machines.
 constexpr double kMaxPriceRatio = 2;
 
 /// The highest on-demand price per processor among the plain machine types that are large enough; 0 if there
--- a/src/coordination/autoscaling/instance_selection.h
+++ b/src/coordination/autoscaling/instance_selection.h
@@ -30,8 +30,9 @@
 /// constraints allow no plain machine or no plain machine is large enough.
 bool needsAcceleratorMachine(const protocol::JobSpec& spec, const bookkeeping::MachineTypes& types);
 
-/// False for an array without need of accelerators, on a machine type that has some, if a processor there
-/// costs more than twice as much as on a plain on-demand machine. True in all other cases.
+/// False for an array that needs no accelerators and could run on plain machines, on a machine type that has
+/// accelerators, if a processor there costs more than twice as much as on the plain on-demand machine with
+/// the highest price per processor that is large enough for a task. True in all other cases.
 bool isPriceAcceptable(const protocol::JobSpec& spec, const protocol::MachineType& type, bool spot,
                        const bookkeeping::MachineTypes& types);
 
--- a/src/coordination/autoscaling/offering_selection.cpp
+++ b/src/coordination/autoscaling/offering_selection.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// After a capacity error an offering is probed with this many machines at most; the rest are requested from
-// other offerings.
+// After a capacity error, and until an instance request for the offering is fulfilled in full, a plan
+// requests at most this many machines of the offering; the rest are requested from other offerings.
 constexpr std::uint32_t kMaxMachinesAfterError = 3;
 
 }  // namespace
--- a/src/coordination/autoscaling/scale_in_rules.cpp
+++ b/src/coordination/autoscaling/scale_in_rules.cpp
@@ -41,8 +41,8 @@
     return isIdle(machine, now) && !neededMachines.contains(machine.id);
 }
 
-/// True if the machine has had no task for its keep time, its minimum charge is used up and it is not
-/// reserved.
+/// True if the machine has had no task for longer than its idle retention time, has existed for longer than
+/// the policy's minimum lifetime, which follows from the cloud's minimum charge, and is not reserved.
 bool ScaleInRules::isIdle(const Machine& machine, Time now) const {
     // A machine of a type that boots slowly is kept longer, since the next job would have to wait for a full
     // boot.
--- a/src/coordination/scheduling/fetch_pacing.cpp
+++ b/src/coordination/scheduling/fetch_pacing.cpp
@@ -46,7 +46,8 @@
     double sum = 0;
     for (const auto* machine : up) {
         sum += cachedTaskTime(*machine);
-        // A partitioned zone would raise E[tr] and so delay fetches in all others.
+        // Zones without recent heartbeats do not count: a partitioned zone, where no fetch can start, would
+        // raise E[tr] and so delay fetches in all others.
         if (now - machine->lease.lastHeartbeat < recent) zonesWithHeartbeats_.insert(machine->zone);
     }
     meanCachedTaskTime_ = up.empty() ? 0 : sum / static_cast<double>(up.size());
--- a/src/coordination/scheduling/fetch_pacing.h
+++ b/src/coordination/scheduling/fetch_pacing.h
@@ -52,7 +52,7 @@
     bool allows(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
     /// Records that a task of the job starts in the zone with a fetch of its image: increments md and resets
-    /// the zone's tr.
+    /// the zone's tr. To be called once for tasks that share one fetch.
     void recordFetch(bookkeeping::Job& job, const std::string& zone, Time now);
 
     /// Records the duration of a fetch whose end a worker's heartbeat reported.
--- a/src/coordination/scheduling/gang_capacity.h
+++ b/src/coordination/scheduling/gang_capacity.h
@@ -25,7 +25,7 @@
     std::string zone;                    // a zone, or kAllZones
     std::uint32_t withPreemption = 0;    // if all preemptible tasks were stopped; at most the gang's size
     std::uint32_t withReplicasOnly = 0;  // if only service replicas ran; at most the gang's size
-    std::uint32_t free = 0;              // without preemption
+    std::uint32_t free = 0;              // without preemption; may exceed the gang's size
     std::vector<OnMachine> machines;     // machines with capacity for at least one task
 
     /// A greater key means a zone that suits the gang better.
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Bounds the cost of planning, which iterates over the whole fleet.
+// Minimum time between two planning runs. Bounds their cost, since each iterates over the whole fleet.
 constexpr std::chrono::milliseconds kPlanInterval{200};
 // When a task of a gang is lost, the others wait up to `gangWaitTimeout` for its replacement. A replacement
 // is started only within this share of that time, so that its image can be fetched and it is ready before
@@ -101,8 +101,8 @@
         if (zoneAllows(job, zone) && planIn(zone, machines, job, now)) return;
 }
 
-/// Plans the whole gang on machines in the zone. Returns false, with nothing planned, if it does not fit
-/// there.
+/// Plans all waiting tasks of the gang on machines in the zone. Returns false, with nothing planned, if they
+/// do not all fit there.
 bool GangPlanner::planIn(const std::string& zone, const Machines& machines, Job& job, Time now) {
     auto candidates = candidatesIn(zone, machines, job, now);
     const auto waiting = job.run->waiting;
--- a/src/coordination/scheduling/gang_planner.h
+++ b/src/coordination/scheduling/gang_planner.h
@@ -32,9 +32,10 @@
     void plan(Time now);
 
     /// True if the gang's waiting tasks may be placed. This holds for a gang without any placement, which
-    /// starts as a whole. It also holds for a gang that lost a task before it began to run and whose other
-    /// tasks still wait: the lost task is replaced under the same attempt number. This lets a new leader
-    /// complete a gang that the earlier leader started only in part.
+    /// starts as a whole. It also holds for a gang that lost tasks before any of its tasks ran, if none of
+    /// the others has waited for more than 30% of `gangWaitTimeout`: the lost tasks are replaced under the
+    /// same attempt number. This lets a new leader complete a gang that the earlier leader started only in
+    /// part.
     bool mayComplete(const bookkeeping::Job& job, Time now) const;
 
   private:
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -119,7 +119,8 @@
 
 Resources capacityWithPreemption(const Machine& machine, const Job& job, Time now) {
     auto capacity = availableCapacity(machine, job, now);
-    // A job within its team's guaranteed quota may preempt tasks of any priority.
+    // A job within its team's guaranteed quota may preempt tasks of any priority, if their team exceeds its
+    // own quota, which is not checked here.
     const auto priorities =
         job.run->guaranteed ? machine.use.preemptible.size() : static_cast<std::size_t>(job.priority());
     for (std::size_t priority = 0; priority < priorities; ++priority)
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -42,8 +42,8 @@
 /// reached `maxTasksInZone`.
 bool zoneAllows(const bookkeeping::Job& job, const std::string& zone);
 
-/// True if an attempt that an earlier leader started may be on a machine that is not reconciled yet. Starting
-/// another attempt of the task could then run it twice.
+/// True if an attempt of one of the job's tasks that an earlier leader started may be on a machine that is
+/// not reconciled yet. Starting another attempt of the task could then run it twice.
 bool blockedByUnreconciled(const bookkeeping::Job& job, const bookkeeping::Fleet& fleet);
 
 /// True if the job's team would stay within its maximum quota with this many more tasks of the job. Machines
@@ -60,14 +60,17 @@
 bookkeeping::Resources availableCapacity(const bookkeeping::Machine& machine, const bookkeeping::Job& job,
                                          Time now);
 
-/// The capacity that the job would have on the machine if all tasks that it may preempt were stopped.
+/// The capacity that the job would have on the machine if all tasks that it may preempt were stopped. This is
+/// an upper bound: protected starts (see `isProtectedStart`) and the quotas of the tasks' teams, for which
+/// `mayPreempt` exempts some tasks, are not considered.
 bookkeeping::Resources capacityWithPreemption(const bookkeeping::Machine& machine,
                                               const bookkeeping::Job& job, Time now);
 
 /// True if capacity that preemption freed on the machine is reserved for some job.
 bool isReservedByPreemption(const bookkeeping::Machine& machine, Time now);
 
-/// True if the task has not run long enough for users to count it as started.
+/// True if the attempt began to run, or was placed if it does not run yet, less than 30 s ago. Users count a
+/// task that is stopped sooner as never started.
 bool startedRecently(const bookkeeping::Placement& placement, Time now);
 
 /// True if this is the first task that its overdue job started, and it started recently. The newest task is
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // Bounds on the work of one round.
-// The number of tasks and gangs that get capacity:
+// The number of tasks and gangs for which capacity is freed in one round.
 constexpr std::size_t kMaxPreemptionsPerRound = 12;
 // The number of machines scanned in one round: at least kMinScans, and kScansPerMachine for each machine of a
 // larger fleet. This is enough for several jobs in a fleet of any size. Rounds have to reach all waiting jobs
@@ -26,7 +26,8 @@
 // Planning on one machine costs as much as scanning this many machines.
 constexpr std::uint64_t kScansPerPlan = 10;
 
-// Bounds for one job in one round.
+// Bounds for one job in one round, other than a gang of several tasks: the number of machines on which a
+// preemption is planned, and the number of tasks for which capacity is freed.
 constexpr std::size_t kMaxPlans = 40;
 constexpr std::size_t kMaxTasks = 6;
 
@@ -35,20 +36,24 @@
 constexpr int kReservedIntervals = 4;
 constexpr int kReservedIntervalsForGang = 3;
 
-// How long a job waits for capacity to become free without preemption. Capacity that becomes free is seen
-// within 1.5 heartbeat intervals.
+// How long a job waits for capacity to become free without preemption, in heartbeat intervals. Capacity that
+// becomes free is seen within 1.5 heartbeat intervals.
 constexpr double kIntervalsUntilFree = 1.5;
+// A job with a wait objective waits for this share of the objective instead.
 constexpr double kShareOfObjective = 0.35;
-// The same for urgent jobs.
+// An urgent job (a production job or one that needs accelerators) waits for this time, or for this share of
+// its wait objective if that is shorter.
 constexpr Seconds kUrgentWait{0.2};
 constexpr double kUrgentShareOfObjective = 0.1;
-// A job whose wait objective is below this many heartbeat intervals is treated as urgent, too.
+// A job whose wait objective is below this many heartbeat intervals waits for at most the share
+// kUrgentShareOfObjective of it, too.
 constexpr double kShortObjectiveIntervals = 3;
 
-// Additional losses when machines are chosen for a gang, in processor seconds for each task.
+// Losses that are added when machines are chosen for a gang, in processor seconds for each of its tasks.
 constexpr double kSpotLoss = 100;  // the interruption of a spot machine would stop the whole gang
 constexpr double kFetchLoss = 150;
-// Far larger than usual losses, so that machines reserved for the gang are preferred.
+// Subtracted from the loss on a machine that is reserved for the gang, in processor seconds. It is far larger
+// than usual losses, so that such machines are preferred.
 constexpr double kReservedBonus = 1e6;
 
 }  // namespace
@@ -97,8 +102,8 @@
     return withinTeamQuota(job, tasks, context_.fleet, context_.types);
 }
 
-/// How long a job waits for capacity to become free without preemption. At most a part of its wait objective,
-/// if it has one.
+/// How long the job waits for capacity to become free without preemption. Only a share of its wait objective
+/// if it has one, so that the freed capacity can still be used in time.
 Seconds Preemption::maxWaitBeforePreemption(const Job& job) const {
     const auto heartbeat = context_.settings.heartbeatInterval;
     // Capacity in use by replicas, and whole machines with accelerators, rarely become free by waiting.
--- a/src/coordination/scheduling/preemption.h
+++ b/src/coordination/scheduling/preemption.h
@@ -44,9 +44,9 @@
     /// Everything that the context refers to must outlive this object.
     explicit Preemption(const PreemptionContext& context);
 
-    /// Runs one round: preempts tasks for a few of the jobs that have waited long enough, production jobs
-    /// first. The round ends when its budget of machine scans or preemptions is used up, and the next round
-    /// continues from there.
+    /// Runs one round: preempts tasks for the jobs that have waited long enough, production jobs first. The
+    /// round ends after the last such job, or earlier when its budget of machine scans or preemptions is used
+    /// up; the next round then continues from there.
     void preemptForWaitingJobs(Time now);
 
   private:
--- a/src/coordination/scheduling/preemption_plan.h
+++ b/src/coordination/scheduling/preemption_plan.h
@@ -22,8 +22,9 @@
 };
 
 /// True if the job may preempt the placement's task. Service replicas and tasks of gangs with several tasks
-/// are never preempted. Other tasks may be preempted by jobs of higher priority, and by a job within its
-/// team's guaranteed quota if their own team exceeds its guaranteed quota. Protected starts (see
+/// are never preempted. Other tasks may be preempted by jobs of higher priority. They may also be preempted
+/// by a non-production job within its team's guaranteed quota, if their own job is outside the guaranteed
+/// quota of another team, which uses more processors than that quota. Protected starts (see
 /// `isProtectedStart`) yield to production jobs only.
 bool mayPreempt(const bookkeeping::Placement& placement, const bookkeeping::Job& job,
                 const bookkeeping::Fleet& fleet, const protocol::Settings& settings, Time now);
--- a/src/coordination/scheduling/task_terminator.cpp
+++ b/src/coordination/scheduling/task_terminator.cpp
@@ -17,7 +17,7 @@
 
 // Within this many heartbeat intervals a machine reports that its stopped tasks have ended.
 constexpr int kIntervalsUntilFree = 3;
-// Machines of a stopped gang stay reserved for this long after its tasks have ended.
+// Machines of a stopped gang stay reserved for this long after its tasks are expected to have ended.
 constexpr Seconds kGangReservation{5};
 
 }  // namespace
--- a/src/coordination/scheduling/task_terminator.h
+++ b/src/coordination/scheduling/task_terminator.h
@@ -24,7 +24,8 @@
     void stop(bookkeeping::Machine& machine, bookkeeping::Placement& placement, Seconds grace);
 
     /// Stops all tasks of the job. Tasks that are only planned are removed at once. If the job is an open
-    /// gang of several tasks, its machines stay reserved for it for a while, so that it can restart soon.
+    /// gang of several tasks, the machines on which tasks are stopped are reserved for it until about 5 s
+    /// after these have ended, so that it can restart soon.
     void stopJob(bookkeeping::Job& job, Seconds grace, Time now);
 
     /// Records that the response to the machine's heartbeat carries its stops, so that no separate message is
--- a/src/coordination/scheduling/zone_reservations.h
+++ b/src/coordination/scheduling/zone_reservations.h
@@ -26,9 +26,10 @@
     explicit ZoneReservations(const protocol::Policy& policy);
 
     /// Reserves the zone for the gang for 10 s. Must be called again to renew the reservation while the gang
-    /// waits. A gang that has a zone keeps it, whichever zone is passed. Does nothing for a gang that has
-    /// been ready for at most a third of the policy's `starvationThreshold`, nor while an older gang has the
-    /// reservation.
+    /// waits. A gang that has a zone keeps it, whichever zone is passed. Replaces the reservation of a
+    /// younger gang for the zone. Does nothing for a gang that has been ready for at most a third of the
+    /// policy's `starvationThreshold`, while an older gang has the zone, or, unless the gang is overdue,
+    /// while only other zones are reserved.
     void reserve(const bookkeeping::Job& gang, const std::string& zone, Time now);
 
     /// Ends the gang's reservation. To be called when the gang has its machines or no longer waits for them.
@@ -36,7 +37,9 @@
 
     /// True if the job may not use the machine because its zone is reserved for a gang that waits for such
     /// machines. Never true for the gang itself, for production jobs and for jobs that do not compete with
-    /// the gang: those of lower priority, which it may preempt, and those that need other machines.
+    /// the gang: those of lower priority, which it may preempt, and those that need other machines. After
+    /// each 60 s of a reservation there are 30 s in which it is also false for jobs that have waited for 20 s
+    /// without any task on a machine.
     bool excludes(const bookkeeping::Job& job, const bookkeeping::Machine& machine, Time now) const;
 
   private:
--- a/src/coordination/workers/failure_detector.cpp
+++ b/src/coordination/workers/failure_detector.cpp
@@ -22,8 +22,8 @@
     return toClockDuration(settings.heartbeatInterval * 2 + Seconds(0.5));
 }
 
-/// After a failed heartbeat, a worker waits for 4 s, and for another second before it tries the next
-/// controller.
+/// The second term gives a worker whose heartbeat is lost the time to reach the leader by another heartbeat:
+/// it waits 4 s for the response, and another second before it tries the next controller.
 Clock::duration failureTimeout(const protocol::Settings& settings) {
     return std::max(toClockDuration(settings.workerLease * 0.4),
                     toClockDuration(settings.heartbeatInterval * 1.25 + Seconds(5.5)));
@@ -51,8 +51,8 @@
 
 void FailureDetector::recordTick(Time now) {
     if (lastTick_ != Time{} && now - lastTick_ > kSuspensionGap) {
-        // This controller was not allowed to act, or was too slow, so it did not receive the heartbeats
-        // itself.
+        // This controller was suspended or overloaded, or it had no valid leader lease and so got no ticks.
+        // It did not process the heartbeats of that time.
         isolation_.recordSuspension(now);
         for (auto& [id, machine] : fleet_.machines())
             machine->lease.lastHeartbeat = std::max(machine->lease.lastHeartbeat, now - heartbeatInterval_);
@@ -85,8 +85,10 @@
     return summary.suspected <= limit ? FailurePolicy::allow : FailurePolicy::suspend;
 }
 
-/// How long the machine has been suspected; empty if it is not. Heartbeats do not end the suspicion of a
-/// machine that has not shown this leader's fencing token or that does not receive what is sent to it.
+/// The time since the last sign that the machine works: since its last heartbeat, since it became
+/// unreachable, or since the start of this leadership. Empty if the machine is not suspected. Heartbeats do
+/// not end the suspicion of a machine that has not shown this leader's fencing token or that does not receive
+/// what is sent to it.
 std::optional<Clock::duration> FailureDetector::suspectedFor(const Machine& machine, Time now) const {
     if (isUnreconciled(machine)) return now - began_;
     if (!machine.lease.active) return std::nullopt;
@@ -108,7 +110,9 @@
         findings.failedMachines.push_back(&machine);
 }
 
-/// True if the suspected machine has failed permanently and its deletion has not been requested yet.
+/// True if the suspected machine is to be declared failed: it may delay jobs, has been silent or unreachable
+/// for longer than the failure timeout without answering a probe, and its deletion has not been requested
+/// yet.
 bool FailureDetector::hasFailed(const Machine& machine, Clock::duration suspected, Time now) const {
     // A suspected machine without tasks delays no job, so it is only probed until its lease expires.
     const bool blocksWork =
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -42,8 +42,9 @@
 
     /// Records the arrival of a heartbeat that is newer than all previous ones of the same worker.
     void recordHeartbeat(Time now);
-    /// Must be called on every tick. A gap of more than 3 s between two ticks means that this controller was
-    /// suspended, so no machine is suspected because of heartbeats missing in that time.
+    /// Must be called on every tick of the leader. A gap of more than 3 s between two ticks means that this
+    /// controller was suspended, overloaded or without a valid leader lease, so no machine is suspected
+    /// because of heartbeats missing in that time.
     void recordTick(Time now);
 
     /// True if the next evaluation is due: half a second after the last call of summarizeHealth().
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -65,8 +65,8 @@
 /// Ends the placements of all tasks that were sent to the machine, since a restarted worker has killed and
 /// forgotten them. Planned placements stay, as they have not been sent yet.
 void HeartbeatReconciler::endTasksOfEarlierIncarnation(Machine& machine, Time now) {
-    // By this leader's count the lease was still valid, so the worker probably did not receive the responses
-    // that renewed it.
+    // A worker begins a new incarnation when it restarts or when its lease expires. By this leader's count
+    // the lease was still valid, so the worker probably did not receive the responses that renewed it.
     if (machine.lease.active && machine.agent.incarnation > 0) recordUndeliveredResponse(machine, now);
     context_.completion.endIf(
         machine, [](const Placement& placement) { return !isPlanned(placement); }, now);
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -22,15 +22,15 @@
 /// A chunk of the bitmap of a job's finished tasks. All chunks of a job except the last have the same size
 /// (`JobRecord::chunkTasks`).
 std::string doneChunk(const std::string& id, std::size_t chunk);
-/// A part of that bitmap, for tasks [first, end), used if a chunk is too large for the key-value store's next
-/// limits. The key contains the whole range, so a part never replaces a part of another size that has more
-/// bits.
+/// A part of that bitmap, for tasks [first, end), used if a chunk is larger than a value may be under the
+/// key-value store's present limits and those that replace them later (`Settings::nextStoreLimits`). The key
+/// contains the whole range, so a part never replaces a part of another size that has more bits.
 ///
-/// Older versions know only chunks. They can't parse this key as a chunk number, and skip it without an
-/// error. They see fewer finished tasks than are stored, as if the other tasks had not been written yet. That
-/// is safe: a task that such a version restarts exits with "done" as soon as its image has been fetched; the
-/// job is recorded as done only after every task was seen as done, which is true by then; and chunks are
-/// stored under other keys, so no bit is lost.
+/// Older versions of the controller know only chunks. They can't parse this key as a chunk number, and skip
+/// it without an error. They see fewer finished tasks than are stored, as if the other tasks had not been
+/// written yet. That is safe: a task that such a version restarts exits with "done" as soon as its image has
+/// been fetched; the job is recorded as done only after every task was seen as done, which is true by then;
+/// and chunks are stored under other keys, so no bit is lost.
 ///
 /// The bits can't be stored under a chunk's key instead. Older versions assign the first digit of a value to
 /// the first task of its chunk, so a value within the limit could not cover the later tasks of the chunk. A
--- a/src/storage/records.h
+++ b/src/storage/records.h
@@ -21,10 +21,12 @@
 struct JobRecord {
     protocol::JobSpec spec;
     TerminalState terminalState = TerminalState::none;
-    std::uint64_t acceptedMs = 0;  ///< time of day, in milliseconds since 1970
+    std::uint64_t acceptedMs = 0;  ///< wall-clock time, in milliseconds since 1970
     std::uint32_t done = 0;        ///< number of tasks done; meaningful once the job has ended
     std::uint32_t chunkTasks = 1;  ///< tasks per bitmap chunk; never changes after the job was accepted
-    std::uint64_t endedMs = 0;     ///< time of day at which the job was done; 0: written by an older version
+    /// Wall-clock time at which the job was done, in milliseconds since 1970. 0 for any other job, or if an
+    /// older version of the controller wrote the record.
+    std::uint64_t endedMs = 0;
     bool operator==(const JobRecord&) const = default;
 };
 
@@ -48,9 +50,9 @@
 
 std::string encodeJob(const JobRecord& record);
 JobRecord decodeJob(const msgpack::object& value);
-/// Encodes the record of a job that has ended. If it exceeds `maxBytes` as JSON, fields that an ended job
-/// does not need are omitted or shortened: a job accepted under a higher limit must be able to end under a
-/// lower one.
+/// Encodes the record of a job that has ended. If it exceeds `maxBytes` as JSON, the form in which the
+/// key-value store limits the size of values, fields that an ended job does not need are omitted or
+/// shortened: a job accepted under a higher limit must be able to end under a lower one.
 std::string encodeTerminatedJob(JobRecord record, std::size_t maxBytes);
 /// True if the longest possible record of a job with this spec has at most `maxBytes` as JSON.
 bool jobFits(const protocol::JobSpec& spec, std::size_t maxBytes);
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -10,10 +10,10 @@
 
 namespace burlpoint::storage {
 
-/// A token bucket with an adaptive rate. It holds at most the tokens of one second, but always up to one. A
-/// rejection multiplies the rate by a constant below one; afterwards the rate grows back linearly (additive
-/// increase, multiplicative decrease), so that controllers that share one limit converge to it without
-/// coordination.
+/// A token bucket with an adaptive rate. Its capacity is the tokens of one second at the current rate, but at
+/// least one token. A rejection multiplies the rate by a constant below one; afterwards the rate grows back
+/// linearly (additive increase, multiplicative decrease), so that controllers that share one limit converge
+/// to it without coordination.
 class TokenBucket {
   public:
     /// `ratePerSecond`: the maximum and initial rate.
