--- a/src/bookkeeping/fleet.cpp
+++ b/src/bookkeeping/fleet.cpp
@@ -53,7 +53,7 @@
         unreconciled_.erase(found);
 }
 
-void Fleet::useImage(Machine& machine, const Image& image, double gb, double cacheGb) {
+void Fleet::recordImageUse(Machine& machine, const Image& image, double gb, double cacheGb) {
     auto& images = machine.images;
     if (!images.empty() && images.front().image == image) return;
     const bool wasCached =
@@ -102,7 +102,7 @@
     machine.reservation.tasks = 1;
 }
 
-std::size_t Fleet::reservations(const Job& job, Time now) const {
+std::size_t Fleet::reservedMachineCount(const Job& job, Time now) const {
     const auto found = reserved_.find(&job);
     if (found == reserved_.end()) return 0;
     return static_cast<std::size_t>(
@@ -124,7 +124,7 @@
     const auto priority = static_cast<std::size_t>(job.priority());
     change(machine.use.total);
     change(teamUse_[spec.team]);
-    if (spec.gpus <= 0) change(machine.use.plain[service ? kReplicaUse : priority]);
+    if (spec.gpus <= 0) change(machine.use.withoutAccelerators[service ? kReplicaUse : priority]);
     if (isPreemptible(job)) change(machine.use.preemptible[priority]);
     if (direction == UseChange::subtract && machine.placements.empty()) clearUse(machine);
 }
@@ -132,7 +132,7 @@
 /// Sets the sums of a machine without placements to zero, so that rounding errors do not accumulate in them.
 void Fleet::clearUse(Machine& machine) {
     machine.use.total = {};
-    machine.use.plain = {};
+    machine.use.withoutAccelerators = {};
     machine.use.preemptible = {};
 }
 
--- a/src/bookkeeping/fleet.h
+++ b/src/bookkeeping/fleet.h
@@ -74,7 +74,7 @@
     /// Records that the machine used the image, whose size is `gb`: makes it the most recently used one in
     /// the machine's cache, and evicts the least recently used images while the cache exceeds `cacheGb`. Both
     /// are in GB. The image itself is never evicted.
-    void useImage(Machine& machine, const Image& image, double gb, double cacheGb);
+    void recordImageUse(Machine& machine, const Image& image, double gb, double cacheGb);
     /// The machines that have the image in their cache.
     const std::vector<Machine*>& machinesWithImage(const Image& image) const;
 
@@ -83,7 +83,7 @@
                  ReservationKind kind = ReservationKind::preempting, std::uint32_t tasks = 1);
     void cancelReservation(Machine& machine);
     /// The number of machines with a reservation for the job that has not expired at `now`.
-    std::size_t reservations(const Job& job, Time now) const;
+    std::size_t reservedMachineCount(const Job& job, Time now) const;
 
   private:
     enum class UseChange { add, subtract };
--- a/src/bookkeeping/job.cpp
+++ b/src/bookkeeping/job.cpp
@@ -45,8 +45,8 @@
 }
 
 std::string Job::keyOf(const BitRange& range) const {
-    return range.chunk ? keys::doneChunk(spec.id, *range.chunk)
-                       : keys::donePart(spec.id, range.first, range.end);
+    return range.chunk ? keys::bitmapChunk(spec.id, *range.chunk)
+                       : keys::bitmapPart(spec.id, range.first, range.end);
 }
 
 std::optional<BitRange> Job::parseRange(std::string_view text) const {
@@ -54,7 +54,7 @@
     std::size_t first = 0;
     const auto [stop, error] = std::from_chars(text.data(), end, first);
     if (error != std::errc()) return std::nullopt;
-    if (stop == end) return first < chunks() ? std::optional(chunkRange(first)) : std::nullopt;
+    if (stop == end) return first < chunkCount() ? std::optional(chunkRange(first)) : std::nullopt;
     if (*stop != '-') return std::nullopt;
     std::size_t last = 0;
     const auto [lastStop, lastError] = std::from_chars(stop + 1, end, last);
@@ -63,7 +63,7 @@
     return BitRange{first, last, std::nullopt};
 }
 
-bool Job::finish(std::uint32_t task) {
+bool Job::setFinished(std::uint32_t task) {
     if (isFinished(task)) return false;
     if (run->placedCount[task] == 0) --run->waiting;
     run->unpersistedTasks.insert(task);
--- a/src/bookkeeping/job.h
+++ b/src/bookkeeping/job.h
@@ -83,14 +83,14 @@
     void setDone(std::uint32_t task);
     /// Records that the task is done and that its bit has yet to be stored. False if the task was known to be
     /// done. The job must have a run.
-    bool finish(std::uint32_t task);
+    bool setFinished(std::uint32_t task);
     /// Update the run's counters when a task was placed on the machine, or its placement removed. Called by
     /// Fleet only.
     void addPlaced(std::uint32_t task, const std::string& machine, const std::string& zone);
     void removePlaced(std::uint32_t task, const std::string& machine, const std::string& zone);
 
-    std::size_t chunks() const { return (spec.tasks + chunkTasks - 1) / chunkTasks; }
-    /// The range of a whole chunk. Its number must be less than chunks().
+    std::size_t chunkCount() const { return (spec.tasks + chunkTasks - 1) / chunkTasks; }
+    /// The range of a whole chunk. Its number must be less than chunkCount().
     BitRange chunkRange(std::size_t chunk) const;
     /// The range of the value in which the task's bit is stored if a value has at most `maxBytes`: the task's
     /// chunk if its value fits, else a part of the chunk.
--- a/src/bookkeeping/job_dependencies.cpp
+++ b/src/bookkeeping/job_dependencies.cpp
@@ -32,7 +32,7 @@
 
 JobDependencies::JobDependencies(JobTable& jobs) : jobs_(jobs) {}
 
-void JobDependencies::add(Job& job, std::vector<Change>& changes) {
+void JobDependencies::add(Job& job, std::vector<ReplicaChange>& changes) {
     job.readyMs = job.acceptedMs;
     job.effectivePriority = job.spec.priority;
     job.dueAtMs = ownDueAtMs(job);
@@ -55,26 +55,27 @@
     cancelDependents(job, changes);
 }
 
-void JobDependencies::noteTerminated(Job& job, std::vector<Change>& changes) {
+void JobDependencies::handleTerminated(Job& job, std::vector<ReplicaChange>& changes) {
     stalePriorities_.erase(&job);
     if (job.terminalState == TerminalState::done)
-        noteDone(job, changes);
+        handleDone(job, changes);
     else
         cancelDependents(job, changes);
 }
 
-void JobDependencies::noteDone(const Job& job, std::vector<Change>& changes) {
+void JobDependencies::handleDone(const Job& job, std::vector<ReplicaChange>& changes) {
     for (auto* dependent : dependentsOf(job)) {
         if (!isOpen(*dependent)) continue;
         dependent->readyMs = std::max(dependent->readyMs, job.endedMs);
-        if (--dependent->openDependencies == 0) changes.push_back({ChangeKind::job, dependent->spec.id});
+        if (--dependent->openDependencies == 0)
+            changes.push_back({ReplicaChangeKind::job, dependent->spec.id});
     }
     dependents_.erase(job.spec.id);
 }
 
 /// Cancels all direct and indirect dependents of the job. Iterative, as chains of dependencies may be so long
 /// that recursion would overflow the stack.
-void JobDependencies::cancelDependents(Job& job, std::vector<Change>& changes) {
+void JobDependencies::cancelDependents(Job& job, std::vector<ReplicaChange>& changes) {
     std::vector<Job*> cancelled{&job};
     while (!cancelled.empty()) {
         auto& next = *cancelled.back();
@@ -87,7 +88,7 @@
         for (auto* dependent : dependents) {
             if (!isOpen(*dependent)) continue;
             cancel(*dependent);
-            changes.push_back({ChangeKind::job, dependent->spec.id});
+            changes.push_back({ReplicaChangeKind::job, dependent->spec.id});
             cancelled.push_back(dependent);
         }
     }
--- a/src/bookkeeping/job_dependencies.h
+++ b/src/bookkeeping/job_dependencies.h
@@ -26,11 +26,11 @@
     /// Adds an open job that was not known before. Cancels it if one of its dependencies is cancelled.
     /// Records may be read in any order, so its dependencies may not be known yet and its dependents may be
     /// known.
-    void add(Job& job, std::vector<Change>& changes);
+    void add(Job& job, std::vector<ReplicaChange>& changes);
     /// Handles the termination of an open job by its own record. If the job is done, its dependents may
     /// become ready. If it is cancelled, all jobs that depend on it, directly or indirectly, are cancelled
     /// with it.
-    void noteTerminated(Job& job, std::vector<Change>& changes);
+    void handleTerminated(Job& job, std::vector<ReplicaChange>& changes);
     /// Updates the effective priorities and due times of all jobs.
     void updateEffectivePriorities();
 
@@ -40,8 +40,8 @@
     struct NewestFirst {
         bool operator()(const Job* a, const Job* b) const;
     };
-    void noteDone(const Job& job, std::vector<Change>& changes);
-    void cancelDependents(Job& job, std::vector<Change>& changes);
+    void handleDone(const Job& job, std::vector<ReplicaChange>& changes);
+    void cancelDependents(Job& job, std::vector<ReplicaChange>& changes);
     void cancel(Job& job);
     void markDependenciesStale(const Job& job);
     void updateEffectivePriority(Job& job);
--- a/src/bookkeeping/job_run.h
+++ b/src/bookkeeping/job_run.h
@@ -78,10 +78,10 @@
     Time nextBitmapWrite{};                            // earliest time of the next write of bits
 
     // Image locality, computed at intervals and not for each heartbeat.
-    std::uint32_t roomWithImage = 0;  // number of tasks that fit on machines with the image
-    Time roomWithImageExpiresAt{};    // when roomWithImage expires
-    bool imageWait = false;           // the job should wait for a machine with the image
-    Time imageWaitUntil{};            // when imageWait expires
+    std::uint32_t capacityWithImage = 0;  // number of tasks that fit on machines with the image
+    Time capacityWithImageExpiresAt{};    // when capacityWithImage expires
+    bool shouldWaitForImage = false;      // the job should wait for a machine with the image
+    Time shouldWaitForImageExpiresAt{};   // when shouldWaitForImage expires
 };
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -25,7 +25,8 @@
 
 /// The number of values of protocol::Priority.
 inline constexpr std::size_t kPriorities = 4;
-/// The index in ResourceUse::plain, after those of the priorities, for service replicas of any priority.
+/// The index in ResourceUse::withoutAccelerators, after those of the priorities, for service replicas of any
+/// priority.
 inline constexpr std::size_t kReplicaUse = kPriorities;
 
 /// Whether the machine's entry is in the stored machine registry.
@@ -94,7 +95,7 @@
 struct ResourceUse {
     Resources total;
     /// Use by tasks that need no accelerators, by priority; by service replicas at the index kReplicaUse.
-    std::array<Resources, kPriorities + 1> plain;
+    std::array<Resources, kPriorities + 1> withoutAccelerators;
     /// Use by tasks that may be preempted, by priority. Service replicas and tasks of gangs of at least two
     /// tasks may not.
     std::array<Resources, kPriorities> preemptible;
@@ -131,7 +132,8 @@
     ResourceUse use;
     /// The attempts that may be on the machine. Added and removed by the Fleet only.
     std::map<AttemptKey, Placement> placements;
-    /// The presumed content of its image cache, most recently used first. Changed by Fleet::useImage only.
+    /// The presumed content of its image cache, most recently used first. Changed by Fleet::recordImageUse
+    /// only.
     std::vector<CachedImage> images;
 
     bool hasImage(const Image& image) const;
--- a/src/bookkeeping/replica_change.h
+++ b/src/bookkeeping/replica_change.h
@@ -6,10 +6,10 @@
 
 namespace burlpoint::bookkeeping {
 
-enum class ChangeKind { job, leader, machine, types };
+enum class ReplicaChangeKind { job, leader, machine, types };
 
-struct Change {
-    ChangeKind kind;
+struct ReplicaChange {
+    ReplicaChangeKind kind;
     std::string id;  // of the job or the machine, empty for other kinds
 };
 
--- a/src/bookkeeping/resources.cpp
+++ b/src/bookkeeping/resources.cpp
@@ -9,7 +9,7 @@
 std::uint32_t Resources::fitCount(const Resources& need) const {
     double most = protocol::kMaxTasks;
     const auto bound = [&](double available, double needed) {
-        if (needed > 0) most = std::min(most, (available + kSlack) / needed);
+        if (needed > 0) most = std::min(most, (available + kTolerance) / needed);
     };
     bound(cpus, need.cpus);
     bound(gpus, need.gpus);
--- a/src/bookkeeping/resources.h
+++ b/src/bookkeeping/resources.h
@@ -16,7 +16,7 @@
     double memoryGb = 0;
 
     /// Tolerance for each resource, as sums of decimal fractions have rounding errors.
-    static constexpr double kSlack = 1e-6;
+    static constexpr double kTolerance = 1e-6;
 
     Resources& operator+=(const Resources& other) {
         cpus += other.cpus;
@@ -33,9 +33,10 @@
     friend Resources operator+(Resources a, const Resources& b) { return a += b; }
     friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
 
-    /// True if `need` fits into this amount, within kSlack.
+    /// True if `need` fits into this amount, within kTolerance.
     bool covers(const Resources& need) const {
-        return need.cpus <= cpus + kSlack && need.gpus <= gpus + kSlack && need.memoryGb <= memoryGb + kSlack;
+        return need.cpus <= cpus + kTolerance && need.gpus <= gpus + kTolerance &&
+               need.memoryGb <= memoryGb + kTolerance;
     }
     /// How many times `need` fits into this amount, at most protocol::kMaxTasks.
     std::uint32_t fitCount(const Resources& need) const;
@@ -48,6 +49,8 @@
     return {spec.cpus * tasks, spec.gpus * tasks, spec.memoryGb * tasks};
 }
 /// The resources of an empty machine of the type.
-inline Resources sizeOf(const protocol::MachineType& type) { return {type.cpus, type.gpus, type.memoryGb}; }
+inline Resources capacityOf(const protocol::MachineType& type) {
+    return {type.cpus, type.gpus, type.memoryGb};
+}
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/state_replica.cpp
+++ b/src/bookkeeping/state_replica.cpp
@@ -9,7 +9,7 @@
 namespace keys = storage::keys;
 using storage::TerminalState;
 
-bool StateReplica::apply(const protocol::KeyChange& change, std::vector<Change>& changes) {
+bool StateReplica::apply(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes) {
     const std::string& key = change.key;
     try {
         if (key == keys::kLeader)
@@ -28,11 +28,11 @@
     return true;
 }
 
-void StateReplica::applyLeader(const protocol::KeyChange& change, std::vector<Change>& changes) {
+void StateReplica::applyLeader(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes) {
     if (change.version <= leaderVersion) return;
     leader = change.value ? std::optional(storage::decodeLeader(*change.value)) : std::nullopt;
     leaderVersion = change.version;
-    changes.push_back({ChangeKind::leader, ""});
+    changes.push_back({ReplicaChangeKind::leader, ""});
 }
 
 void StateReplica::applyToken(const protocol::KeyChange& change) {
@@ -41,21 +41,21 @@
     tokenVersion = change.version;
 }
 
-void StateReplica::applyTypes(const protocol::KeyChange& change, std::vector<Change>& changes) {
+void StateReplica::applyTypes(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes) {
     if (!change.value || change.version <= typesVersion) return;
     types = protocol::decodeMachineTypes(*change.value);
     typesVersion = change.version;
-    changes.push_back({ChangeKind::types, ""});
+    changes.push_back({ReplicaChangeKind::types, ""});
 }
 
-void StateReplica::applyMachine(const protocol::KeyChange& change, std::vector<Change>& changes) {
+void StateReplica::applyMachine(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes) {
     const auto id = change.key.substr(sizeof keys::kMachinePrefix - 1);
     if (isOutdated(id, change)) return;
     if (change.value)
         registeredMachines[id] = {storage::decodeMachine(*change.value), change.version};
     else
         registeredMachines.erase(id);
-    changes.push_back({ChangeKind::machine, id});
+    changes.push_back({ReplicaChangeKind::machine, id});
 }
 
 /// True if the change is not newer than the known entry. One revision may both write and delete a key; the
@@ -69,7 +69,7 @@
 
 /// Applies a change of a job's record or of a value of its bitmap. Deletions are ignored: records are never
 /// deleted, and values of the bitmap only after the job has ended.
-void StateReplica::applyJobKey(const protocol::KeyChange& change, std::vector<Change>& changes) {
+void StateReplica::applyJobKey(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes) {
     if (!change.value) return;
     const auto rest = change.key.substr(sizeof keys::kJobPrefix - 1);
     const auto slash = rest.find('/');
@@ -81,11 +81,11 @@
         const auto rangeText = std::string_view(rest).substr(slash + 1);
         if (!job || !applyBits(*job, rangeText, *change.value, change.version)) return;
     }
-    changes.push_back({ChangeKind::job, id});
+    changes.push_back({ReplicaChangeKind::job, id});
 }
 
 void StateReplica::applyJob(const std::string& id, const msgpack::object& value, std::uint64_t version,
-                            std::vector<Change>& changes) {
+                            std::vector<ReplicaChange>& changes) {
     auto* job = find(id);
     if (job && job->version >= version) return;
     auto record = storage::decodeJob(value);
@@ -102,7 +102,7 @@
 }
 
 /// Adds a new open job, or terminates it at once if its cancellation is already known.
-void StateReplica::addOpenJob(Job& job, std::vector<Change>& changes) {
+void StateReplica::addOpenJob(Job& job, std::vector<ReplicaChange>& changes) {
     jobs_.markOpen(job);
     if (const auto early = earlyCancellations_.find(job.spec.id); early != earlyCancellations_.end())
         terminate(job, TerminalState::cancelled, 0, early->second, changes);
@@ -113,7 +113,7 @@
 /// Terminates a job. `version` is that of its record in the terminal state, which this controller has read or
 /// knows to be stored.
 void StateReplica::terminate(Job& job, TerminalState terminalState, std::uint32_t doneCount,
-                             std::uint64_t version, std::vector<Change>& changes) {
+                             std::uint64_t version, std::vector<ReplicaChange>& changes) {
     const auto before = job.terminalState;
     const bool cancelledByUser = before == TerminalState::cancelled && !job.cancelledByDependency;
     if (terminalState == TerminalState::cancelled && !cancelledByUser) cancelled_.push_back(&job);
@@ -121,7 +121,7 @@
     earlyCancellations_.erase(job.spec.id);
     job.version = version;
     jobs_.terminate(job, terminalState, doneCount);
-    if (before == TerminalState::none) dependencies_.noteTerminated(job, changes);
+    if (before == TerminalState::none) dependencies_.handleTerminated(job, changes);
 }
 
 /// Applies a value of the job's bitmap. False if the job has ended, the key denotes no range of its bitmap,
@@ -139,29 +139,30 @@
     return true;
 }
 
-void StateReplica::dropUnread(const std::set<std::string>& read, std::vector<Change>& changes) {
+void StateReplica::dropUnread(const std::set<std::string>& read, std::vector<ReplicaChange>& changes) {
     if (leader && !read.contains(keys::kLeader)) {
         leader.reset();
-        changes.push_back({ChangeKind::leader, ""});
+        changes.push_back({ReplicaChangeKind::leader, ""});
     }
     for (auto it = registeredMachines.begin(); it != registeredMachines.end();) {
         if (read.contains(keys::machine(it->first))) {
             ++it;
             continue;
         }
-        changes.push_back({ChangeKind::machine, it->first});
+        changes.push_back({ReplicaChangeKind::machine, it->first});
         it = registeredMachines.erase(it);
     }
 }
 
-void StateReplica::noteDone(Job& job, std::uint64_t version, std::uint64_t endedMs,
-                            std::vector<Change>& changes) {
+void StateReplica::applyCompletion(Job& job, std::uint64_t version, std::uint64_t endedMs,
+                                   std::vector<ReplicaChange>& changes) {
     if (job.terminalState != TerminalState::none) return;
     job.endedMs = endedMs;
     terminate(job, TerminalState::done, job.spec.tasks, version, changes);
 }
 
-void StateReplica::noteCancelled(const std::string& id, std::uint64_t version, std::vector<Change>& changes) {
+void StateReplica::applyCancellation(const std::string& id, std::uint64_t version,
+                                     std::vector<ReplicaChange>& changes) {
     auto* job = find(id);
     if (!job) {
         // The job's record will be read later, perhaps in the version before the cancellation.
@@ -170,7 +171,7 @@
     }
     if (job->terminalState != TerminalState::none) return;
     terminate(*job, TerminalState::cancelled, job->doneCount, version, changes);
-    changes.push_back({ChangeKind::job, id});
+    changes.push_back({ReplicaChangeKind::job, id});
 }
 
 }  // namespace burlpoint::bookkeeping
--- a/src/bookkeeping/state_replica.h
+++ b/src/bookkeeping/state_replica.h
@@ -42,14 +42,15 @@
 
     /// Applies a change of a key, unless it is older than the known value. False if its value is malformed,
     /// in which case nothing has changed.
-    bool apply(const protocol::KeyChange& change, std::vector<Change>& changes);
+    bool apply(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes);
     /// Removes the leader and the machines whose keys are not in `read`, after a read of all keys.
-    void dropUnread(const std::set<std::string>& read, std::vector<Change>& changes);
+    void dropUnread(const std::set<std::string>& read, std::vector<ReplicaChange>& changes);
     /// Records that this controller has stored the job as done, at `version`.
-    void noteDone(Job& job, std::uint64_t version, std::uint64_t endedMs, std::vector<Change>& changes);
+    void applyCompletion(Job& job, std::uint64_t version, std::uint64_t endedMs,
+                         std::vector<ReplicaChange>& changes);
     /// Records the confirmed cancellation of a job before a read shows it. `version` is that of the job's
     /// record with the cancellation.
-    void noteCancelled(const std::string& id, std::uint64_t version, std::vector<Change>& changes);
+    void applyCancellation(const std::string& id, std::uint64_t version, std::vector<ReplicaChange>& changes);
     /// Updates effective priorities and due times. Must be called after changes of jobs with dependencies.
     void updateEffectivePriorities() { dependencies_.updateEffectivePriorities(); }
 
@@ -73,17 +74,17 @@
     std::uint64_t revision = 0;
 
   private:
-    void applyLeader(const protocol::KeyChange& change, std::vector<Change>& changes);
+    void applyLeader(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes);
     void applyToken(const protocol::KeyChange& change);
-    void applyTypes(const protocol::KeyChange& change, std::vector<Change>& changes);
-    void applyMachine(const protocol::KeyChange& change, std::vector<Change>& changes);
+    void applyTypes(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes);
+    void applyMachine(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes);
     bool isOutdated(const std::string& machine, const protocol::KeyChange& change) const;
-    void applyJobKey(const protocol::KeyChange& change, std::vector<Change>& changes);
+    void applyJobKey(const protocol::KeyChange& change, std::vector<ReplicaChange>& changes);
     void applyJob(const std::string& id, const msgpack::object& value, std::uint64_t version,
-                  std::vector<Change>& changes);
-    void addOpenJob(Job& job, std::vector<Change>& changes);
+                  std::vector<ReplicaChange>& changes);
+    void addOpenJob(Job& job, std::vector<ReplicaChange>& changes);
     void terminate(Job& job, storage::TerminalState terminalState, std::uint32_t doneCount,
-                   std::uint64_t version, std::vector<Change>& changes);
+                   std::uint64_t version, std::vector<ReplicaChange>& changes);
     static bool applyBits(Job& job, std::string_view rangeText, const msgpack::object& value,
                           std::uint64_t version);
 
--- a/src/coordination/api/job_cancellation.cpp
+++ b/src/coordination/api/job_cancellation.cpp
@@ -59,7 +59,7 @@
     if (result.status == TransactionStatus::applied) {
         // Reads of the store may fail from now on. Recording the cancellation at once makes it known to this
         // controller's users, to its own leader, and to a leader that asks this controller for a lease vote.
-        watcher_.noteCancelled(id, result.revision);
+        watcher_.applyCancellation(id, result.revision);
         return reply(protocol::makeResponse(200, protocol::encodeJobReply(id, JobState::cancelled)));
     }
     if (result.status == TransactionStatus::tooLarge && mayRetry) return attempt({id, reply, 1});
--- a/src/coordination/api/job_queries.cpp
+++ b/src/coordination/api/job_queries.cpp
@@ -32,8 +32,8 @@
 }
 
 void JobQueries::afterRead(const Reply& reply, std::function<void()> next) {
-    watcher_.readLatest([reply, next = std::move(next)](FreshRead read) {
-        if (read == FreshRead::failed) return reply(storeUnavailable());
+    watcher_.readLatest([reply, next = std::move(next)](FreshReadResult read) {
+        if (read == FreshReadResult::failed) return reply(storeUnavailable());
         next();
     });
 }
--- a/src/coordination/api/readiness.cpp
+++ b/src/coordination/api/readiness.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 void Readiness::update(bool healthy, Time now) {
-    if (!healthy) return noteUnhealthy(now);
+    if (!healthy) return recordUnhealthy(now);
     if (healthySince_ == Time::max()) healthySince_ = now;
     const bool heldDown = wasEverReady_ && now - healthySince_ < holdDown_;
     if (heldDown) return;
@@ -22,7 +22,7 @@
     wasEverReady_ = true;
 }
 
-void Readiness::noteUnhealthy(Time now) {
+void Readiness::recordUnhealthy(Time now) {
     if (ready_) {
         const bool flapping = now - lastLossAt_ < kFlapWindow;
         holdDown_ = flapping ? std::min(holdDown_ * 2, kMaxHoldDown) : kInitialHoldDown;
--- a/src/coordination/api/readiness.h
+++ b/src/coordination/api/readiness.h
@@ -27,7 +27,7 @@
   private:
     static constexpr std::chrono::seconds kInitialHoldDown{3};
 
-    void noteUnhealthy(Time now);
+    void recordUnhealthy(Time now);
 
     bool ready_ = false;
     bool wasEverReady_ = false;
--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -81,7 +81,7 @@
         case TransactionStatus::rateLimited:
             queue_.recordRateLimit(Clock::now());
             return retryOrGiveUp(submission);
-        case TransactionStatus::refused:
+        case TransactionStatus::unavailable:
             return retryOrGiveUp(submission);
         default:
             submission.reply(storeUnavailable());
--- a/src/coordination/autoscaling/autoscaler.cpp
+++ b/src/coordination/autoscaling/autoscaler.cpp
@@ -75,9 +75,9 @@
     requests.scaleOuts = instanceRequests_.takeDue(requestBudget_, now);
 }
 
-std::optional<InstanceRequest> Autoscaler::scaleOutCompleted(const std::string& name,
-                                                             InstanceRequestOutcome outcome,
-                                                             std::size_t machineCount, Time now) {
+std::optional<InstanceRequest> Autoscaler::recordScaleOutOutcome(const std::string& name,
+                                                                 InstanceRequestOutcome outcome,
+                                                                 std::size_t machineCount, Time now) {
     if (outcome == InstanceRequestOutcome::unknown) {
         instanceRequests_.scheduleRetry(name, now);
         return std::nullopt;
@@ -119,7 +119,7 @@
     return machines;
 }
 
-void Autoscaler::scaleInCompleted(ScaleInOutcome outcome, Time now) {
+void Autoscaler::recordScaleInOutcome(ScaleInOutcome outcome, Time now) {
     scaleInInFlight_ = false;
     // The machines are still marked with `deletionRequested`, so the next request includes them again. The
     // cloud ignores ids of machines that it has already deleted.
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -62,16 +62,16 @@
     /// Records the outcome of the instance request `name`, which created `machineCount` machines. Returns the
     /// request if it is now complete. Returns nothing if the outcome is unknown, so that the request is sent
     /// again, or if the request was complete before.
-    std::optional<protocol::InstanceRequest> scaleOutCompleted(const std::string& name,
-                                                               InstanceRequestOutcome outcome,
-                                                               std::size_t machineCount, Time now);
+    std::optional<protocol::InstanceRequest> recordScaleOutOutcome(const std::string& name,
+                                                                   InstanceRequestOutcome outcome,
+                                                                   std::size_t machineCount, Time now);
 
     /// Records the outcome of the deletion in flight. If it is unknown, the deletion is requested again after
     /// 2 s.
-    void scaleInCompleted(ScaleInOutcome outcome, Time now);
+    void recordScaleInOutcome(ScaleInOutcome outcome, Time now);
 
     /// Records that the listing of machines in flight has ended, successfully or not.
-    void machineListingCompleted() { listingInFlight_ = false; }
+    void recordMachineListingCompletion() { listingInFlight_ = false; }
 
     /// Returns the machines that the cloud no longer has. Their ids are missing from `listed`, the result of
     /// a listing requested at `requestedAt`, and they were last known to exist longer before `requestedAt`
--- a/src/coordination/autoscaling/bin_packing.cpp
+++ b/src/coordination/autoscaling/bin_packing.cpp
@@ -6,11 +6,11 @@
 
 namespace burlpoint::coordination {
 
+using bookkeeping::capacityOf;
 using bookkeeping::Job;
 using bookkeeping::Machine;
 using bookkeeping::Offering;
 using bookkeeping::Resources;
-using bookkeeping::sizeOf;
 using protocol::MachineType;
 
 namespace {
@@ -19,21 +19,22 @@
 
 }  // namespace
 
-std::uint32_t TaskDemand::tasksThatFit(const Resources& room, const std::string& zone) const {
-    return std::min({room.fitCount(perTask), unpacked, remainingTasksInZone(job.spec, tasksPerZone, zone)});
+std::uint32_t TaskDemand::tasksThatFit(const Resources& freeResources, const std::string& zone) const {
+    return std::min(
+        {freeResources.fitCount(perTask), unpacked, remainingTasksInZone(job.spec, tasksPerZone, zone)});
 }
 
 void BinPacking::addMachine(const Machine& machine, Time now) {
     const auto* reservedFor = machine.reservation.isActive(now) ? machine.reservation.job : nullptr;
     bins_.push_back({{machine.type, machine.zone, machine.spot},
                      *machine.typeInfo,
-                     sizeOf(*machine.typeInfo) - machine.use.total,
+                     capacityOf(*machine.typeInfo) - machine.use.total,
                      &machine,
                      reservedFor});
 }
 
 void BinPacking::addRequestedMachine(const Offering& offering, const MachineType& type) {
-    bins_.push_back({offering, type, sizeOf(type)});
+    bins_.push_back({offering, type, capacityOf(type)});
 }
 
 void BinPacking::pack(TaskDemand& demand) {
@@ -52,27 +53,28 @@
 
 void BinPacking::packInto(Bin& bin, TaskDemand& demand) const {
     // This cheap test comes first, since most bins of a large fleet are full.
-    if (bin.room.cpus < demand.perTask.cpus - kRoundingError) return;
+    if (bin.freeResources.cpus < demand.perTask.cpus - kRoundingError) return;
     const auto& job = demand.job;
     if (!admits(bin, job)) return;
     const auto& zone = bin.offering.zone;
-    const auto count = demand.tasksThatFit(bin.room, zone);
+    const auto count = demand.tasksThatFit(bin.freeResources, zone);
     if (count == 0) return;
     // Tasks that need no accelerators may fill accelerator machines, but justify keeping one only if their
     // job can run nowhere else.
     bin.needed |= job.spec.gpus > 0 || bin.type.gpus <= 0 || needsAcceleratorMachine(job.spec, types_);
     demand.tasksPerZone[zone] += count;
     demand.unpacked -= count;
-    bin.room -= {demand.perTask.cpus * count, demand.perTask.gpus * count, demand.perTask.memoryGb * count};
+    bin.freeResources -=
+        {demand.perTask.cpus * count, demand.perTask.gpus * count, demand.perTask.memoryGb * count};
 }
 
-std::map<std::string, std::uint32_t> BinPacking::roomPerZone(const TaskDemand& demand) const {
-    std::map<std::string, std::uint32_t> roomPerZone;
+std::map<std::string, std::uint32_t> BinPacking::capacityPerZone(const TaskDemand& demand) const {
+    std::map<std::string, std::uint32_t> capacityPerZone;
     for (const auto& bin : bins_) {
-        if (!bin.room.covers(demand.perTask) || !admits(bin, demand.job)) continue;
-        roomPerZone[bin.offering.zone] += bin.room.fitCount(demand.perTask);
+        if (!bin.freeResources.covers(demand.perTask) || !admits(bin, demand.job)) continue;
+        capacityPerZone[bin.offering.zone] += bin.freeResources.fitCount(demand.perTask);
     }
-    return roomPerZone;
+    return capacityPerZone;
 }
 
 std::map<std::string, std::uint32_t> BinPacking::neededRequestsPerZone() const {
--- a/src/coordination/autoscaling/bin_packing.h
+++ b/src/coordination/autoscaling/bin_packing.h
@@ -26,9 +26,9 @@
     std::uint32_t unpacked = 0;  // tasks not packed into any bin so far
     TasksPerZone tasksPerZone;   // tasks running or packed
 
-    /// How many of the unpacked tasks fit into the free resources `room` in `zone`, under the job's zone
-    /// rules.
-    std::uint32_t tasksThatFit(const bookkeeping::Resources& room, const std::string& zone) const;
+    /// How many of the unpacked tasks fit into the free resources `freeResources` in `zone`, under the job's
+    /// zone rules.
+    std::uint32_t tasksThatFit(const bookkeeping::Resources& freeResources, const std::string& zone) const;
 };
 
 /// One bin per machine, filled in the order in which the bins were added.
@@ -52,7 +52,7 @@
 
     /// How many tasks of the size of those of `demand` fit into the free resources of the bins that admit its
     /// job, by zone. The job's zone rules are not applied. Zones without free resources may be missing.
-    std::map<std::string, std::uint32_t> roomPerZone(const TaskDemand& demand) const;
+    std::map<std::string, std::uint32_t> capacityPerZone(const TaskDemand& demand) const;
 
     /// How many requested machines are needed by tasks packed into them, by zone.
     std::map<std::string, std::uint32_t> neededRequestsPerZone() const;
@@ -64,7 +64,7 @@
     struct Bin {
         bookkeeping::Offering offering;
         const protocol::MachineType& type;
-        bookkeeping::Resources room;
+        bookkeeping::Resources freeResources;
         const bookkeeping::Machine* machine = nullptr;  // null: no machine exists yet
         const bookkeeping::Job* reservedFor = nullptr;  // null: open to all jobs
         bool needed = false;                            // a packed task justifies keeping the machine
--- a/src/coordination/autoscaling/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -74,15 +74,15 @@
 /// Selects the zone for a gang without running tasks: a zone with room for the whole gang, or one where
 /// machines for the rest can be obtained. Empty if there is none.
 std::optional<std::string> CapacityPlan::gangZone(const TaskDemand& demand) const {
-    auto roomPerZone = packing_.roomPerZone(demand);
-    for (const auto& zone : inputs_.settings.zones) roomPerZone.try_emplace(zone, 0);
+    auto capacityPerZone = packing_.capacityPerZone(demand);
+    for (const auto& zone : inputs_.settings.zones) capacityPerZone.try_emplace(zone, 0);
     auto requestsPerZone = packing_.neededRequestsPerZone();
     std::vector<GangZoneCandidate> candidates;
-    for (const auto& [zone, room] : roomPerZone) {
-        if (room < demand.unpacked &&
+    for (const auto& [zone, capacity] : capacityPerZone) {
+        if (capacity < demand.unpacked &&
             !isObtainableIn(zone, demand.job.spec, inputs_.types, inputs_.capacityErrors, inputs_.now))
             continue;
-        candidates.push_back({zone, std::min(room, demand.unpacked), requestsPerZone[zone]});
+        candidates.push_back({zone, std::min(capacity, demand.unpacked), requestsPerZone[zone]});
     }
     return selectGangZone(candidates);
 }
--- a/src/coordination/autoscaling/instance_selection.cpp
+++ b/src/coordination/autoscaling/instance_selection.cpp
@@ -7,9 +7,9 @@
 
 namespace burlpoint::coordination {
 
+using bookkeeping::capacityOf;
 using bookkeeping::MachineTypes;
 using bookkeeping::needOf;
-using bookkeeping::sizeOf;
 using protocol::JobKind;
 using protocol::JobSpec;
 using protocol::MachineType;
@@ -25,7 +25,7 @@
 double plainProcessorPrice(const JobSpec& spec, const MachineTypes& types) {
     double price = 0;
     for (const auto& [name, type] : types) {
-        if (type.gpus > 0 || type.cpus <= 0 || !sizeOf(type).covers(needOf(spec))) continue;
+        if (type.gpus > 0 || type.cpus <= 0 || !capacityOf(type).covers(needOf(spec))) continue;
         price = std::max(price, type.price / type.cpus);
     }
     return price;
@@ -53,7 +53,8 @@
     return std::any_of(types.begin(), types.end(), [&](const auto& entry) {
         const auto& type = entry.second;
         const bool offered = std::find(type.zones.begin(), type.zones.end(), zone) != type.zones.end();
-        return offered && sizeOf(type).covers(need) && isObtainable(spec, type, zone, capacityErrors, now);
+        return offered && capacityOf(type).covers(need) &&
+               isObtainable(spec, type, zone, capacityErrors, now);
     });
 }
 
@@ -62,7 +63,7 @@
     const auto need = needOf(spec);
     return std::any_of(types.begin(), types.end(), [&](const auto& entry) {
         const auto& type = entry.second;
-        if (type.gpus > 0 || !sizeOf(type).covers(need)) return false;
+        if (type.gpus > 0 || !capacityOf(type).covers(need)) return false;
         return std::any_of(type.zones.begin(), type.zones.end(), [&](const auto& zone) {
             return isObtainable(spec, type, zone, capacityErrors, now);
         });
@@ -74,7 +75,7 @@
     const auto need = needOf(spec);
     return std::none_of(types.begin(), types.end(), [&](const auto& entry) {
         const auto& type = entry.second;
-        return type.gpus <= 0 && sizeOf(type).covers(need) && allowsOnDemandInSomeZone(spec, type);
+        return type.gpus <= 0 && capacityOf(type).covers(need) && allowsOnDemandInSomeZone(spec, type);
     });
 }
 
--- a/src/coordination/autoscaling/offering_selection.cpp
+++ b/src/coordination/autoscaling/offering_selection.cpp
@@ -4,8 +4,8 @@
 
 namespace burlpoint::coordination {
 
+using bookkeeping::capacityOf;
 using bookkeeping::Offering;
-using bookkeeping::sizeOf;
 using protocol::MachineType;
 
 namespace {
@@ -31,7 +31,7 @@
 /// can be obtained.
 bool OfferingSelection::isCandidate(const MachineType& type, const TaskDemand& demand,
                                     bool plainObtainable) const {
-    if (!sizeOf(type).covers(demand.perTask)) return false;
+    if (!capacityOf(type).covers(demand.perTask)) return false;
     const bool acceleratorsUnused = type.gpus > 0 && demand.job.spec.gpus <= 0;
     return !acceleratorsUnused || !plainObtainable;
 }
@@ -40,7 +40,7 @@
 void OfferingSelection::considerZone(std::optional<Choice>& best, const MachineType& type,
                                      const std::string& zone, const TaskDemand& demand,
                                      const MissingMachines& missing) const {
-    const auto tasks = demand.tasksThatFit(sizeOf(type), zone);
+    const auto tasks = demand.tasksThatFit(capacityOf(type), zone);
     if (tasks == 0) return;
     const auto& spec = demand.job.spec;
     for (const bool spot : kPurchaseOptions) {
--- a/src/coordination/autoscaling/zone_rules.cpp
+++ b/src/coordination/autoscaling/zone_rules.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 bool isWorse(const GangZoneCandidate& a, const GangZoneCandidate& b) {
-    if (a.tasksWithRoom != b.tasksWithRoom) return a.tasksWithRoom < b.tasksWithRoom;
+    if (a.tasksWithCapacity != b.tasksWithCapacity) return a.tasksWithCapacity < b.tasksWithCapacity;
     return a.requestedMachines > b.requestedMachines;
 }
 
--- a/src/coordination/autoscaling/zone_rules.h
+++ b/src/coordination/autoscaling/zone_rules.h
@@ -29,7 +29,7 @@
 /// A zone that could take a whole gang, with newly requested machines if necessary.
 struct GangZoneCandidate {
     std::string zone;
-    std::uint32_t tasksWithRoom = 0;      // tasks that fit on existing or requested machines
+    std::uint32_t tasksWithCapacity = 0;  // tasks that fit on existing or requested machines
     std::uint32_t requestedMachines = 0;  // not up yet, and needed by earlier jobs of the plan
 };
 
--- a/src/coordination/controller/action_executor.cpp
+++ b/src/coordination/controller/action_executor.cpp
@@ -31,8 +31,8 @@
 
 /// Reads the response to direct commands. A worker that rejects them with 409 returns a heartbeat, too.
 CommandsAnswered readCommandResponse(const HttpResult& result, const std::string& machine,
-                                     const bookkeeping::HeartbeatVersion& known) {
-    CommandsAnswered event{machine, std::nullopt, known};
+                                     const bookkeeping::HeartbeatVersion& latestVersionAtSend) {
+    CommandsAnswered event{machine, std::nullopt, latestVersionAtSend};
     try {
         if (result.status == 200 || result.status == 409)
             event.heartbeat = protocol::decodeHeartbeat(result.body);
@@ -105,25 +105,27 @@
 }
 
 void ActionExecutor::execute(SendCommands& action) {
-    if (!mayActAsLeader()) return deliver_(CommandsAnswered{action.machine, std::nullopt, action.known});
+    if (!mayActAsLeader())
+        return deliver_(CommandsAnswered{action.machine, std::nullopt, action.latestVersionAtSend});
     workers_.request(
         action.address, "POST", paths::kCommands,
         protocol::encodeDirectCommands(fencingToken_, action.incarnation, action.commands), kCommandTimeout,
-        whileLeading([this, machine = action.machine, known = action.known](const HttpResult& result) {
-            deliver_(readCommandResponse(result, machine, known));
+        whileLeading([this, machine = action.machine,
+                      latestVersionAtSend = action.latestVersionAtSend](const HttpResult& result) {
+            deliver_(readCommandResponse(result, machine, latestVersionAtSend));
         }));
 }
 
 void ActionExecutor::execute(WriteState& action) {
-    services_.state.transact(
+    services_.store.transact(
         action.conditions, action.writes, kWriteTimeout,
         whileLeading([this](const TransactionResult& result) { deliver_(StateWritten{result}); }));
 }
 
 void ActionExecutor::execute(RefreshReplica&) {
-    services_.watcher.readLatest(whileLeading([this](FreshRead read) {
-        deliver_(ReplicaRefreshed{read == FreshRead::upToDate ? RefreshOutcome::refreshed
-                                                              : RefreshOutcome::failed});
+    services_.watcher.readLatest(whileLeading([this](FreshReadResult read) {
+        deliver_(ReplicaRefreshed{read == FreshReadResult::upToDate ? RefreshOutcome::refreshed
+                                                                    : RefreshOutcome::failed});
     }));
 }
 
--- a/src/coordination/controller/action_executor.h
+++ b/src/coordination/controller/action_executor.h
@@ -36,7 +36,7 @@
     /// executor.
     struct Services {
         transport::HttpClient& http;  // for requests to the cloud provider
-        storage::KeyValueClient& state;
+        storage::KeyValueClient& store;
         StateWatcher& watcher;
         Election& election;
     };
--- a/src/coordination/controller/cloud_response_handler.cpp
+++ b/src/coordination/controller/cloud_response_handler.cpp
@@ -21,26 +21,26 @@
 
 void CloudResponseHandler::handle(const ScaleOutCompleted& event, Time now) {
     const auto request =
-        context_.autoscaler.scaleOutCompleted(event.name, event.outcome, event.machines.size(), now);
+        context_.autoscaler.recordScaleOutOutcome(event.name, event.outcome, event.machines.size(), now);
     if (!request) return;
     for (const auto& id : event.machines) {
         if (context_.membership.isOrWasMember(id)) continue;
         context_.membership.findOrAdd(id, {request->type, request->zone, request->spot}, now);
-        context_.registry.noteRequested(id);
+        context_.registry.scheduleAddition(id);
     }
 }
 
 void CloudResponseHandler::handle(const ScaleInCompleted& event, Time now) {
-    context_.autoscaler.scaleInCompleted(event.outcome, now);
+    context_.autoscaler.recordScaleInOutcome(event.outcome, now);
     if (event.outcome != ScaleInOutcome::deleted) return;
     for (const auto& id : event.machines) {
         if (auto* machine = context_.fleet.find(id)) context_.membership.remove(*machine, now);
-        context_.membership.noteDeleted(id);
+        context_.membership.recordDeletion(id);
     }
 }
 
 void CloudResponseHandler::handle(const MachinesListed& event, Time now) {
-    context_.autoscaler.machineListingCompleted();
+    context_.autoscaler.recordMachineListingCompletion();
     if (!event.complete) return;
     std::set<std::string> listed;
     for (const auto& instance : event.machines) {
@@ -76,7 +76,7 @@
     for (const auto& type : event.types) changed |= updateType(type);
     for (const auto& [id, machine] : context_.fleet.machines())
         if (!machine->typeInfo) machine->typeInfo = bookkeeping::findType(context_.types, machine->type);
-    if (changed) context_.writer.noteTypesChanged();
+    if (changed) context_.writer.markTypesUnstored();
     context_.jobQueue.markStale();
 }
 
--- a/src/coordination/controller/controller.cpp
+++ b/src/coordination/controller/controller.cpp
@@ -12,7 +12,7 @@
 
 namespace burlpoint::coordination {
 
-using bookkeeping::Change;
+using bookkeeping::ReplicaChange;
 using transport::Reply;
 using transport::Request;
 
@@ -41,29 +41,30 @@
 Controller::Controller(asio::io_context& io, const protocol::Settings& settings,
                        const protocol::Policy& policy)
     : http_(io, sockets::count(settings, sockets::kServices)),
-      state_(http_, settings.storeAddress, settings.storeRequestsPerSecond, kStoreRequestShare, Clock::now()),
+      store_(http_, settings.storeAddress, settings.storeRequestsPerSecond, kStoreRequestShare, Clock::now()),
       watcher_(
-          io, state_, replica_, [this](const std::vector<Change>& changes) { replicaChanged(changes); },
+          io, store_, replica_,
+          [this](const std::vector<ReplicaChange>& changes) { replicaChanged(changes); },
           minReadInterval(settings)),
       election_(
-          settings, policy, state_, replica_, watcher_,
+          settings, policy, store_, replica_, watcher_,
           [this](std::uint64_t fencingToken) { leadershipGained(fencingToken); },
           [this] { leadershipLost(); }),
-      userApi_(io, settings, state_, replica_, watcher_),
+      userApi_(io, settings, store_, replica_, watcher_),
       peerExchange_(settings, replica_,
                     [this](const protocol::Cancellation& cancellation) {
-                        watcher_.noteCancelled(cancellation.job, cancellation.version);
+                        watcher_.applyCancellation(cancellation.job, cancellation.version);
                     }),
       forwarder_(settings, http_, peerExchange_, sockets::count(settings, sockets::kForwards)),
       executor_(io, settings, sockets::count(settings, sockets::kWorkers),
-                {http_, state_, watcher_, election_},
+                {http_, store_, watcher_, election_},
                 [this](LeaderEvent event) { events_.push(std::move(event)); }),
       leader_(settings, policy, replica_, executor_),
       events_(io, [this](ControllerEvent& event) { handle(event); }),
-      peers_({settings, http_, state_, replica_, peerExchange_, election_, userApi_, leader_}),
+      peers_({settings, http_, store_, replica_, peerExchange_, election_, userApi_, leader_}),
       heartbeats_(election_, leader_, forwarder_),
       router_(readiness_, userApi_, heartbeats_, peers_),
-      periodicTasks_(io, {state_, replica_, watcher_, election_, leader_, peers_, readiness_, overload_,
+      periodicTasks_(io, {store_, replica_, watcher_, election_, leader_, peers_, readiness_, overload_,
                           http_, executor_, forwarder_}),
       clientServer_(
           io, transport::parseEndpoint(settings.listenAddress), serverLimits(settings, sockets::kClients),
@@ -85,15 +86,15 @@
         leader_.handle(std::move(std::get<LeaderEvent>(event)));
 }
 
-void Controller::replicaChanged(const std::vector<Change>& changes) {
+void Controller::replicaChanged(const std::vector<ReplicaChange>& changes) {
     JobsChanged jobs;
     for (const auto& change : changes)
-        if (change.kind == bookkeeping::ChangeKind::job) jobs.ids.push_back(change.id);
+        if (change.kind == bookkeeping::ReplicaChangeKind::job) jobs.ids.push_back(change.id);
     if (leader_.leader() && !jobs.ids.empty()) events_.push(std::move(jobs));
 }
 
 void Controller::leadershipGained(std::uint64_t fencingToken) {
-    overload_.noteLeading(Clock::now());
+    overload_.recordLeadershipStart(Clock::now());
     // A peer that the key-value store refuses learns of the new leader only from a status message.
     peers_.scheduleExchange(Clock::now());
     leader_.begin(fencingToken);
--- a/src/coordination/controller/controller.h
+++ b/src/coordination/controller/controller.h
@@ -41,10 +41,10 @@
     void handle(ControllerEvent& event);
     void leadershipGained(std::uint64_t fencingToken);
     void leadershipLost();
-    void replicaChanged(const std::vector<bookkeeping::Change>& changes);
+    void replicaChanged(const std::vector<bookkeeping::ReplicaChange>& changes);
 
     transport::HttpClient http_;  // for requests to the key-value store, the cloud provider and peers
-    storage::KeyValueClient state_;
+    storage::KeyValueClient store_;
     bookkeeping::StateReplica replica_;
     StateWatcher watcher_;
     Election election_;
--- a/src/coordination/controller/fleet_membership.h
+++ b/src/coordination/controller/fleet_membership.h
@@ -33,7 +33,7 @@
     void remove(bookkeeping::Machine& machine, Time now);
 
     /// Records that the cloud has deleted the machine. Messages and lists that show it later are out of date.
-    void noteDeleted(const std::string& id) { tombstones_.addDeleted(id); }
+    void recordDeletion(const std::string& id) { tombstones_.addDeleted(id); }
 
     /// True if the cloud has deleted the machine.
     bool isDeleted(const std::string& id) const { return tombstones_.isDeleted(id); }
--- a/src/coordination/controller/heartbeat_commands.cpp
+++ b/src/coordination/controller/heartbeat_commands.cpp
@@ -22,7 +22,7 @@
     // A leader that is partitioned from the key-value store may act for up to 10 s more, see
     // `Election::maxTimeWithoutRead`. Meanwhile other controllers may confirm cancellations to users that
     // this leader does not know of. Running tasks continue, but no new task is started.
-    if (!event.cancellationsCurrent || !usable(machine, now)) return commands;
+    if (!event.cancellationsCurrent || !isUsable(machine, now)) return commands;
     inputs_.refresh(now);
     scheduler_.schedule(machine, commands, now);
     return commands;
--- a/src/coordination/controller/heartbeat_handler.cpp
+++ b/src/coordination/controller/heartbeat_handler.cpp
@@ -70,7 +70,7 @@
     if (machine.agent.acknowledged || (wasMember && machine.registry.reconciled))
         context_.registry.ensureEntry(machine);
     accept(event, context_.commands.compose(machine, event, now));
-    context_.terminator.noteHeartbeatAnswered(machine.id);
+    context_.terminator.recordHeartbeatResponse(machine.id);
 }
 
 /// Handles a heartbeat that is not newer than the machine's newest message: a delayed duplicate, or one that
@@ -102,7 +102,7 @@
     }
     if (machine->agent.quarantined) return;
     // The worker created the response after the commands were sent, so its message counters must be higher.
-    if (heartbeatVersionOf(heartbeat) <= event.known ||
+    if (heartbeatVersionOf(heartbeat) <= event.latestVersionAtSend ||
         (machine->agent.acknowledged && hasOlderToken(heartbeat)))
         return quarantine(*machine);
     applyAnswer(*machine, heartbeat, now);
--- a/src/coordination/controller/job_change_handler.cpp
+++ b/src/coordination/controller/job_change_handler.cpp
@@ -25,7 +25,7 @@
         if (auto* job = replica_.find(id)) apply(*job, now);
 }
 
-void JobChangeHandler::apply(const std::vector<bookkeeping::Change>& changes, Time now) {
+void JobChangeHandler::apply(const std::vector<bookkeeping::ReplicaChange>& changes, Time now) {
     for (const auto& change : changes)
         if (auto* job = replica_.find(change.id)) apply(*job, now);
 }
@@ -39,7 +39,7 @@
         return;
     }
     jobQueue_.remove(job);
-    writer_.forget(job);
+    writer_.discardWrites(job);
     if (job.run) terminator_.stopJob(job, Seconds(0), now);
 }
 
--- a/src/coordination/controller/job_change_handler.h
+++ b/src/coordination/controller/job_change_handler.h
@@ -28,7 +28,7 @@
 
     /// Applies changed records of jobs. Ids that the replica does not contain are skipped.
     void apply(const std::vector<std::string>& ids, Time now);
-    void apply(const std::vector<bookkeeping::Change>& changes, Time now);
+    void apply(const std::vector<bookkeeping::ReplicaChange>& changes, Time now);
 
   private:
     void apply(bookkeeping::Job& job, Time now);
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -84,7 +84,7 @@
 
 std::vector<std::pair<std::string, std::uint32_t>> Leader::runningCounts() const {
     std::vector<std::pair<std::string, std::uint32_t>> counts;
-    for (const auto* job : jobQueue_.open())
+    for (const auto* job : jobQueue_.openJobs())
         if (job->run && job->run->running > 0) counts.emplace_back(job->spec.id, job->run->running);
     return counts;
 }
@@ -130,7 +130,7 @@
         actions_.push_back(RefreshReplica{});
         return;
     }
-    writer_.replicaRefreshed();
+    writer_.resumeAfterRefresh();
     registry_.ensureEntriesOfMachinesWithHeartbeat();
 }
 
--- a/src/coordination/controller/leader_actions.h
+++ b/src/coordination/controller/leader_actions.h
@@ -37,7 +37,7 @@
     std::uint64_t incarnation = 0;
     std::vector<protocol::WorkerCommand> commands;
     /// The version of the machine's newest message so far. The response to this message must be newer.
-    bookkeeping::HeartbeatVersion known{};
+    bookkeeping::HeartbeatVersion latestVersionAtSend{};
 };
 
 /// Brings the replica up to date with the key-value store; the outcome is a `ReplicaRefreshed`.
--- a/src/coordination/controller/leader_events.h
+++ b/src/coordination/controller/leader_events.h
@@ -31,8 +31,8 @@
 /// The outcome of `SendCommands`.
 struct CommandsAnswered {
     std::string machine;
-    std::optional<protocol::Heartbeat> heartbeat;  // empty if there was no valid response
-    bookkeeping::HeartbeatVersion known{};         // copied from the `SendCommands`
+    std::optional<protocol::Heartbeat> heartbeat;         // empty if there was no valid response
+    bookkeeping::HeartbeatVersion latestVersionAtSend{};  // copied from the `SendCommands`
 };
 
 /// Jobs whose stored records have changed in the replica.
--- a/src/coordination/controller/peer_messenger.cpp
+++ b/src/coordination/controller/peer_messenger.cpp
@@ -26,7 +26,7 @@
 PeerMessenger::PeerMessenger(const PeerMessengerContext& context) : context_(context) {}
 
 bool PeerMessenger::onlyThisControllerRefused(Time now) const {
-    return context_.peers.isolatedFromStore(context_.state.lastAnswer(), now);
+    return context_.peers.isolatedFromStore(context_.store.lastAnswerAt(), now);
 }
 
 bool PeerMessenger::anyPeerInTouch(Time now) const {
@@ -39,7 +39,8 @@
     PeerStatus status;
     status.node = context_.settings.name;
     status.resignedToken = context_.election.resignedToken();
-    const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - context_.state.lastAnswer());
+    const auto age =
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - context_.store.lastAnswerAt());
     status.stateAgeMs = static_cast<std::uint64_t>(std::max<std::int64_t>(0, age.count()));
     const auto known = context_.peers.knownLeader(now);
     if (known && context_.peers.inTouch(known->node, now)) status.leaderToken = known->fencingToken;
@@ -71,13 +72,13 @@
     try {
         const auto answer = protocol::decodePeerStatus(body);
         if (answer.node != sent.peer) return;
-        noteStatus(answer, Clock::now());
+        recordStatus(answer, Clock::now());
         if (context_.peers.applyCancellations(answer)) scheduleExchange(Clock::now());
         // A vote in an incomplete response is ignored: it would extend this leadership while tasks keep
         // running whose cancellation the peer has confirmed to users and not yet reported here.
         if (!context_.leader.leader() || sent.epoch != context_.leader.epoch() || !answer.complete) return;
         const Duration voteDuration(std::min(answer.voteMs, kMaxVoteMs));
-        context_.election.noteVote(sent.peer, voteDuration, sent.sentAt);
+        context_.election.recordVote(sent.peer, voteDuration, sent.sentAt);
     } catch (const MalformedMessage& error) {
         spdlog::error("malformed peer response peer={} error={}", sent.peer, error.what());
     }
@@ -95,7 +96,7 @@
 }
 
 PeerStatus PeerMessenger::answerTo(const PeerStatus& query, Time now) {
-    noteStatus(query, now);
+    recordStatus(query, now);
     auto answer = ownStatus(now);
     answer.running.clear();  // only the messages that a leader sends itself carry these counts
     if (query.fencingToken == 0) return answer;
@@ -109,9 +110,9 @@
     return static_cast<std::uint64_t>(voteDuration.count());
 }
 
-void PeerMessenger::noteStatus(const PeerStatus& status, Time now) {
-    if (!context_.peers.noteStatus(status, now)) return;
-    context_.election.noteResignation(status.resignedToken);
+void PeerMessenger::recordStatus(const PeerStatus& status, Time now) {
+    if (!context_.peers.recordStatus(status, now)) return;
+    context_.election.recordResignation(status.resignedToken);
     if (!status.running.empty() && status.fencingToken >= context_.replica.fencingToken)
         context_.userApi.setRunning(status.running);
 }
--- a/src/coordination/controller/peer_messenger.h
+++ b/src/coordination/controller/peer_messenger.h
@@ -26,7 +26,7 @@
 struct PeerMessengerContext {
     const protocol::Settings& settings;
     transport::HttpClient& http;  // for requests to peers
-    const storage::KeyValueClient& state;
+    const storage::KeyValueClient& store;
     const bookkeeping::StateReplica& replica;
     PeerExchange& peers;
     Election& election;
@@ -65,7 +65,7 @@
     protocol::PeerStatus ownStatus(Time now) const;
     protocol::PeerStatus answerTo(const protocol::PeerStatus& query, Time now);
     void handleAnswer(const SentStatus& sent, const std::string& body);
-    void noteStatus(const protocol::PeerStatus& status, Time now);
+    void recordStatus(const protocol::PeerStatus& status, Time now);
     /// The duration in milliseconds of this controller's vote for the leader that sent `query`; 0 means no
     /// vote. A vote may be sent only in a response that completes the list of cancellations.
     std::uint64_t voteFor(const protocol::PeerStatus& query, Time now);
--- a/src/coordination/controller/periodic_tasks.cpp
+++ b/src/coordination/controller/periodic_tasks.cpp
@@ -24,7 +24,7 @@
 
 void PeriodicTasks::tick() {
     const auto now = Clock::now();
-    if (nextTick_ != Time{}) context_.overload.noteTick(nextTick_, now);
+    if (nextTick_ != Time{}) context_.overload.recordTick(nextTick_, now);
     context_.election.tick(now);
     if (context_.leader.leader() && context_.election.valid(now)) context_.leader.handle(Tick{});
     keepReplicaFresh(now);
@@ -44,7 +44,7 @@
     if (now < nextRead_) return;
     const bool leading = context_.leader.leader() != nullptr;
     const bool tooOldToLead = leading && now - context_.watcher.asOf() > kLeaderMaxReadAge;
-    if (!tooOldToLead && now - context_.state.lastAnswer() <= kMaxReadAge) return;
+    if (!tooOldToLead && now - context_.store.lastAnswerAt() <= kMaxReadAge) return;
     nextRead_ = now + (leading ? kLeaderMaxReadAge : kMaxReadAge);
     context_.watcher.readLatest([](auto) {});
 }
@@ -63,9 +63,9 @@
     if (!context_.leader.leader() || !context_.overload.shouldResign(now)) return;
     // During an outage of the key-value store no peer could become leader, and a peer that cannot reach the
     // other controllers should not become leader.
-    if (now - context_.state.lastAnswer() > kMaxStoreResponseAge) return;
+    if (now - context_.store.lastAnswerAt() > kMaxStoreResponseAge) return;
     if (!context_.peers.anyPeerInTouch(now)) return;
-    context_.overload.noteResigned(now);
+    context_.overload.recordResignation(now);
     resign(ResignationReason::overloaded, now);
 }
 
--- a/src/coordination/controller/periodic_tasks.h
+++ b/src/coordination/controller/periodic_tasks.h
@@ -23,7 +23,7 @@
 
 /// The state that the periodic tasks read and change.
 struct PeriodicTasksContext {
-    const storage::KeyValueClient& state;
+    const storage::KeyValueClient& store;
     const bookkeeping::StateReplica& replica;
     StateWatcher& watcher;
     Election& election;
--- a/src/coordination/controller/scheduling_inputs.cpp
+++ b/src/coordination/controller/scheduling_inputs.cpp
@@ -21,7 +21,7 @@
 
 void SchedulingInputs::refreshJobQueue(Time now) {
     if (!context_.jobQueue.refresh(context_.replica, context_.fleet, context_.wallClock, now)) return;
-    for (auto* job : context_.jobQueue.open()) {
+    for (auto* job : context_.jobQueue.openJobs()) {
         context_.pacing.admit(*job, context_.fleet);
         context_.accelerators.recordDemand(*job);
     }
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -33,10 +33,10 @@
 }  // namespace
 
 Election::Election(const protocol::Settings& settings, const protocol::Policy& policy,
-                   storage::KeyValueClient& state, bookkeeping::StateReplica& replica, StateWatcher& watcher,
+                   storage::KeyValueClient& store, bookkeeping::StateReplica& replica, StateWatcher& watcher,
                    LeadershipGained leadershipGained, LeadershipLost leadershipLost)
     : settings_(settings),
-      state_(state),
+      store_(store),
       replica_(replica),
       watcher_(watcher),
       onGained_(std::move(leadershipGained)),
@@ -101,11 +101,11 @@
 }
 
 bool Election::isBoundByVote(Time now) const {
-    if (votes_.isBound(now, resignedTokens_)) return true;
+    if (votes_.isBound(now, maxResignedToken_)) return true;
     // An earlier process of this controller may have voted, and as votes are not stored, this process cannot
     // know. If the leader's key names this controller, there was no such vote, because the earlier process
     // was the leader itself.
-    return !isNamedLeader() && replica_.fencingToken > resignedTokens_ &&
+    return !isNamedLeader() && replica_.fencingToken > maxResignedToken_ &&
            now < processStartedAt_ + LeaseVotes::kUnknownVoteDuration;
 }
 
@@ -114,7 +114,7 @@
         replica_.leader && replica_.leader->node == leader && replica_.leader->fencingToken == fencingToken;
     if (!known || hasResigned(*replica_.leader)) return Duration(0);
     if (role_ == Role::leader || role_ == Role::candidate || !watcher_.synced()) return Duration(0);
-    if (now - state_.lastAnswer() < kOutageAfter) return Duration(0);
+    if (now - store_.lastAnswerAt() < kOutageAfter) return Duration(0);
     // A delayed transaction of an earlier attempt of this controller cannot succeed any more: its conditions
     // no longer hold, as this leader's key has been written since.
     return votes_.giveVote(fencingToken, now);
@@ -123,7 +123,7 @@
 void Election::startAttempt(Time now) {
     role_ = Role::candidate;
     const auto round = ++round_;
-    state_.createLease(leaseDuration_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
+    store_.createLease(leaseDuration_, [this, round, sent = now](LeaseStatus status, std::uint64_t lease) {
         if (round != round_) return;
         if (status != LeaseStatus::active) return failAttempt(0);
         acquireLeaderKey(lease, sent);
@@ -141,7 +141,7 @@
     const std::vector<protocol::KeyWrite> writes{
         {keys::kLeader, storage::encodeLeader({settings_.name, fencingToken}), lease},
         {keys::kToken, storage::encodeToken(fencingToken), 0}};
-    state_.transact(conditions, writes, kAcquireTimeout,
+    store_.transact(conditions, writes, kAcquireTimeout,
                     [this, round, fencingToken, lease, sent](const TransactionResult& result) {
                         if (round != round_) return;
                         if (result.status != TransactionStatus::applied) return failAttempt(lease);
@@ -153,10 +153,10 @@
 
 void Election::confirmLeadership(std::uint64_t fencingToken) {
     const auto round = round_;
-    watcher_.readLatest([this, round, fencingToken](FreshRead read) {
+    watcher_.readLatest([this, round, fencingToken](FreshReadResult read) {
         if (round != round_) return;
         if (!leaderLease_.valid(Clock::now())) return failAttempt(lease_);
-        if (read == FreshRead::failed) return confirmLeadership(fencingToken);
+        if (read == FreshReadResult::failed) return confirmLeadership(fencingToken);
         if (!isConfirmed(fencingToken)) return failAttempt(lease_);
         becomeLeader(fencingToken);
     });
@@ -177,13 +177,13 @@
 }
 
 void Election::failAttempt(std::uint64_t lease) {
-    if (lease) state_.revokeLease(lease);
+    if (lease) store_.revokeLease(lease);
     ++round_;
     earliestAttempt_ = Clock::now() + kAttemptBackoff + randomUpTo(kAttemptBackoff);
     // Only a read shows which controller became leader, or whether the transaction of this attempt was
     // executed despite an error.
     const auto round = round_;
-    watcher_.readLatest([this, round](FreshRead) {
+    watcher_.readLatest([this, round](FreshReadResult) {
         if (round == round_) role_ = Role::vacancy;
     });
 }
@@ -192,7 +192,7 @@
     renewalPending_ = true;
     nextRenewal_ = now + leaseDuration_ / kRenewalsPerLease;
     const auto round = round_;
-    state_.extendLease(lease_, [this, round, sent = now](LeaseStatus status, std::uint64_t) {
+    store_.extendLease(lease_, [this, round, sent = now](LeaseStatus status, std::uint64_t) {
         if (round != round_) return;
         renewalPending_ = false;
         if (status == LeaseStatus::active) return leaderLease_.extend(sent);
@@ -208,7 +208,7 @@
 
 void Election::resign(Time now, Resignation resignation) {
     if (!leading()) return;
-    state_.revokeLease(lease_);
+    store_.revokeLease(lease_);
     stopLeading();
     if (resignation == Resignation::deferToPeers) earliestAttempt_ = now + kDeferralTime;
 }
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -39,7 +39,7 @@
     /// All referenced objects must outlive this one. The two callbacks are called alternately, from `tick`
     /// and `resign` or when a response of the key-value store arrives.
     Election(const protocol::Settings& settings, const protocol::Policy& policy,
-             storage::KeyValueClient& state, bookkeeping::StateReplica& replica, StateWatcher& watcher,
+             storage::KeyValueClient& store, bookkeeping::StateReplica& replica, StateWatcher& watcher,
              LeadershipGained leadershipGained, LeadershipLost leadershipLost);
 
     /// Performs the action that is due, if any: renews the lease of a leader, or starts an attempt to become
@@ -77,8 +77,8 @@
     /// Records a peer's vote for `duration`, given in response to a request sent at `sent`. Must be called
     /// after the cancellations in the same message have been applied. In an outage, votes of all peers stand
     /// in for the renewal of the lease.
-    void noteVote(const std::string& peer, Duration duration, Time sent) {
-        votes_.noteReceived(peer, duration, sent);
+    void recordVote(const std::string& peer, Duration duration, Time sent) {
+        votes_.recordReceivedVote(peer, duration, sent);
     }
 
     /// True if this controller has the leader role. To act it also needs an unexpired lease, see `valid`.
@@ -87,8 +87,8 @@
     /// Records that the leader with `fencingToken` has resigned, as its status message to this controller
     /// says. Its key may then be replaced even if its lease in the key-value store has not expired, as
     /// happens if the store refused the request to revoke the lease.
-    void noteResignation(std::uint64_t fencingToken) {
-        resignedTokens_ = std::max(resignedTokens_, fencingToken);
+    void recordResignation(std::uint64_t fencingToken) {
+        maxResignedToken_ = std::max(maxResignedToken_, fencingToken);
     }
 
     /// The fencing token of the last leadership of this process that has ended, 0 if there is none.
@@ -117,7 +117,7 @@
     bool isNamedLeader() const { return replica_.leader && replica_.leader->node == settings_.name; }
     /// True if the controller named in `leader` is known to have resigned that leadership.
     bool hasResigned(const storage::LeaderRecord& leader) const {
-        return leader.fencingToken <= resignedTokens_;
+        return leader.fencingToken <= maxResignedToken_;
     }
 
     /// First step of an attempt: creates a lease.
@@ -146,7 +146,7 @@
     Duration randomUpTo(Duration bound);
 
     const protocol::Settings& settings_;
-    storage::KeyValueClient& state_;
+    storage::KeyValueClient& store_;
     bookkeeping::StateReplica& replica_;
     StateWatcher& watcher_;
     LeadershipGained onGained_;
@@ -157,15 +157,15 @@
     LeaderLease leaderLease_;
     LeaseVotes votes_;
     Role role_ = Role::follower;
-    std::uint64_t lease_ = 0;           // id of the lease of the leadership or of the current attempt
-    std::uint64_t fencingToken_ = 0;    // of the current or the last leadership of this controller
-    std::uint64_t resignedTokens_ = 0;  // leaders with fencing tokens up to this one have resigned
-    std::uint64_t resignedToken_ = 0;   // fencing token of this controller's last ended leadership
-    std::uint64_t round_ = 0;           // responses to requests of earlier rounds are ignored
-    bool renewalPending_ = false;       // a renewal of the lease has been sent and not answered
-    Time earliestAttempt_{};            // earliest start of the next attempt
-    Time nextRenewal_{};                // when the next renewal of the lease is due
-    const Time processStartedAt_;       // when this process started
+    std::uint64_t lease_ = 0;             // id of the lease of the leadership or of the current attempt
+    std::uint64_t fencingToken_ = 0;      // of the current or the last leadership of this controller
+    std::uint64_t maxResignedToken_ = 0;  // leaders with fencing tokens up to this one have resigned
+    std::uint64_t resignedToken_ = 0;     // fencing token of this controller's last ended leadership
+    std::uint64_t round_ = 0;             // responses to requests of earlier rounds are ignored
+    bool renewalPending_ = false;         // a renewal of the lease has been sent and not answered
+    Time earliestAttempt_{};              // earliest start of the next attempt
+    Time nextRenewal_{};                  // when the next renewal of the lease is due
+    const Time processStartedAt_;         // when this process started
 };
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/leadership/lease_votes.cpp
+++ b/src/coordination/leadership/lease_votes.cpp
@@ -10,11 +10,11 @@
     return kVoteDuration;
 }
 
-bool LeaseVotes::isBound(Time now, std::uint64_t resignedTokens) const {
-    return now < givenVoteEnd_ && givenVoteToken_ > resignedTokens;
+bool LeaseVotes::isBound(Time now, std::uint64_t maxResignedToken) const {
+    return now < givenVoteEnd_ && givenVoteToken_ > maxResignedToken;
 }
 
-void LeaseVotes::noteReceived(const std::string& peer, Duration duration, Time sent) {
+void LeaseVotes::recordReceivedVote(const std::string& peer, Duration duration, Time sent) {
     if (duration.count() <= 0) return;
     LeaderLease vote;
     vote.begin(sent, std::min(duration, kVoteDuration));
--- a/src/coordination/leadership/lease_votes.h
+++ b/src/coordination/leadership/lease_votes.h
@@ -29,13 +29,13 @@
     /// Returns how long the leader may rely on that. The promise binds even if the leader's key disappears.
     Duration giveVote(std::uint64_t fencingToken, Time now);
     /// True if this controller is bound at `now` by the vote it gave. A vote for a leader that has resigned
-    /// does not bind: `resignedTokens` is the highest fencing token whose leader is known to have resigned.
-    bool isBound(Time now, std::uint64_t resignedTokens) const;
+    /// does not bind: `maxResignedToken` is the highest fencing token whose leader is known to have resigned.
+    bool isBound(Time now, std::uint64_t maxResignedToken) const;
 
     /// Records a peer's vote for `duration`, given in response to this leader's request sent at `sent`. The
     /// vote counts for at most `kVoteDuration`. Zero or less means no vote, and leaves an earlier vote in
     /// force.
-    void noteReceived(const std::string& peer, Duration duration, Time sent);
+    void recordReceivedVote(const std::string& peer, Duration duration, Time sent);
     /// True if votes of all `peers` are in force at `now`. False if there are no peers.
     bool allInForce(const std::vector<protocol::Peer>& peers, Time now) const;
     /// Discards the received votes, as they are void once this controller stops leading. Keeps the vote that
--- a/src/coordination/leadership/overload_monitor.cpp
+++ b/src/coordination/leadership/overload_monitor.cpp
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-void OverloadMonitor::noteTick(Time due, Time now) {
+void OverloadMonitor::recordTick(Time due, Time now) {
     if (now - due < kLateTickThreshold)
         lateSince_.reset();
     else if (!lateSince_)
         lateSince_ = due;
 }
 
-void OverloadMonitor::noteLeading(Time now) {
+void OverloadMonitor::recordLeadershipStart(Time now) {
     leadingSince_ = now;
     lateSince_.reset();
 }
@@ -43,7 +43,7 @@
     return resignationPause_ == Clock::duration::zero() || now - resignedAt_ >= resignationPause_;
 }
 
-void OverloadMonitor::noteResigned(Time now) {
+void OverloadMonitor::recordResignation(Time now) {
     const bool first = resignationPause_ == Clock::duration::zero() || now - resignedAt_ >= kPauseResetAfter;
     resignationPause_ = first ? kInitialPause : std::min(resignationPause_ * 2, kMaxPause);
     resignedAt_ = now;
--- a/src/coordination/leadership/overload_monitor.h
+++ b/src/coordination/leadership/overload_monitor.h
@@ -15,16 +15,16 @@
 class OverloadMonitor {
   public:
     /// Records that a tick that was due at `due` runs at `now`. Must be called for every tick.
-    void noteTick(Time due, Time now);
+    void recordTick(Time due, Time now);
     /// Records that this controller became leader at `now`. Earlier late ticks no longer count.
-    void noteLeading(Time now);
+    void recordLeadershipStart(Time now);
     /// True if every tick that was due in the last 1.2 s or longer ran at least 200 ms late, so that workers
     /// would not be answered in time.
     bool isOverloaded(Time now) const;
     /// True if the leader should resign now. Must only be called while this controller leads.
     bool shouldResign(Time now) const;
     /// Records that the leader resigned at `now` because of the overload.
-    void noteResigned(Time now);
+    void recordResignation(Time now);
 
   private:
     std::optional<Time> lateSince_;  // when the first tick of the current run of late ticks was due
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -35,18 +35,18 @@
 }  // namespace
 
 PeerExchange::PeerExchange(const protocol::Settings& settings, const bookkeeping::StateReplica& replica,
-                           NoteCancelled noteCancelled)
+                           ApplyCancellation applyCancellation)
     : settings_(settings),
       replica_(replica),
-      noteCancelled_(std::move(noteCancelled)),
+      applyCancellation_(std::move(applyCancellation)),
       cancellationLogId_(generateLogId()) {}
 
-bool PeerExchange::noteStatus(const PeerStatus& status, Time now) {
+bool PeerExchange::recordStatus(const PeerStatus& status, Time now) {
     const bool known = std::any_of(settings_.peers.begin(), settings_.peers.end(),
                                    [&](const auto& peer) { return peer.name == status.node; });
     if (!known) return false;
     auto& view = peers_[status.node];
-    view.heardAt = now;
+    view.lastStatusAt = now;
     view.storeAnsweredAt = now - std::chrono::milliseconds(std::min(status.stateAgeMs, kMaxStateAgeMs));
     view.ownFencingToken = status.fencingToken;
     view.leaderToken = status.leaderToken;
@@ -55,7 +55,7 @@
 
 bool PeerExchange::inTouch(const std::string& peer, Time now) const {
     const auto view = peers_.find(peer);
-    return view != peers_.end() && now - view->second.heardAt < kPeerTimeout;
+    return view != peers_.end() && now - view->second.lastStatusAt < kPeerTimeout;
 }
 
 // Peers' reports count because a follower that the key-value store refuses cannot read a new leader's record.
@@ -82,12 +82,12 @@
 // leader, and all tasks would be lost. Therefore the key-value store must still have answered a peer at least
 // `kMinAnswerGap` after its last answer to this controller. A refusal of this controller that is directly
 // followed by an outage is no reason to resign, as the peers' votes extend the leader's lease.
-bool PeerExchange::isolatedFromStore(Time lastAnswer, Time now) const {
-    if (now - lastAnswer < kIsolatedAfter) return false;
+bool PeerExchange::isolatedFromStore(Time lastAnswerAt, Time now) const {
+    if (now - lastAnswerAt < kIsolatedAfter) return false;
     return std::any_of(peers_.begin(), peers_.end(), [&](const auto& entry) {
         const auto& view = entry.second;
-        return now - view.heardAt < kPeerTimeout && now - view.storeAnsweredAt < kMaxPeerAnswerAge &&
-               view.storeAnsweredAt - lastAnswer >= kMinAnswerGap;
+        return now - view.lastStatusAt < kPeerTimeout && now - view.storeAnsweredAt < kMaxPeerAnswerAge &&
+               view.storeAnsweredAt - lastAnswerAt >= kMinAnswerGap;
     });
 }
 
@@ -114,7 +114,7 @@
 }
 
 bool PeerExchange::applyCancellations(const PeerStatus& answer) {
-    for (const auto& cancellation : answer.cancelled) noteCancelled_(cancellation);
+    for (const auto& cancellation : answer.cancelled) applyCancellation_(cancellation);
     auto& view = peers_[answer.node];
     view.cancellationLogId = answer.logId;
     view.cancellationLogPosition = answer.logPosition;
--- a/src/coordination/leadership/peer_exchange.h
+++ b/src/coordination/leadership/peer_exchange.h
@@ -22,16 +22,16 @@
 class PeerExchange {
   public:
     /// Applies a cancellation that a peer has confirmed. It may be known already.
-    using NoteCancelled = std::function<void(const protocol::Cancellation&)>;
+    using ApplyCancellation = std::function<void(const protocol::Cancellation&)>;
 
     /// Generates the id of this process's cancellation log. `settings` and `replica`, this controller's copy
     /// of the stored state, must outlive this.
     PeerExchange(const protocol::Settings& settings, const bookkeeping::StateReplica& replica,
-                 NoteCancelled noteCancelled);
+                 ApplyCancellation applyCancellation);
 
     /// Records a peer's status, received at `now`. Returns false if the settings list no such peer, in which
     /// case no part of the message may be used.
-    bool noteStatus(const protocol::PeerStatus& status, Time now);
+    bool recordStatus(const protocol::PeerStatus& status, Time now);
 
     /// True if a status of the peer arrived within the last 2.5 s.
     bool inTouch(const std::string& peer, Time now) const;
@@ -46,8 +46,8 @@
     std::string peerInTouchWithLeader(Time now) const;
 
     /// True if the key-value store answers at least one peer but not this controller, which received its last
-    /// answer at `lastAnswer`. False if it answers no controller, as in an outage that affects all of them.
-    bool isolatedFromStore(Time lastAnswer, Time now) const;
+    /// answer at `lastAnswerAt`. False if it answers no controller, as in an outage that affects all of them.
+    bool isolatedFromStore(Time lastAnswerAt, Time now) const;
 
     /// Sets the fields of `question`, a leader's status message to `peer`, that describe which cancellations
     /// this leader knows, so that the peer answers with the others. Overwrites the values that an earlier
@@ -66,7 +66,7 @@
   private:
     /// What this controller knows of one peer from the messages of that peer.
     struct PeerView {
-        Time heardAt{};                       // when its last status arrived
+        Time lastStatusAt{};                  // when its last status arrived
         Time storeAnsweredAt{};               // when the key-value store last answered it, as it reports
         std::uint64_t ownFencingToken = 0;    // the fencing token that it leads with, 0: it does not lead
         std::uint64_t leaderToken = 0;        // the fencing token of the leader that it is in touch with
@@ -76,7 +76,7 @@
 
     const protocol::Settings& settings_;
     const bookkeeping::StateReplica& replica_;
-    const NoteCancelled noteCancelled_;
+    const ApplyCancellation applyCancellation_;
     const std::uint64_t cancellationLogId_;  // random; positions in the log are valid for this process only
     std::unordered_map<std::string, PeerView> peers_;
 };
--- a/src/coordination/scheduling/accelerator_policy.cpp
+++ b/src/coordination/scheduling/accelerator_policy.cpp
@@ -33,11 +33,11 @@
 /// of `lowestPriority` and above are subtracted; tasks of lower priorities are not, since they could be
 /// preempted.
 Resources remainingForDemand(const Job& job, const Machine& machine, Priority lowestPriority) {
-    auto left = bookkeeping::sizeOf(*machine.typeInfo) - bookkeeping::needOf(job.spec) -
-                machine.use.plain[bookkeeping::kReplicaUse];
+    auto left = bookkeeping::capacityOf(*machine.typeInfo) - bookkeeping::needOf(job.spec) -
+                machine.use.withoutAccelerators[bookkeeping::kReplicaUse];
     const auto lowest = static_cast<std::size_t>(lowestPriority);
     for (auto priority = lowest; priority < bookkeeping::kPriorities; ++priority)
-        left -= machine.use.plain[priority];
+        left -= machine.use.withoutAccelerators[priority];
     return left;
 }
 
@@ -52,7 +52,7 @@
     const auto need = bookkeeping::needOf(job.spec);
     const auto& allowed = job.spec.types;
     for (const auto& [name, type] : types_) {
-        if (!bookkeeping::sizeOf(type).covers(need)) continue;
+        if (!bookkeeping::capacityOf(type).covers(need)) continue;
         if (allowed && std::find(allowed->begin(), allowed->end(), name) == allowed->end()) continue;
         auto& demand = demands_.try_emplace(name, Demand{need, job.priority()}).first->second;
         auto& maxPerTask = demand.perTask;
@@ -68,7 +68,7 @@
     plainCpus_.clear();
     for (const auto* machine : up) {
         if (!machine->typeInfo) continue;
-        if (machine->typeInfo->gpus <= 0 && usable(*machine, now)) countPlainCapacity(*machine);
+        if (machine->typeInfo->gpus <= 0 && isUsable(*machine, now)) countPlainCapacity(*machine);
         countOccupied(*machine);
     }
 }
@@ -85,7 +85,8 @@
     if (demand == demands_.end()) return;
     auto& count = machineCounts_[machine.type];
     ++count.all;
-    const auto left = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.plain[bookkeeping::kReplicaUse];
+    const auto left = bookkeeping::capacityOf(*machine.typeInfo) -
+                      machine.use.withoutAccelerators[bookkeeping::kReplicaUse];
     if (!left.covers(demand->second.perTask)) ++count.occupied;
 }
 
@@ -123,8 +124,10 @@
 bool AcceleratorPolicy::replicaMayUse(const Job& job, const Machine& machine, const Demand& demand,
                                       const Resources& left, Time now) const {
     if (plainMachineObtainable(job.spec, types_, capacityErrors_, now)) return false;
-    const auto plain = plainCpus_.find({machine.zone, machine.spot});
-    if (plain != plainCpus_.end() && plain->second > kMinPlainReplicas * job.spec.cpus) return false;
+    const auto withoutAccelerators = plainCpus_.find({machine.zone, machine.spot});
+    if (withoutAccelerators != plainCpus_.end() &&
+        withoutAccelerators->second > kMinPlainReplicas * job.spec.cpus)
+        return false;
     // If the machine is already too full for the demand, one more replica takes nothing from it.
     const bool occupied = !(left + bookkeeping::needOf(job.spec)).covers(demand.perTask);
     return occupied || replicaMayOccupy(machine, now);
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -173,7 +173,7 @@
     if (availableCapacity(machine, job, now).covers(need)) return;
     if (!capacityWithPreemption(machine, job, now).covers(need)) return;
     if (!mayUse(machine, job, now)) return;
-    if (context_.fleet.reservations(job, now) >= run.waiting) return;
+    if (context_.fleet.reservedMachineCount(job, now) >= run.waiting) return;
     const auto until = now + toClockDuration(context_.settings.heartbeatInterval * kReservedIntervals);
     context_.fleet.reserve(machine, job, until, ReservationKind::waiting);
 }
--- a/src/coordination/scheduling/gang_capacity.cpp
+++ b/src/coordination/scheduling/gang_capacity.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 std::uint32_t tasksWithReplicasOnly(const Machine& machine, const Resources& need) {
-    const auto replicas = machine.use.plain[bookkeeping::kReplicaUse];
-    return (bookkeeping::sizeOf(*machine.typeInfo) - replicas).fitCount(need);
+    const auto replicas = machine.use.withoutAccelerators[bookkeeping::kReplicaUse];
+    return (bookkeeping::capacityOf(*machine.typeInfo) - replicas).fitCount(need);
 }
 
 void addMachine(Machine& machine, const Job& job, const PlacementConstraints& constraints, Time now,
@@ -24,7 +24,7 @@
     const auto need = bookkeeping::needOf(job.spec);
     if (bookkeeping::ownerAllows(job.spec, machine.type, machine.zone, machine.spot))
         capacity.withReplicasOnly += tasksWithReplicasOnly(machine, need);
-    if (!bookkeeping::sizeOf(*machine.typeInfo).covers(need)) return;
+    if (!bookkeeping::capacityOf(*machine.typeInfo).covers(need)) return;
     if (!constraints.mayStart(job, machine, now)) return;
     if (isReservedByPreemption(machine, now) && machine.reservation.job != &job) return;
     const auto tasks = capacityWithPreemption(machine, job, now).fitCount(need);
@@ -42,7 +42,7 @@
         if (zone != kAllZones && machine->zone != zone) continue;
         if (!machine->typeInfo || machine->typeInfo->gpus < job.spec.gpus) continue;
         scans.add();
-        if (usable(*machine, now)) addMachine(*machine, job, constraints, now, capacity);
+        if (isUsable(*machine, now)) addMachine(*machine, job, constraints, now, capacity);
     }
     capacity.withPreemption = std::min(capacity.withPreemption, job.spec.tasks);
     capacity.withReplicasOnly = std::min(capacity.withReplicasOnly, job.spec.tasks);
--- a/src/coordination/scheduling/gang_planner.cpp
+++ b/src/coordination/scheduling/gang_planner.cpp
@@ -66,7 +66,7 @@
     Machines machines;
     for (const auto& [id, machine] : fleet_.machines()) {
         if (!hasFreeCpus(*machine, jobQueue_.minCpus())) continue;
-        if (usable(*machine, now)) machines.push_back(machine.get());
+        if (isUsable(*machine, now)) machines.push_back(machine.get());
     }
     return machines;
 }
--- a/src/coordination/scheduling/image_locality.cpp
+++ b/src/coordination/scheduling/image_locality.cpp
@@ -34,20 +34,20 @@
 
 std::uint32_t ImageLocality::capacityWithImage(Job& job, Time now) {
     auto& run = *job.run;
-    if (now < run.roomWithImageExpiresAt) return run.roomWithImage;
-    run.roomWithImageExpiresAt = now + kCacheTime;
-    run.roomWithImage = 0;
+    if (now < run.capacityWithImageExpiresAt) return run.capacityWithImage;
+    run.capacityWithImageExpiresAt = now + kCacheTime;
+    run.capacityWithImage = 0;
     const auto maxHeartbeatAge = toClockDuration(settings_.heartbeatInterval * kMaxHeartbeatIntervals);
     const auto need = bookkeeping::needOf(job.spec);
     for (const auto* machine : fleet_.machinesWithImage(job.image())) {
         scans_.add();
-        if (!hasFreeCpus(*machine, need.cpus) || !usable(*machine, now)) continue;
+        if (!hasFreeCpus(*machine, need.cpus) || !isUsable(*machine, now)) continue;
         if (now - machine->lease.lastHeartbeat > maxHeartbeatAge) continue;
         if (!constraints_.mayStart(job, *machine, now)) continue;
-        run.roomWithImage += availableCapacity(*machine, job, now).fitCount(need);
-        if (run.roomWithImage >= run.waiting) break;
+        run.capacityWithImage += availableCapacity(*machine, job, now).fitCount(need);
+        if (run.capacityWithImage >= run.waiting) break;
     }
-    return run.roomWithImage;
+    return run.capacityWithImage;
 }
 
 /// True if a fetch would make the job miss the wait objective of its class, and the objective is not missed
@@ -63,16 +63,16 @@
 bool ImageLocality::waitsForImage(Job& job, Time now) {
     if (!fetchWouldMissObjective(job, now)) return false;
     auto& run = *job.run;
-    if (now < run.imageWaitUntil) return run.imageWait;
-    run.imageWaitUntil = now + kCacheTime;
+    if (now < run.shouldWaitForImageExpiresAt) return run.shouldWaitForImage;
+    run.shouldWaitForImageExpiresAt = now + kCacheTime;
     const auto need = bookkeeping::needOf(job.spec);
     const auto& machines = fleet_.machinesWithImage(job.image());
-    run.imageWait = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
+    run.shouldWaitForImage = std::any_of(machines.begin(), machines.end(), [&](const Machine* machine) {
         scans_.add();
-        if (!usable(*machine, now) || !constraints_.mayStart(job, *machine, now)) return false;
+        if (!isUsable(*machine, now) || !constraints_.mayStart(job, *machine, now)) return false;
         return capacityWithPreemption(*machine, job, now).covers(need);
     });
-    return run.imageWait;
+    return run.shouldWaitForImage;
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/scheduling/job_activator.cpp
+++ b/src/coordination/scheduling/job_activator.cpp
@@ -42,7 +42,7 @@
     spdlog::debug("job run began job={} class={} tasks={} ready_for_s={:.3f}", job.spec.id, job.spec.jobClass,
                   job.spec.tasks, Seconds(now - run.readyAt).count());
     // An earlier leader may have stored the last finished tasks but not the job's terminal state.
-    if (job.doneCount == job.spec.tasks) writer_.noteUnstored(job);
+    if (job.doneCount == job.spec.tasks) writer_.markUnstored(job);
     jobQueue_.add(job);
 }
 
--- a/src/coordination/scheduling/job_queue.h
+++ b/src/coordination/scheduling/job_queue.h
@@ -57,7 +57,7 @@
                  Time now);
 
     /// The open jobs, sorted by arrival at the last refresh; jobs added since then follow.
-    const std::vector<bookkeeping::Job*>& open() const { return open_; }
+    const std::vector<bookkeeping::Job*>& openJobs() const { return open_; }
     /// The jobs that had waiting tasks at the last refresh, in the order in which they are served. Some may
     /// have ended since then or have no waiting tasks left.
     const std::vector<bookkeeping::Job*>& waiting() const { return waiting_; }
--- a/src/coordination/scheduling/placement_constraints.cpp
+++ b/src/coordination/scheduling/placement_constraints.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-bool usable(const Machine& machine, Time now) {
+bool isUsable(const Machine& machine, Time now) {
     const bool leaving = machine.cloud.draining || machine.cloud.deletionRequested || machine.cloud.failed ||
                          machine.cloud.interruptionAt;
     if (leaving || machine.agent.unreachableSince || machine.history.startBackoffUntil > now) return false;
@@ -104,13 +104,13 @@
 
 bool hasFreeCapacity(const Machine& machine, const Job& job) {
     if (!machine.typeInfo) return false;
-    const auto unused = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.total;
+    const auto unused = bookkeeping::capacityOf(*machine.typeInfo) - machine.use.total;
     return unused.covers(bookkeeping::needOf(job.spec));
 }
 
 Resources availableCapacity(const Machine& machine, const Job& job, Time now) {
     if (!machine.typeInfo) return {};
-    auto available = bookkeeping::sizeOf(*machine.typeInfo) - machine.use.total;
+    auto available = bookkeeping::capacityOf(*machine.typeInfo) - machine.use.total;
     const auto* holder = machine.reservation.job;
     if (holder != &job && machine.reservation.isActive(now) && mustRespectReservation(job, machine, *holder))
         available -= bookkeeping::needOf(holder->spec, machine.reservation.tasks);
--- a/src/coordination/scheduling/placement_constraints.h
+++ b/src/coordination/scheduling/placement_constraints.h
@@ -27,7 +27,7 @@
 /// True if tasks may be started on the machine now. It must send heartbeats, have acknowledged this leader's
 /// fencing token, be in the stored machine registry and be of a known type. It must not be draining, about to
 /// be deleted or interrupted, failed, faulty, unreachable or in backoff after it refused a start.
-bool usable(const bookkeeping::Machine& machine, Time now);
+bool isUsable(const bookkeeping::Machine& machine, Time now);
 
 /// True if the machine has this many processors free, reservations ignored. False for an unknown machine
 /// type.
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -178,7 +178,7 @@
 
 void Preemption::surveyMachine(Machine& machine, const Job& job, Time now, CapacitySurvey& survey) {
     context_.scans.add();
-    if (!machine.typeInfo || !usable(machine, now)) return;
+    if (!machine.typeInfo || !isUsable(machine, now)) return;
     const bool reserved = isReservedByPreemption(machine, now);
     if (reserved && machine.reservation.job != &job) return;
     if (!context_.constraints.mayStart(job, machine, now)) return;
--- a/src/coordination/scheduling/task_terminator.h
+++ b/src/coordination/scheduling/task_terminator.h
@@ -30,7 +30,7 @@
 
     /// Records that the response to the machine's heartbeat carries its stops, so that no separate message is
     /// needed.
-    void noteHeartbeatAnswered(const std::string& machine) { machinesWithNewStops_.erase(machine); }
+    void recordHeartbeatResponse(const std::string& machine) { machinesWithNewStops_.erase(machine); }
 
     /// Returns and clears the ids of the machines that got new stops and have not had a heartbeat answered
     /// since.
--- a/src/coordination/scheduling/zone_reservations.cpp
+++ b/src/coordination/scheduling/zone_reservations.cpp
@@ -74,7 +74,7 @@
     if (job.priority() < gang.priority()) return false;
     const bool needsSameMachines = gang.spec.gpus > 0 ? job.spec.gpus > 0 : job.spec.kind == JobKind::gang;
     if (!needsSameMachines) return false;
-    return bookkeeping::sizeOf(*machine.typeInfo).covers(bookkeeping::needOf(gang.spec));
+    return bookkeeping::capacityOf(*machine.typeInfo).covers(bookkeeping::needOf(gang.spec));
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/machine_registry.cpp
+++ b/src/coordination/state/machine_registry.cpp
@@ -10,7 +10,7 @@
 MachineRegistry::MachineRegistry(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet)
     : replica_(replica), fleet_(fleet) {}
 
-storage::MachineRecord MachineRegistry::recordOf(const Machine& machine) {
+storage::MachineRecord MachineRegistry::expectedEntry(const Machine& machine) {
     return {machine.agent.incarnation > 0 ? machine.address : "", machine.type, machine.zone, machine.spot};
 }
 
@@ -18,7 +18,7 @@
     return bookkeeping::mayHoldTasks(replica_, id);
 }
 
-void MachineRegistry::noteRequested(const std::string& id) { additions_.insert(id); }
+void MachineRegistry::scheduleAddition(const std::string& id) { additions_.insert(id); }
 
 void MachineRegistry::ensureEntry(Machine& machine) {
     if (machine.registry.state == RegistrationState::writing) return;
@@ -41,7 +41,7 @@
 
 bool MachineRegistry::isUpToDate(const Machine& machine) const {
     const auto stored = replica_.registeredMachines.find(machine.id);
-    return stored != replica_.registeredMachines.end() && stored->second.record == recordOf(machine);
+    return stored != replica_.registeredMachines.end() && stored->second.record == expectedEntry(machine);
 }
 
 void MachineRegistry::ensureEntriesOfMachinesWithHeartbeat() {
@@ -69,14 +69,14 @@
     return stored == replica_.registeredMachines.end() ? 0 : stored->second.version;
 }
 
-void MachineRegistry::additionSent(const std::string& id) {
+void MachineRegistry::recordAdditionSent(const std::string& id) {
     auto& machine = *fleet_.find(id);
     if (machine.registry.state == RegistrationState::absent)
         fleet_.setRegistration(machine, RegistrationState::writing);
 }
 
-void MachineRegistry::additionStored(const std::string& id, const storage::MachineRecord& record,
-                                     std::uint64_t revision) {
+void MachineRegistry::recordAdditionStored(const std::string& id, const storage::MachineRecord& record,
+                                           std::uint64_t revision) {
     replica_.registeredMachines[id] = {record, revision};
     removalsSent_.erase(id);
     auto* machine = fleet_.find(id);
@@ -89,18 +89,18 @@
         fleet_.setRegistration(*machine, RegistrationState::stored);
     else if (machine->registry.state == RegistrationState::writing)
         fleet_.setRegistration(*machine, RegistrationState::absent);
-    if (record == recordOf(*machine)) additions_.erase(id);
+    if (record == expectedEntry(*machine)) additions_.erase(id);
 }
 
-void MachineRegistry::additionNotStored(const std::string& id) {
+void MachineRegistry::recordAdditionNotStored(const std::string& id) {
     auto* machine = fleet_.find(id);
     if (machine && machine->registry.state == RegistrationState::writing)
         fleet_.setRegistration(*machine, RegistrationState::absent);
 }
 
-void MachineRegistry::removalSent(const std::string& id) { removalsSent_.insert(id); }
+void MachineRegistry::recordRemovalSent(const std::string& id) { removalsSent_.insert(id); }
 
-void MachineRegistry::removalStored(const std::string& id) {
+void MachineRegistry::recordRemovalStored(const std::string& id) {
     replica_.registeredMachines.erase(id);
     removals_.erase(id);
 }
--- a/src/coordination/state/machine_registry.h
+++ b/src/coordination/state/machine_registry.h
@@ -24,14 +24,14 @@
     /// heartbeat. An entry without an address only tells the next leader that the machine exists. No task may
     /// be started on the machine while its stored entry has no address, so that a new leader need not assume
     /// tasks, and thus an active lease, on machines that are still booting.
-    static storage::MachineRecord recordOf(const bookkeeping::Machine& machine);
+    static storage::MachineRecord expectedEntry(const bookkeeping::Machine& machine);
     /// True if an earlier leader may have started a task on the machine, that is, if its stored entry has an
     /// address.
     bool mayHoldTasks(const std::string& id) const;
 
     /// Schedules an entry for a machine that was requested from the cloud and added to the fleet. Without an
     /// entry, the next leader would not know of the machine and would request another one.
-    void noteRequested(const std::string& id);
+    void scheduleAddition(const std::string& id);
     /// Schedules a write of the machine's entry unless the stored entry is up to date, and updates the
     /// machine's `registry.state`. Does nothing while the entry is being written.
     void ensureEntry(bookkeeping::Machine& machine);
@@ -55,16 +55,17 @@
     std::uint64_t versionOf(const std::string& id) const;
 
     /// Records that a transaction with the entry of this machine, which is in the fleet, is being sent.
-    void additionSent(const std::string& id);
+    void recordAdditionSent(const std::string& id);
     /// Records that the transaction with this entry was applied at `revision`. The machine may have left the
     /// fleet in the meantime.
-    void additionStored(const std::string& id, const storage::MachineRecord& record, std::uint64_t revision);
+    void recordAdditionStored(const std::string& id, const storage::MachineRecord& record,
+                              std::uint64_t revision);
     /// Records that the transaction is not known to have been applied. The addition stays pending.
-    void additionNotStored(const std::string& id);
+    void recordAdditionNotStored(const std::string& id);
     /// Records that a transaction with the deletion of the entry is being sent.
-    void removalSent(const std::string& id);
+    void recordRemovalSent(const std::string& id);
     /// Records that the transaction with the deletion was applied.
-    void removalStored(const std::string& id);
+    void recordRemovalStored(const std::string& id);
 
   private:
     /// True if the stored entry equals the one that the machine should have.
--- a/src/coordination/state/pending_writes.cpp
+++ b/src/coordination/state/pending_writes.cpp
@@ -21,7 +21,7 @@
 /// unwritten bits, unless the job's bitmap has several chunks.
 bool terminalRecordSuffices(const Job& job) {
     if (job.doneCount + job.run->unpersistedTasks.size() < job.spec.tasks) return false;
-    return job.run->unpersistedTasks.empty() || job.chunks() == 1;
+    return job.run->unpersistedTasks.empty() || job.chunkCount() == 1;
 }
 
 storage::JobRecord terminalRecordOf(const Job& job, std::uint64_t endedMs) {
@@ -61,9 +61,9 @@
         const auto& machine = *fleet_.find(id);
         const bool hadHeartbeat = machine.agent.incarnation > 0;
         if (hadHeartbeat != (which == Machines::withHeartbeat)) continue;
-        auto record = MachineRegistry::recordOf(machine);
+        auto record = MachineRegistry::expectedEntry(machine);
         if (!draft.put(keys::machine(id), storage::encodeMachine(record), registry_.versionOf(id))) continue;
-        registry_.additionSent(id);
+        registry_.recordAdditionSent(id);
         draft.contents.registryAdditions.push_back({id, std::move(record)});
     }
 }
@@ -73,7 +73,7 @@
     for (const auto& id : registry_.removals()) {
         if (!draft.hasRoom()) return;
         if (!draft.put(keys::machine(id), std::nullopt, registry_.versionOf(id))) continue;
-        registry_.removalSent(id);
+        registry_.recordRemovalSent(id);
         draft.contents.registryRemovals.push_back(id);
     }
 }
@@ -124,20 +124,20 @@
 
 // --- outcomes ---------------------------------------------------------------------------------------------
 
-PendingWrites::Effects PendingWrites::noteApplied(const TransactionContents& transaction,
-                                                  std::uint64_t revision) {
+PendingWrites::Effects PendingWrites::handleApplied(const TransactionContents& transaction,
+                                                    std::uint64_t revision) {
     Effects effects;
     for (const auto& write : transaction.registryAdditions)
-        registry_.additionStored(write.machine, write.record, revision);
-    for (const auto& id : transaction.registryRemovals) registry_.removalStored(id);
+        registry_.recordAdditionStored(write.machine, write.record, revision);
+    for (const auto& id : transaction.registryRemovals) registry_.recordRemovalStored(id);
     for (const auto& write : transaction.bitmaps) applyBitmap(write, revision);
     for (const auto& write : transaction.terminalRecords) applyTerminalRecord(write, revision, effects);
     if (!transaction.types.empty()) applyTypes(transaction.types, revision);
     return effects;
 }
 
-void PendingWrites::noteNotApplied(const TransactionContents& transaction) {
-    for (const auto& write : transaction.registryAdditions) registry_.additionNotStored(write.machine);
+void PendingWrites::handleNotApplied(const TransactionContents& transaction) {
+    for (const auto& write : transaction.registryAdditions) registry_.recordAdditionNotStored(write.machine);
 }
 
 void PendingWrites::retryBitmaps(const TransactionContents& transaction, Time now) {
@@ -155,7 +155,7 @@
 void PendingWrites::applyTerminalRecord(const TransactionContents::TerminalRecord& write,
                                         std::uint64_t revision, Effects& effects) {
     if (write.job->terminalState != TerminalState::none) return;  // the job ended in the meantime
-    replica_.noteDone(*write.job, revision, write.endedMs, effects.changes);
+    replica_.applyCompletion(*write.job, revision, write.endedMs, effects.changes);
     unstoredJobs_.erase(write.job);
     effects.ended.push_back(write.job);
 }
--- a/src/coordination/state/pending_writes.h
+++ b/src/coordination/state/pending_writes.h
@@ -24,8 +24,8 @@
   public:
     /// The consequences of writes that were applied.
     struct Effects {
-        std::vector<bookkeeping::Job*> ended;      // jobs now stored as done
-        std::vector<bookkeeping::Change> changes;  // resulting changes of other jobs
+        std::vector<bookkeeping::Job*> ended;             // jobs now stored as done
+        std::vector<bookkeeping::ReplicaChange> changes;  // resulting changes of other jobs
     };
 
     /// All references must outlive this object. `types` holds the known machine types by name and is read
@@ -35,20 +35,20 @@
 
     /// Records that finished tasks or the end of the job must be stored. The job must have a `run` and must
     /// not be in a terminal state.
-    void noteUnstored(bookkeeping::Job& job) { unstoredJobs_.insert(&job); }
+    void markUnstored(bookkeeping::Job& job) { unstoredJobs_.insert(&job); }
     /// Discards pending writes of the job.
-    void forget(bookkeeping::Job& job) { unstoredJobs_.erase(&job); }
+    void discardWrites(bookkeeping::Job& job) { unstoredJobs_.erase(&job); }
     /// Records that the machine types have changed and must be stored.
-    void noteTypesChanged() { typesUnstored_ = true; }
-    std::size_t unstoredJobs() const { return unstoredJobs_.size(); }
+    void markTypesUnstored() { typesUnstored_ = true; }
+    std::size_t unstoredJobCount() const { return unstoredJobs_.size(); }
 
     /// Adds due writes to the draft, most urgent first, until it is full.
     void fill(TransactionDraft& draft, Time now);
 
     /// Records that the transaction was applied at `revision`.
-    Effects noteApplied(const TransactionContents& transaction, std::uint64_t revision);
+    Effects handleApplied(const TransactionContents& transaction, std::uint64_t revision);
     /// Records that the transaction is not known to have been applied. All its writes stay due.
-    void noteNotApplied(const TransactionContents& transaction);
+    void handleNotApplied(const TransactionContents& transaction);
     /// Makes the bitmaps of the transaction due again immediately.
     static void retryBitmaps(const TransactionContents& transaction, Time now);
 
--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -9,7 +9,7 @@
 
 namespace burlpoint::coordination {
 
-using bookkeeping::Change;
+using bookkeeping::ReplicaChange;
 using protocol::KeyPage;
 using storage::ReadStatus;
 using namespace std::chrono_literals;
@@ -53,7 +53,7 @@
 
 void StateWatcher::applyPage(const KeyPage& page) {
     if (load_.revision == 0) load_.revision = page.revision;
-    std::vector<Change> changes;
+    std::vector<ReplicaChange> changes;
     for (const auto& entry : page.entries) {
         load_.keys.insert(entry.key);
         apply(entry, changes);
@@ -71,7 +71,7 @@
     replica_.revision = load_.revision;
     replica_.updateEffectivePriorities();
     watch();
-    readLatest([](FreshRead) {});
+    readLatest([](FreshReadResult) {});
 }
 
 // --- watch ------------------------------------------------------------------------------------------------
@@ -110,14 +110,14 @@
                      if (status == ReadStatus::tooOld) load();
                      // During a load the replica mixes keys of different revisions, so it is not a snapshot.
                      if (status != ReadStatus::ok || load_.inProgress)
-                         return finishFreshRead(FreshRead::failed);
+                         return finishFreshRead(FreshReadResult::failed);
                      applyChanges(page, sent);
                      synced_ = true;
-                     finishFreshRead(FreshRead::upToDate);
+                     finishFreshRead(FreshReadResult::upToDate);
                  });
 }
 
-void StateWatcher::finishFreshRead(FreshRead result) {
+void StateWatcher::finishFreshRead(FreshReadResult result) {
     freshReadInFlight_ = false;
     // A callback may request another read, which is sent immediately, before the pause.
     for (auto& done : std::exchange(readCallbacks_, {})) done(result);
@@ -129,7 +129,7 @@
 // --- replica ----------------------------------------------------------------------------------------------
 
 void StateWatcher::applyChanges(const KeyPage& page, Time sent) {
-    std::vector<Change> changes;
+    std::vector<ReplicaChange> changes;
     for (const auto& entry : page.entries)
         if (entry.version > replica_.revision) apply(entry, changes);
     replica_.revision = std::max(replica_.revision, page.revision);
@@ -138,18 +138,18 @@
     asOf_ = std::max(asOf_, sent);
 }
 
-void StateWatcher::noteCancelled(const std::string& id, std::uint64_t version) {
-    std::vector<Change> changes;
-    replica_.noteCancelled(id, version, changes);
+void StateWatcher::applyCancellation(const std::string& id, std::uint64_t version) {
+    std::vector<ReplicaChange> changes;
+    replica_.applyCancellation(id, version, changes);
     notifyChanges(changes);
 }
 
-void StateWatcher::apply(const protocol::KeyChange& entry, std::vector<Change>& changes) {
+void StateWatcher::apply(const protocol::KeyChange& entry, std::vector<ReplicaChange>& changes) {
     if (!replica_.apply(entry, changes))
         spdlog::error("malformed value in the key-value store key={}", entry.key);
 }
 
-void StateWatcher::notifyChanges(const std::vector<Change>& changes) const {
+void StateWatcher::notifyChanges(const std::vector<ReplicaChange>& changes) const {
     if (!changes.empty()) onChange_(changes);
 }
 
--- a/src/coordination/state/state_watcher.h
+++ b/src/coordination/state/state_watcher.h
@@ -18,7 +18,7 @@
 namespace burlpoint::coordination {
 
 /// The result of a fresh read.
-enum class FreshRead {
+enum class FreshReadResult {
     upToDate,  // the replica holds everything that was stored when the read was requested
     failed     // the read failed, so the replica may be stale
 };
@@ -27,8 +27,8 @@
 class StateWatcher {
   public:
     /// Called with the changes that were just made to the replica; never with an empty list.
-    using ChangeCallback = std::function<void(const std::vector<bookkeeping::Change>&)>;
-    using ReadCallback = std::function<void(FreshRead)>;
+    using ChangeCallback = std::function<void(const std::vector<bookkeeping::ReplicaChange>&)>;
+    using ReadCallback = std::function<void(FreshReadResult)>;
 
     /// `minReadInterval`: minimum pause between two reads, so that the reads of all controllers stay within
     /// the request rate of the key-value store. All references must outlive this object.
@@ -46,7 +46,7 @@
     /// answered read was sent.
     Time asOf() const { return asOf_; }
     /// Applies a cancellation that this controller or a peer has confirmed and that no read has returned yet.
-    void noteCancelled(const std::string& id, std::uint64_t version);
+    void applyCancellation(const std::string& id, std::uint64_t version);
 
   private:
     /// Progress of a load of all keys, page by page.
@@ -70,13 +70,13 @@
     /// Sends the read for the callbacks in `nextReadCallbacks_`.
     void sendFreshRead();
     /// Calls the callbacks of the read in flight, then pauses before the next read is sent.
-    void finishFreshRead(FreshRead result);
+    void finishFreshRead(FreshReadResult result);
 
     /// Applies the changes that are newer than the replica. `sent`: when the read was sent.
     void applyChanges(const protocol::KeyPage& page, Time sent);
     /// Applies one key. A malformed value is logged and skipped.
-    void apply(const protocol::KeyChange& entry, std::vector<bookkeeping::Change>& changes);
-    void notifyChanges(const std::vector<bookkeeping::Change>& changes) const;
+    void apply(const protocol::KeyChange& entry, std::vector<bookkeeping::ReplicaChange>& changes);
+    void notifyChanges(const std::vector<bookkeeping::ReplicaChange>& changes) const;
     void runAfter(transport::Timer& timer, Duration pause, void (StateWatcher::*next)());
 
     const Duration minReadInterval_;
--- a/src/coordination/state/state_writer.cpp
+++ b/src/coordination/state/state_writer.cpp
@@ -22,7 +22,7 @@
 std::string StateWriter::summary() const {
     return "write_under_way=" + std::to_string(inFlight_.has_value()) +
            " refreshing_replica=" + std::to_string(refreshing_) +
-           " unstored_jobs=" + std::to_string(pending_.unstoredJobs()) +
+           " unstored_jobs=" + std::to_string(pending_.unstoredJobCount()) +
            " registry_additions=" + std::to_string(registry_.additions().size()) +
            " registry_removals=" + std::to_string(registry_.removals().size());
 }
@@ -34,7 +34,7 @@
     TransactionDraft draft(limits_, maxWrites, replica_.tokenVersion);
     pending_.fill(draft, now);
     if (draft.empty()) return std::nullopt;
-    pacing_.noteSent(draft.contents.keys.size(), now);
+    pacing_.recordSend(draft.contents.keys.size(), now);
     inFlight_ = std::move(draft.contents);
     return draft.takeRequest();
 }
@@ -42,8 +42,8 @@
 StateWriter::WriteOutcome StateWriter::handle(const StateWritten& written, Time now) {
     const auto transaction = std::exchange(inFlight_, std::nullopt).value_or(TransactionContents{});
     const auto& result = written.result;
-    pacing_.noteAnswered(now);
-    if (result.status != TransactionStatus::applied) pending_.noteNotApplied(transaction);
+    pacing_.recordCompletion(now);
+    if (result.status != TransactionStatus::applied) pending_.handleNotApplied(transaction);
     switch (result.status) {
         case TransactionStatus::applied:
             return handleApplied(transaction, result.revision, now);
@@ -54,8 +54,8 @@
         case TransactionStatus::rateLimited:
             pacing_.recordRateLimit(now);
             return {};
-        case TransactionStatus::refused:
-            pacing_.noteRejected(now);
+        case TransactionStatus::unavailable:
+            pacing_.recordUnavailability(now);
             return {};
         case TransactionStatus::conflict:
             if (tokenRaised(result)) return {FollowUp::resign, {}, {}};
@@ -73,7 +73,7 @@
 StateWriter::WriteOutcome StateWriter::handleApplied(const TransactionContents& transaction,
                                                      std::uint64_t revision, Time now) {
     limits_.grow(now);
-    auto effects = pending_.noteApplied(transaction, revision);
+    auto effects = pending_.handleApplied(transaction, revision);
     return {FollowUp::none, std::move(effects.ended), std::move(effects.changes)};
 }
 
--- a/src/coordination/state/state_writer.h
+++ b/src/coordination/state/state_writer.h
@@ -36,12 +36,12 @@
     enum class FollowUp {
         none,
         resign,         // another controller has raised the fencing token
-        refreshReplica  // the replica may be stale: refresh it, then call replicaRefreshed()
+        refreshReplica  // the replica may be stale: refresh it, then call resumeAfterRefresh()
     };
     struct WriteOutcome {
         FollowUp followUp = FollowUp::none;
-        std::vector<bookkeeping::Job*> ended;      // jobs now stored as done
-        std::vector<bookkeeping::Change> changes;  // resulting changes of other jobs
+        std::vector<bookkeeping::Job*> ended;             // jobs now stored as done
+        std::vector<bookkeeping::ReplicaChange> changes;  // resulting changes of other jobs
     };
 
     /// All references must outlive this object. `types` holds the known machine types by name and is read
@@ -53,11 +53,11 @@
 
     /// Records that finished tasks or the end of the job must be stored. The job must have a `run` and must
     /// not be in a terminal state.
-    void noteUnstored(bookkeeping::Job& job) { pending_.noteUnstored(job); }
+    void markUnstored(bookkeeping::Job& job) { pending_.markUnstored(job); }
     /// Discards pending writes of a job whose end is already in the key-value store.
-    void forget(bookkeeping::Job& job) { pending_.forget(job); }
+    void discardWrites(bookkeeping::Job& job) { pending_.discardWrites(job); }
     /// Records that the machine types have changed and must be stored.
-    void noteTypesChanged() { pending_.noteTypesChanged(); }
+    void markTypesUnstored() { pending_.markTypesUnstored(); }
 
     /// Returns the next transaction, which then counts as sent. Returns none if nothing is due, a transaction
     /// is in flight, the replica must be refreshed first, or the write rate allows no write now.
@@ -65,7 +65,7 @@
     /// Handles the outcome of the transaction in flight. Writes that were not applied stay due.
     WriteOutcome handle(const StateWritten& written, Time now);
     /// Resumes writing after the replica was refreshed as requested by FollowUp::refreshReplica.
-    void replicaRefreshed() { refreshing_ = false; }
+    void resumeAfterRefresh() { refreshing_ = false; }
 
     /// Returns the pending and in-flight writes as key=value pairs for logs.
     std::string summary() const;
--- a/src/coordination/state/write_pacing.cpp
+++ b/src/coordination/state/write_pacing.cpp
@@ -23,17 +23,17 @@
     return static_cast<std::size_t>(std::max(0.0, writeBudget_.available(now)));
 }
 
-void WritePacing::noteSent(std::size_t writes, Time now) {
+void WritePacing::recordSend(std::size_t writes, Time now) {
     writeBudget_.takeUnconditionally(static_cast<double>(writes), now);
 }
 
-void WritePacing::noteAnswered(Time now) { nextWrite_ = now + kPauseBetweenTransactions; }
+void WritePacing::recordCompletion(Time now) { nextWrite_ = now + kPauseBetweenTransactions; }
 
-void WritePacing::noteRejected(Time now) { nextWrite_ = now + kPauseAfterRejection; }
+void WritePacing::recordUnavailability(Time now) { nextWrite_ = now + kPauseAfterRejection; }
 
 void WritePacing::recordRateLimit(Time now) {
     writeBudget_.recordRejection(now);
-    noteRejected(now);
+    recordUnavailability(now);
 }
 
 }  // namespace burlpoint::coordination
--- a/src/coordination/state/write_pacing.h
+++ b/src/coordination/state/write_pacing.h
@@ -21,11 +21,11 @@
     std::size_t allowedWrites(Time now);
 
     /// Records that a transaction with this number of writes is being sent.
-    void noteSent(std::size_t writes, Time now);
+    void recordSend(std::size_t writes, Time now);
     /// Records that a transaction has ended with any outcome. Starts the pause before the next one.
-    void noteAnswered(Time now);
+    void recordCompletion(Time now);
     /// Records that the store rejected a transaction temporarily. Starts a longer pause.
-    void noteRejected(Time now);
+    void recordUnavailability(Time now);
     /// Records that the store rejected a transaction because of its rate limit. Lowers the rate and starts a
     /// longer pause.
     void recordRateLimit(Time now);
--- a/src/coordination/workers/failure_detector.cpp
+++ b/src/coordination/workers/failure_detector.cpp
@@ -38,14 +38,16 @@
 }  // namespace
 
 FailureDetector::FailureDetector(const protocol::Settings& settings, bookkeeping::Fleet& fleet,
-                                 std::uint64_t fencingToken, Time began, Clock::duration leaseBound)
+                                 std::uint64_t fencingToken, Time leadershipStart,
+                                 Clock::duration maxLeaseDuration)
     : fleet_(fleet),
-      began_(began),
+      leadershipStart_(leadershipStart),
       suspicionTimeout_(suspicionTimeout(settings)),
       failureTimeout_(failureTimeout(settings)),
       heartbeatInterval_(toClockDuration(settings.heartbeatInterval)),
-      isolation_({settings.peers.size() + 1, fencingToken, began, leaseBound, suspicionTimeout(settings)}),
-      nextEvaluation_(began) {}
+      isolation_({settings.peers.size() + 1, fencingToken, leadershipStart, maxLeaseDuration,
+                  suspicionTimeout(settings)}),
+      nextEvaluation_(leadershipStart) {}
 
 void FailureDetector::recordHeartbeat(Time now) { isolation_.recordHeartbeat(now); }
 
@@ -90,7 +92,7 @@
 /// not end the suspicion of a machine that has not shown this leader's fencing token or that does not receive
 /// what is sent to it.
 std::optional<Clock::duration> FailureDetector::suspectedFor(const Machine& machine, Time now) const {
-    if (isUnreconciled(machine)) return now - began_;
+    if (isUnreconciled(machine)) return now - leadershipStart_;
     if (!machine.lease.active) return std::nullopt;
     if (machine.agent.unreachableSince) return now - *machine.agent.unreachableSince;
     const auto sinceHeartbeat = now - machine.lease.lastHeartbeat;
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -34,11 +34,11 @@
         Isolation isolation = Isolation::none;  // any other value: this controller should resign
     };
 
-    /// The references must outlive the detector. `fencingToken` and `began` are the token and the start of
-    /// this leadership. `leaseBound` is the longest time that a worker's lease can last after a response to
-    /// one of its heartbeats.
+    /// The references must outlive the detector. `fencingToken` and `leadershipStart` are the token and the
+    /// start of this leadership. `maxLeaseDuration` is the longest time that a worker's lease can last after
+    /// a response to one of its heartbeats.
     FailureDetector(const protocol::Settings& settings, bookkeeping::Fleet& fleet, std::uint64_t fencingToken,
-                    Time began, Clock::duration leaseBound);
+                    Time leadershipStart, Clock::duration maxLeaseDuration);
 
     /// Records the arrival of a heartbeat that is newer than all previous ones of the same worker.
     void recordHeartbeat(Time now);
@@ -68,7 +68,7 @@
     bool hasFailed(const bookkeeping::Machine& machine, Clock::duration suspected, Time now) const;
 
     bookkeeping::Fleet& fleet_;
-    const Time began_;
+    const Time leadershipStart_;
     const Clock::duration suspicionTimeout_;  // time without a heartbeat after which a machine is suspected
     const Clock::duration failureTimeout_;    // suspected this long without a probe answer: failed
     const Clock::duration heartbeatInterval_;
--- a/src/coordination/workers/heartbeat_reconciler.cpp
+++ b/src/coordination/workers/heartbeat_reconciler.cpp
@@ -133,7 +133,7 @@
     placement.listedInStatus = true;
     if (state != PlacementState::fetching) {
         const double cacheGb = machine.typeInfo ? machine.typeInfo->cacheGb : 0;
-        context_.fleet.useImage(machine, job->image(), job->spec.imageGb, cacheGb);
+        context_.fleet.recordImageUse(machine, job->image(), job->spec.imageGb, cacheGb);
     }
     stopIfObsolete(machine, placement);
 }
@@ -184,7 +184,7 @@
     if (job.terminalState != TerminalState::none || job.spec.kind == JobKind::service) return;
     if (!job.run) context_.activator.begin(job, JobOrigin::inherited, now);
     if (!markFinished(job, task)) return;
-    context_.writer.noteUnstored(job);
+    context_.writer.markUnstored(job);
     job.run->lastFailureByMachine.clear();
     job.run->succeeded = true;
 }
@@ -192,9 +192,9 @@
 /// Marks the task as finished; for a gang all of its tasks, since they complete together. Returns false if
 /// they were marked before.
 bool HeartbeatReconciler::markFinished(Job& job, std::uint32_t task) {
-    if (job.spec.kind != JobKind::gang) return job.finish(task);
+    if (job.spec.kind != JobKind::gang) return job.setFinished(task);
     bool newlyFinished = false;
-    for (std::uint32_t each = 0; each < job.spec.tasks; ++each) newlyFinished |= job.finish(each);
+    for (std::uint32_t each = 0; each < job.spec.tasks; ++each) newlyFinished |= job.setFinished(each);
     return newlyFinished;
 }
 
--- a/src/coordination/workers/isolation_detector.cpp
+++ b/src/coordination/workers/isolation_detector.cpp
@@ -17,7 +17,8 @@
 
 }  // namespace
 
-IsolationDetector::IsolationDetector(const Config& config) : config_(config), lastHeartbeat_(config.began) {}
+IsolationDetector::IsolationDetector(const Config& config)
+    : config_(config), lastHeartbeat_(config.leadershipStart) {}
 
 void IsolationDetector::recordHeartbeat(Time now) {
     lastHeartbeat_ = now;
@@ -34,7 +35,8 @@
         leadsWithoutWorkers_ = mayLeadWithoutWorkers();
         if (!leadsWithoutWorkers_) return Isolation::lostWorkers;
     }
-    const bool replacementsOverdue = now - config_.began > config_.leaseBound + kReplacementMargin;
+    const bool replacementsOverdue =
+        now - config_.leadershipStart > config_.maxLeaseDuration + kReplacementMargin;
     if (leadsWithoutWorkers_ && !heartbeatReceived_ && replacementsOverdue) return Isolation::neverReached;
     return Isolation::none;
 }
@@ -42,7 +44,7 @@
 bool IsolationDetector::allWorkersSilent(std::size_t alive, std::size_t suspected, Time now) const {
     return alive == 0 && suspected >= kMinSuspected &&
            now - lastHeartbeat_ > config_.suspicionTimeout + kHeartbeatMargin &&
-           now - config_.began > config_.suspicionTimeout + kLeadershipAgeMargin;
+           now - config_.leadershipStart > config_.suspicionTimeout + kLeadershipAgeMargin;
 }
 
 /// True if this leader should stay although no worker reaches it. Fencing tokens increase by one with each
--- a/src/coordination/workers/isolation_detector.h
+++ b/src/coordination/workers/isolation_detector.h
@@ -22,10 +22,10 @@
 class IsolationDetector {
   public:
     struct Config {
-        std::size_t controllers;     // in the cluster, this one included
-        std::uint64_t fencingToken;  // of the leadership
-        Time began;                  // when the leadership began
-        Clock::duration leaseBound;  // the longest time that a worker's lease can last
+        std::size_t controllers;           // in the cluster, this one included
+        std::uint64_t fencingToken;        // of the leadership
+        Time leadershipStart;              // when the leadership began
+        Clock::duration maxLeaseDuration;  // the longest time that a worker's lease can last
         Clock::duration suspicionTimeout;
     };
 
--- a/src/storage/key_value_client.cpp
+++ b/src/storage/key_value_client.cpp
@@ -40,14 +40,14 @@
     : http_(http),
       address_(std::move(address)),
       requestBudget_(requestsPerSecond * shareOfLimit, now),
-      lastAnswer_(now) {}
+      lastAnswerAt_(now) {}
 
 void KeyValueClient::send(const char* method, const std::string& target, const std::string& body,
                           Duration timeout, transport::ResultCallback done) {
     requestBudget_.takeUnconditionally(1, Clock::now());
     http_.request(address_, method, target, body, timeout,
                   [this, done = std::move(done)](HttpResult response) {
-                      if (isServed(response)) lastAnswer_ = Clock::now();
+                      if (isServed(response)) lastAnswerAt_ = Clock::now();
                       done(std::move(response));
                   });
 }
@@ -90,7 +90,7 @@
                 writes);
         return TransactionStatus::rateLimited;
     }
-    if (response.status != http_status::kBadRequest) return TransactionStatus::refused;
+    if (response.status != http_status::kBadRequest) return TransactionStatus::unavailable;
     // The store always reports an expired lease as the reason, so any other 400, also one without a reason,
     // means that the transaction is too large.
     const auto reason = protocol::decodeErrorReply(response.body);
--- a/src/storage/key_value_client.h
+++ b/src/storage/key_value_client.h
@@ -24,7 +24,7 @@
 enum class TransactionStatus {
     applied,
     conflict,      ///< not applied: a key did not have the version that its condition requires
-    refused,       ///< not applied: the store is temporarily unavailable
+    unavailable,   ///< not applied: the store is temporarily unavailable
     rateLimited,   ///< not applied: the writes exceed the store's rate limit
     tooLarge,      ///< not applied: a value or the whole transaction exceeds the store's size limit
     leaseExpired,  ///< not applied: a lease that a write is attached to has expired
@@ -87,7 +87,7 @@
     TokenBucket& requestBudget() { return requestBudget_; }
     /// When the store last gave this controller an answer other than a rejection; initially the time of
     /// construction.
-    Time lastAnswer() const { return lastAnswer_; }
+    Time lastAnswerAt() const { return lastAnswerAt_; }
 
   private:
     enum class ReadKind { page, watch };
@@ -102,7 +102,7 @@
     transport::HttpClient& http_;
     std::string address_;
     TokenBucket requestBudget_;
-    Time lastAnswer_;
+    Time lastAnswerAt_;
     bool loggedSizeLimit_ = false;
     bool loggedRateLimit_ = false;
 };
--- a/src/storage/keys.cpp
+++ b/src/storage/keys.cpp
@@ -4,12 +4,12 @@
 
 std::string job(const std::string& id) { return kJobPrefix + id; }
 
-std::string doneChunk(const std::string& id, std::size_t chunk) {
+std::string bitmapChunk(const std::string& id, std::size_t chunk) {
     return kJobPrefix + id + "/" + std::to_string(chunk);
 }
 
-std::string donePart(const std::string& id, std::size_t first, std::size_t end) {
-    return doneChunk(id, first).append("-").append(std::to_string(end));
+std::string bitmapPart(const std::string& id, std::size_t first, std::size_t end) {
+    return bitmapChunk(id, first).append("-").append(std::to_string(end));
 }
 
 std::string machine(const std::string& id) { return kMachinePrefix + id; }
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -21,7 +21,7 @@
 std::string job(const std::string& id);
 /// A chunk of the bitmap of a job's finished tasks. All chunks of a job except the last have the same size
 /// (`JobRecord::chunkTasks`).
-std::string doneChunk(const std::string& id, std::size_t chunk);
+std::string bitmapChunk(const std::string& id, std::size_t chunk);
 /// A part of that bitmap, for tasks [first, end), used if a chunk is larger than a value may be under the
 /// key-value store's present limits and those that replace them later (`Settings::nextStoreLimits`). The key
 /// contains the whole range, so a part never replaces a part of another size that has more bits.
@@ -36,7 +36,7 @@
 /// the first task of its chunk, so a value within the limit could not cover the later tasks of the chunk. A
 /// smaller `chunk_tasks` in the job's record would assign bits that are read between the two writes to the
 /// wrong tasks.
-std::string donePart(const std::string& id, std::size_t first, std::size_t end);
+std::string bitmapPart(const std::string& id, std::size_t first, std::size_t end);
 /// The `MachineRecord` of a machine.
 std::string machine(const std::string& id);
 
--- a/tests/api/user_api_test.cpp
+++ b/tests/api/user_api_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "coordination/api/submission_validation.h"
-#include "leadership/service_controller.h"
+#include "leadership/controller_harness.h"
 #include "protocol/msgpack_codec.h"
 #include "transport/executor.h"
 
@@ -12,12 +12,12 @@
 
 namespace {
 
-using UserApiTest = ServiceControllerTest;
+using UserApiTest = ControllerHarnessTest;
 
 }  // namespace
 
 TEST_F(UserApiTest, EachRequestGetsItsStatusCode) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.callApi("POST", "/submissions", "nonsense").status, 400);
     EXPECT_EQ(node.callApi("POST", "/submissions", MessagePacker().map(0).str()).status, 400);
@@ -43,7 +43,7 @@
 
 // Users' tools depend on these texts, so they must not change.
 TEST_F(UserApiTest, EachErrorHasItsText) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     const auto error = [&](const char* method, const std::string& path, std::string body = {}) {
         const auto response = node.callApi(method, path, std::move(body));
@@ -66,7 +66,7 @@
 }
 
 TEST_F(UserApiTest, OnlyTerminalStatesAreReportedDuringOutage) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1")).status, 201);
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-2")).status, 201);
@@ -84,7 +84,7 @@
 
 // A controller must report a state at once after another controller has acknowledged it.
 TEST_F(UserApiTest, ControllersNeverReplyWithOlderStates) {
-    ServiceController a(io, stub), b(io, stub, "two");
+    ControllerHarness a(io, stub), b(io, stub, "two");
     a.runUntil([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (int i = 0; i < 20; ++i) {
         const auto id = "wk-" + std::to_string(i);
@@ -100,7 +100,7 @@
 // Guards against a lost response: a write that was carried out but not answered is found when the user
 // submits again.
 TEST_F(UserApiTest, ResubmissionAfterUnansweredWriteFindsTheJob) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     stub.dropWriteResponses = true;
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1")).status, 503);
@@ -111,25 +111,25 @@
 TEST_F(UserApiTest, SubmissionWithoutMachineTypesIsUnavailable) {
     asio::io_context other{1};
     StoreStub empty(other);
-    ServiceController node(other, empty);
+    ControllerHarness node(other, empty);
     node.runUntil([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1")).status, 503);  // no machine types yet
 }
 
 TEST_F(UserApiTest, ReplicaReadInPagesIsComplete) {
-    ServiceController writer(io, stub);
+    ControllerHarness writer(io, stub);
     writer.runUntil([&] { return writer.watcher.synced(); });
     for (int i = 0; i < 25; ++i)
         EXPECT_EQ(writer.callApi("POST", "/submissions", submission("wk-" + std::to_string(i))).status, 201);
     stub.pageEntries = 4;
-    ServiceController reader(io, stub, "two");
+    ControllerHarness reader(io, stub, "two");
     reader.runUntil([&] { return reader.watcher.synced(); });
     EXPECT_EQ(reader.replica.jobs().size(), 25u);
 }
 
 // The controller that acknowledged a cancellation must report it at once, even if all later reads fail.
 TEST_F(UserApiTest, AcknowledgedCancellationIsKnownToItsControllerDuringAnOutage) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     EXPECT_EQ(node.callApi("POST", "/submissions", submission("wk-1")).status, 201);
     EXPECT_EQ(node.jobState("wk-1"), "pending");
@@ -145,7 +145,7 @@
 // A dependency that the replica lacks is looked up by a read of the store, since another controller may have
 // accepted it a moment ago.
 TEST_F(UserApiTest, DependencyThatWasNeverAcceptedIsRejected) {
-    ServiceController a(io, stub), b(io, stub, "two");
+    ControllerHarness a(io, stub), b(io, stub, "two");
     a.runUntil([&] { return a.watcher.synced() && b.watcher.synced(); });
     EXPECT_EQ(a.callApi("POST", "/submissions", submissionAfter("wk-1", {"wk-1"})).status, 422);
     EXPECT_EQ(a.callApi("POST", "/submissions", submissionAfter("wk-2", {"wk-1"})).status, 422);
@@ -166,7 +166,7 @@
 // A single cancelled record cancels all dependents: on every controller, for dependents submitted later, and
 // on controllers that start later.
 TEST_F(UserApiTest, DependentsOfACancelledJobAreCancelled) {
-    ServiceController a(io, stub), b(io, stub, "two");
+    ControllerHarness a(io, stub), b(io, stub, "two");
     a.runUntil([&] { return a.watcher.synced() && b.watcher.synced(); });
     for (const auto& job : {submission("wk-1"), submissionAfter("wk-2", {"wk-1"}), submission("wk-9"),
                             submissionAfter("wk-3", {"wk-9", "wk-2"}), submissionAfter("wk-4", {"wk-9"})})
@@ -175,7 +175,7 @@
     const auto before = stub.store.revision;
     EXPECT_EQ(a.callApi("POST", "/submissions/wk-1/cancel").status, 200);
     EXPECT_EQ(stub.store.revision, before + 1);
-    ServiceController c(io, stub, "three");
+    ControllerHarness c(io, stub, "three");
     c.runUntil([&] { return c.watcher.synced(); });
     for (auto* userApi : {&a, &b, &c}) {
         EXPECT_EQ(userApi->jobState("wk-2"), "cancelled");
--- a/tests/autoscaling/autoscaler_test.cpp
+++ b/tests/autoscaling/autoscaler_test.cpp
@@ -74,7 +74,7 @@
     /// The machines in the scale-in request made after `step`, which is reported as carried out.
     Names scaleIn(Clock::duration step = 1s) {
         auto requests = decide(step);
-        if (!requests.scaleIn.empty()) autoscaler->scaleInCompleted(ScaleInOutcome::deleted, now);
+        if (!requests.scaleIn.empty()) autoscaler->recordScaleInOutcome(ScaleInOutcome::deleted, now);
         return requests.scaleIn;
     }
 };
@@ -157,10 +157,10 @@
     EXPECT_EQ(decide().scaleIn, Names{"m1"});
     machine("m2").cloud.draining = true;
     EXPECT_EQ(decide(10s).scaleIn, Names{});
-    autoscaler->scaleInCompleted(ScaleInOutcome::unknown, now);
+    autoscaler->recordScaleInOutcome(ScaleInOutcome::unknown, now);
     EXPECT_EQ(decide(1999ms).scaleIn, Names{});
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
-    autoscaler->scaleInCompleted(ScaleInOutcome::deleted, now);
+    autoscaler->recordScaleInOutcome(ScaleInOutcome::deleted, now);
     EXPECT_EQ(decide(499ms).scaleIn, Names{});
     EXPECT_EQ(decide(1ms).scaleIn, (Names{"m1", "m2"}));
 }
@@ -173,9 +173,9 @@
 TEST_F(AutoscalerTest, MachinesAreListedTwicePerLagWithOneListingInFlight) {
     EXPECT_TRUE(decide().listMachines);
     EXPECT_FALSE(decide(100s).listMachines);
-    autoscaler->machineListingCompleted();
+    autoscaler->recordMachineListingCompletion();
     EXPECT_TRUE(decide().listMachines);
-    autoscaler->machineListingCompleted();
+    autoscaler->recordMachineListingCompletion();
     EXPECT_FALSE(decide(4999ms).listMachines);
     EXPECT_TRUE(decide(1ms).listMachines);
 }
@@ -225,28 +225,30 @@
 
 TEST_F(ScaleOutOutcomeTest, FulfilledInFullRecordsNoCapacityError) {
     ASSERT_EQ(requestedMachines(), 3u);
-    const auto request = autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now);
+    const auto request =
+        autoscaler->recordScaleOutOutcome("r-7-1", InstanceRequestOutcome::fulfilled, 3, now);
     ASSERT_TRUE(request);
     EXPECT_EQ(request->type, "plain");
     EXPECT_FALSE(autoscaler->capacityErrors().hasRecentError({"plain", "z", false}));
-    EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 3, now));
+    EXPECT_FALSE(autoscaler->recordScaleOutOutcome("r-7-1", InstanceRequestOutcome::fulfilled, 3, now));
 }
 
 TEST_F(ScaleOutOutcomeTest, PartialFulfilmentOrRejectionStartsBackOff) {
     ASSERT_EQ(requestedMachines(), 3u);
-    EXPECT_TRUE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::fulfilled, 2, now));
+    EXPECT_TRUE(autoscaler->recordScaleOutOutcome("r-7-1", InstanceRequestOutcome::fulfilled, 2, now));
     EXPECT_TRUE(autoscaler->capacityErrors().isUnavailable({"plain", "z", false}, now));
     const auto elsewhere = decide(0s).scaleOuts;
     ASSERT_EQ(elsewhere.size(), 1u);
     EXPECT_EQ(elsewhere[0].type, "slow");
-    EXPECT_TRUE(autoscaler->scaleOutCompleted(elsewhere[0].name, InstanceRequestOutcome::rejected, 0, now));
+    EXPECT_TRUE(
+        autoscaler->recordScaleOutOutcome(elsewhere[0].name, InstanceRequestOutcome::rejected, 0, now));
     EXPECT_TRUE(decide(1s).scaleOuts.empty());
     EXPECT_FALSE(decide(3s).scaleOuts.empty());
 }
 
 TEST_F(ScaleOutOutcomeTest, UnknownOutcomeIsRetriedUnderTheSameNameAndNothingElseIsRequested) {
     ASSERT_EQ(requestedMachines(), 3u);
-    EXPECT_FALSE(autoscaler->scaleOutCompleted("r-7-1", InstanceRequestOutcome::unknown, 0, now));
+    EXPECT_FALSE(autoscaler->recordScaleOutOutcome("r-7-1", InstanceRequestOutcome::unknown, 0, now));
     EXPECT_FALSE(autoscaler->capacityErrors().hasRecentError({"plain", "z", false}));
     EXPECT_TRUE(decide(1999ms).scaleOuts.empty());
     const auto again = decide(1ms).scaleOuts;
--- a/tests/bookkeeping/fleet_recount.h
+++ b/tests/bookkeeping/fleet_recount.h
@@ -14,8 +14,9 @@
 namespace burlpoint::tests {
 
 inline bool differs(const bookkeeping::Resources& a, const bookkeeping::Resources& b) {
-    constexpr double kSlack = 1e-6;
-    return std::abs(a.cpus - b.cpus) + std::abs(a.gpus - b.gpus) + std::abs(a.memoryGb - b.memoryGb) > kSlack;
+    constexpr double kTolerance = 1e-6;
+    return std::abs(a.cpus - b.cpus) + std::abs(a.gpus - b.gpus) + std::abs(a.memoryGb - b.memoryGb) >
+           kTolerance;
 }
 
 /// Describes where a machine's running sums and its entries in the image index differ from a recount. Empty
@@ -28,13 +29,14 @@
         const auto priority = static_cast<std::size_t>(placement.job->priority());
         const bool service = spec.kind == protocol::JobKind::service;
         expected.use.total += need;
-        if (spec.gpus <= 0) expected.use.plain[service ? bookkeeping::kReplicaUse : priority] += need;
+        if (spec.gpus <= 0)
+            expected.use.withoutAccelerators[service ? bookkeeping::kReplicaUse : priority] += need;
         if (!service && !bookkeeping::isMultiTaskGang(spec)) expected.use.preemptible[priority] += need;
     }
     std::string differences;
     if (differs(expected.use.total, machine.use.total)) differences += "use of " + machine.id + "; ";
-    for (std::size_t i = 0; i < machine.use.plain.size(); ++i)
-        if (differs(expected.use.plain[i], machine.use.plain[i]))
+    for (std::size_t i = 0; i < machine.use.withoutAccelerators.size(); ++i)
+        if (differs(expected.use.withoutAccelerators[i], machine.use.withoutAccelerators[i]))
             differences += "plain use of " + machine.id + "; ";
     for (std::size_t i = 0; i < machine.use.preemptible.size(); ++i)
         if (differs(expected.use.preemptible[i], machine.use.preemptible[i]))
--- a/tests/bookkeeping/job_dependencies_test.cpp
+++ b/tests/bookkeeping/job_dependencies_test.cpp
@@ -27,7 +27,7 @@
 
     void applyTo(StateReplica& replica) const {
         const auto handle = protocol::unpackBody(value);
-        std::vector<Change> changes;
+        std::vector<ReplicaChange> changes;
         ASSERT_TRUE(replica.apply({key, &handle.get(), version}, changes));
     }
 };
--- a/tests/bookkeeping/jobs_test.cpp
+++ b/tests/bookkeeping/jobs_test.cpp
@@ -28,7 +28,7 @@
 bool applyStored(StateReplica& replica, const std::string& key, const std::string& value,
                  std::uint64_t version) {
     const auto handle = protocol::unpackBody(value);
-    std::vector<Change> changes;
+    std::vector<ReplicaChange> changes;
     return replica.apply({key, &handle.get(), version}, changes);
 }
 
@@ -62,7 +62,7 @@
                 if (!machine.placements.empty()) fleet.remove(machine, machine.placements.begin());
                 break;
             case 3:
-                job.finish(task);
+                job.setFinished(task);
                 break;
             default:
                 job.setDone(task);
@@ -103,15 +103,15 @@
     StateReplica replica;
     const auto spec = arrayJob(20);
     const auto key = storage::keys::job(spec.id);
-    std::vector<Change> changes;
-    replica.noteCancelled(spec.id, 9, changes);
+    std::vector<ReplicaChange> changes;
+    replica.applyCancellation(spec.id, 9, changes);
     EXPECT_TRUE(changes.empty());
     EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::none), 5));
     EXPECT_EQ(replica.find(spec.id)->terminalState, TerminalState::cancelled);
     EXPECT_TRUE(
-        applyStored(replica, storage::keys::doneChunk(spec.id, 0), storage::encodeBits({true}, 0, 8), 6));
+        applyStored(replica, storage::keys::bitmapChunk(spec.id, 0), storage::encodeBits({true}, 0, 8), 6));
     EXPECT_TRUE(applyStored(replica, key, record(spec, TerminalState::cancelled, 3), 9));
-    replica.noteCancelled(spec.id, 9, changes);
+    replica.applyCancellation(spec.id, 9, changes);
     EXPECT_TRUE(changes.empty());
     ASSERT_EQ(replica.cancelled().size(), 1u);
     EXPECT_EQ(replica.cancelled()[0]->version, 9u);
@@ -120,7 +120,7 @@
     auto other = arrayJob(3);
     other.id = "wk-2";
     EXPECT_TRUE(applyStored(replica, storage::keys::job(other.id), record(other, TerminalState::none), 11));
-    replica.noteCancelled(other.id, 12, changes);
+    replica.applyCancellation(other.id, 12, changes);
     ASSERT_EQ(changes.size(), 1u);
     EXPECT_EQ(changes[0].id, other.id);
     EXPECT_EQ(replica.find(other.id)->terminalState, TerminalState::cancelled);
@@ -134,9 +134,9 @@
     std::vector<bool> bits(20);
     bits[9] = bits[17] = true;
     EXPECT_TRUE(
-        applyStored(replica, storage::keys::doneChunk(spec.id, 1), storage::encodeBits(bits, 8, 8), 2));
+        applyStored(replica, storage::keys::bitmapChunk(spec.id, 1), storage::encodeBits(bits, 8, 8), 2));
     EXPECT_TRUE(
-        applyStored(replica, storage::keys::doneChunk(spec.id, 2), storage::encodeBits(bits, 16, 8), 3));
+        applyStored(replica, storage::keys::bitmapChunk(spec.id, 2), storage::encodeBits(bits, 16, 8), 3));
     const auto* job = replica.find(spec.id);
     EXPECT_EQ(job->doneCount, 2u);
     EXPECT_TRUE(job->isDone(9) && job->isDone(17) && !job->isDone(8));
@@ -171,7 +171,7 @@
 TEST(Fleet, ImagesUsedThenTheCacheKeepsTheLatestWithinItsSize) {
     Fleet fleet;
     auto& machine = fleet.add("m", Time{});
-    for (const char* image : {"a", "b", "a", "c"}) fleet.useImage(machine, image, 10, 25);
+    for (const char* image : {"a", "b", "a", "c"}) fleet.recordImageUse(machine, image, 10, 25);
     EXPECT_TRUE(machine.hasImage("a") && machine.hasImage("c") && !machine.hasImage("b"));
     EXPECT_EQ(fleet.machinesWithImage("a").size(), 1u);
     EXPECT_TRUE(fleet.machinesWithImage("b").empty());
--- a/tests/controller/action_executor_test.cpp
+++ b/tests/controller/action_executor_test.cpp
@@ -139,7 +139,7 @@
     perform(commands());
     const auto answered = nextEvent<coordination::CommandsAnswered>();
     EXPECT_EQ(answered.machine, "m1");
-    EXPECT_EQ(answered.known, (bookkeeping::HeartbeatVersion{1, 5}));
+    EXPECT_EQ(answered.latestVersionAtSend, (bookkeeping::HeartbeatVersion{1, 5}));
     EXPECT_EQ(answered.heartbeat, heartbeat("m1"));
     perform(coordination::ScaleIn{{"m1", "m2"}});
     const auto deletion = nextEvent<coordination::ScaleInCompleted>();
--- a/tests/controller/heartbeat_forwarder_test.cpp
+++ b/tests/controller/heartbeat_forwarder_test.cpp
@@ -31,7 +31,7 @@
         protocol::PeerStatus status;
         status.node = node;
         status.leaderToken = leaderToken;
-        peers.noteStatus(status, now);
+        peers.recordStatus(status, now);
     }
     static std::string heartbeat(const std::string& machine) {
         return protocol::encodeHeartbeat({machine, "127.0.0.1:1", "plain", "z", false, 1, 1, 0, {}, {}});
@@ -130,7 +130,7 @@
     protocol::PeerStatus status;
     status.node = "two";
     status.fencingToken = 8;
-    peers.noteStatus(status, now);
+    peers.recordStatus(status, now);
     EXPECT_EQ(answer(heartbeat("m1")).status, 200);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "two");
 }
--- a/tests/controller/leader_dependencies_test.cpp
+++ b/tests/controller/leader_dependencies_test.cpp
@@ -25,7 +25,7 @@
     const auto value =
         storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, storage::chunkTasks(8)});
     const auto handle = protocol::unpackBody(value);
-    std::vector<bookkeeping::Change> changes;
+    std::vector<bookkeeping::ReplicaChange> changes;
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
     harness.startLeader();
     const std::vector<TaskStatus> tasks{{{"wk-1", 0, 7}, TaskState::running, {}, false},
@@ -60,7 +60,7 @@
     const auto value =
         storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, storage::chunkTasks(8)});
     const auto handle = protocol::unpackBody(value);
-    std::vector<bookkeeping::Change> changes;
+    std::vector<bookkeeping::ReplicaChange> changes;
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
     harness.deliver(JobsChanged{{"wk-1"}});
     std::size_t stops = 0;
@@ -119,9 +119,10 @@
         harness.submitJob(next);
     }
     const auto bits = storage::encodeBits({true, true}, 0, storage::chunkTasks(8));
-    std::vector<bookkeeping::Change> changes;
+    std::vector<bookkeeping::ReplicaChange> changes;
     auto handle = protocol::unpackBody(bits);
-    harness.replica.apply({storage::keys::doneChunk("wk-1", 0), &handle.get(), ++harness.revision}, changes);
+    harness.replica.apply({storage::keys::bitmapChunk("wk-1", 0), &handle.get(), ++harness.revision},
+                          changes);
     harness.leader.reset();
     harness.leader =
         std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, 5, harness.now, 100'000);
@@ -198,8 +199,8 @@
     }
     EXPECT_TRUE(stops);
     EXPECT_EQ(tests::recount(harness.leader->fleet(), harness.replica), "");
-    std::vector<bookkeeping::Change> changes;
-    harness.replica.noteCancelled("wk-3", ++harness.revision, changes);
+    std::vector<bookkeeping::ReplicaChange> changes;
+    harness.replica.applyCancellation("wk-3", ++harness.revision, changes);
     harness.deliver(JobsChanged{{"wk-3"}});
     for (int i = 0; i < 3; ++i) harness.tick();
     EXPECT_EQ(harness.replica.find("wk-2")->run->priority, protocol::Priority::low);
@@ -216,8 +217,8 @@
     harness.submitJob(makeJob("wk-1", 1, 2));
     ASSERT_EQ(harness.heartbeat("m1"), Names{"wk-1/0"});
     harness.submitJob(makeJob("wk-2", 1, 2));
-    std::vector<bookkeeping::Change> changes;
-    harness.replica.noteCancelled("wk-1", ++harness.revision, changes);
+    std::vector<bookkeeping::ReplicaChange> changes;
+    harness.replica.applyCancellation("wk-1", ++harness.revision, changes);
     harness.deliver(JobsChanged{{"wk-1"}});
     harness.tick();  // the job queue is refreshed and contains wk-2
     harness.now += 200ms;
--- a/tests/controller/leader_harness.h
+++ b/tests/controller/leader_harness.h
@@ -54,7 +54,7 @@
         const auto value =
             storage::encodeJob({spec, storage::TerminalState::none, 0, 0, storage::chunkTasks(8)});
         const auto handle = protocol::unpackBody(value);
-        std::vector<bookkeeping::Change> changes;
+        std::vector<bookkeeping::ReplicaChange> changes;
         replica.apply({storage::keys::job(spec.id), &handle.get(), ++revision}, changes);
         if (leader) deliver(JobsChanged{{spec.id}});
     }
--- a/tests/controller/leader_messages_test.cpp
+++ b/tests/controller/leader_messages_test.cpp
@@ -252,7 +252,7 @@
     const auto& m1 = *harness.leader->fleet().machines().at("m1");
     const auto placementCount = m1.placements.size();
     ASSERT_GT(placementCount, 0u);
-    harness.deliver(CommandsAnswered{"m1", harness.makeHeartbeat("m1", {}, 5), probe->known});
+    harness.deliver(CommandsAnswered{"m1", harness.makeHeartbeat("m1", {}, 5), probe->latestVersionAtSend});
     harness.sequences["m1"] = 50;  // above the newest version, which a delayed message could have as well
     EXPECT_EQ(harness.heartbeat("m1"), Names{});
     EXPECT_EQ(m1.placements.size(), placementCount);  // the message did not end any task
@@ -334,7 +334,8 @@
         for (const auto& action : actions)
             if (const auto* direct = std::get_if<SendCommands>(&action); direct && direct->machine == "m1") {
                 stops += direct->commands.size();
-                harness.deliver(CommandsAnswered{"m1", harness.makeHeartbeat("m1", tasks, 5), direct->known});
+                harness.deliver(CommandsAnswered{"m1", harness.makeHeartbeat("m1", tasks, 5),
+                                                 direct->latestVersionAtSend});
             }
         return stops;
     };
@@ -347,7 +348,7 @@
     const auto value =
         storage::encodeJob({spec, storage::TerminalState::cancelled, 0, 0, storage::chunkTasks(8)});
     const auto handle = protocol::unpackBody(value);
-    std::vector<bookkeeping::Change> changes;
+    std::vector<bookkeeping::ReplicaChange> changes;
     harness.replica.apply({storage::keys::job("wk-1"), &handle.get(), ++harness.revision}, changes);
     EXPECT_EQ(answerProbes(harness.deliver(JobsChanged{{"wk-1"}}), {}), 1u);
     EXPECT_TRUE(harness.leader->fleet().machines().at("m1")->placements.empty());
--- a/tests/decision_trace.cpp
+++ b/tests/decision_trace.cpp
@@ -54,8 +54,8 @@
 }
 std::string describe(const coordination::SendCommands& action) {
     return "command " + action.machine + " " + action.address + " " + std::to_string(action.incarnation) +
-           " " + std::to_string(action.known.incarnation) + "." + std::to_string(action.known.sequence) +
-           " " + describe(action.commands);
+           " " + std::to_string(action.latestVersionAtSend.incarnation) + "." +
+           std::to_string(action.latestVersionAtSend.sequence) + " " + describe(action.commands);
 }
 std::string describe(const coordination::WriteState& action) {
     return "write " + hex(protocol::encodeTransaction(action.conditions, action.writes));
@@ -221,8 +221,8 @@
     std::vector<bool> bits(37);
     for (std::size_t i = 0; i < bits.size(); i += 3) bits[i] = true;
     writeEncoding("bits", storage::encodeBits(bits, 4, 33));
-    for (const auto& key : {storage::keys::job("wk-1"), storage::keys::doneChunk("wk-1", 3),
-                            storage::keys::donePart("wk-1", 64, 96), storage::keys::machine("m-1")})
+    for (const auto& key : {storage::keys::job("wk-1"), storage::keys::bitmapChunk("wk-1", 3),
+                            storage::keys::bitmapPart("wk-1", 64, 96), storage::keys::machine("m-1")})
         writeEncoding("key", key);
 }
 
--- a/tests/leadership/service_controller.h
+++ b/tests/leadership/controller_harness.h
@@ -24,7 +24,7 @@
 
 using namespace std::chrono_literals;
 
-inline protocol::Settings serviceSettings(const std::string& name) {
+inline protocol::Settings controllerSettings(const std::string& name) {
     protocol::Settings s;
     s.name = name;
     s.teams = {{"team", 8, 16, 0, 1}};
@@ -33,17 +33,17 @@
 }
 
 /// A controller's user API and election, connected to a stub of the key-value store.
-struct ServiceController {
-    ServiceController(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
+struct ControllerHarness {
+    ControllerHarness(asio::io_context& context, const StoreStub& stub, const std::string& name = "one",
                       Seconds leaderLease = Seconds(0))
         : io(context),
-          config(serviceSettings(name)),
+          config(controllerSettings(name)),
           policy{leaderLease},
-          state(http, stub.address(), 1000, 1, Clock::now()),
-          watcher(io, state, replica, [](const auto&) {}),
-          userApi(io, config, state, replica, watcher),
+          store(http, stub.address(), 1000, 1, Clock::now()),
+          watcher(io, store, replica, [](const auto&) {}),
+          userApi(io, config, store, replica, watcher),
           election(
-              config, policy, state, replica, watcher, [this](std::uint64_t t) { fencingToken = t; },
+              config, policy, store, replica, watcher, [this](std::uint64_t t) { fencingToken = t; },
               [this] { fencingToken = 0; }) {
         watcher.start();
     }
@@ -74,7 +74,7 @@
     protocol::Settings config;
     protocol::Policy policy;
     transport::HttpClient http{io, 50};
-    storage::KeyValueClient state;
+    storage::KeyValueClient store;
     bookkeeping::StateReplica replica;
     coordination::StateWatcher watcher;
     coordination::UserApi userApi;
@@ -105,7 +105,7 @@
 }
 
 /// An event loop and a stub of the key-value store that contains one machine type.
-struct ServiceControllerTest : testing::Test {
+struct ControllerHarnessTest : testing::Test {
     asio::io_context io{1};
     StoreStub stub{io};
 
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "base/clock.h"
-#include "leadership/service_controller.h"
+#include "leadership/controller_harness.h"
 #include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
@@ -12,12 +12,12 @@
 
 namespace {
 
-using Leadership = ServiceControllerTest;
+using Leadership = ControllerHarnessTest;
 
 }  // namespace
 
 TEST_F(Leadership, TwoControllersThenOneLeaderAtATimeWithRisingTokens) {
-    ServiceController a(io, stub), b(io, stub, "two");
+    ControllerHarness a(io, stub), b(io, stub, "two");
     const auto tick = [&] {
         a.election.tick(Clock::now());
         b.election.tick(Clock::now());
@@ -40,7 +40,7 @@
 // The lease expires although the leader did not end it. The leader learns this from its next renewal, and its
 // writes fail because the fencing token has been incremented.
 TEST_F(Leadership, LeaseEndedThenLeaderStopsAndItsWritesFail) {
-    ServiceController a(io, stub);
+    ControllerHarness a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto old = a.replica.tokenVersion;
     stub.store.revokeLease(stub.store.leases.begin()->first);
@@ -54,7 +54,7 @@
 
 // A candidate whose attempt began while nobody led must not depose a controller that won in the meantime.
 TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
-    ServiceController a(io, stub);
+    ControllerHarness a(io, stub);
     a.runUntil([&] { return a.watcher.synced(); });
     stub.holdLeaseResponses = true;
     while (stub.store.leases.empty()) a.election.tick(Clock::now()), io.run_one_for(5ms);
@@ -76,7 +76,7 @@
 // A leader stops when the stored fencing token is higher than its own, whatever the cause, even if its lease
 // is still valid.
 TEST_F(Leadership, FencingTokenRaisedThenLeaderStops) {
-    ServiceController a(io, stub);
+    ControllerHarness a(io, stub);
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     std::vector<std::string> failed;
     stub.store.transact({},
@@ -92,18 +92,18 @@
 // A leader that the key-value store refuses cannot end its lease there. Once it has told its peers that it
 // resigned, they need not wait until the lease expires.
 TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
-    ServiceController a(io, stub), b(io, stub, "two");
+    ControllerHarness a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.runUntil([&] { return b.replica.leader.has_value(); });
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
-    EXPECT_EQ(b.fencingToken, 0u);                   // the leader has not resigned
-    b.election.noteResignation(a.fencingToken - 1);  // the token of an earlier leadership
+    EXPECT_EQ(b.fencingToken, 0u);                     // the leader has not resigned
+    b.election.recordResignation(a.fencingToken - 1);  // the token of an earlier leadership
     for (int i = 0; i < 100; ++i) b.election.tick(Clock::now()), io.run_one_for(2ms);
     EXPECT_EQ(b.fencingToken, 0u);
     const auto fencingToken = a.fencingToken;
     a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
     EXPECT_EQ(a.election.resignedToken(), fencingToken);
-    b.election.noteResignation(fencingToken);
+    b.election.recordResignation(fencingToken);
     while (!b.fencingToken) b.election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_GT(b.fencingToken, fencingToken);
 }
@@ -111,7 +111,7 @@
 // In an outage of the key-value store no controller can write the leader's key. Votes of all peers extend the
 // leader lease, so that workers keep their tasks. Each peer is bound by its vote even if the key disappears.
 TEST_F(Leadership, OutageThenVotesOfAllPeersExtendTheLeaderLease) {
-    ServiceController a(io, stub), b(io, stub, "two");
+    ControllerHarness a(io, stub), b(io, stub, "two");
     a.config.peers = {{"two", "z", ""}, {"three", "z", ""}};
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     b.runUntil([&] { return b.replica.leader && b.replica.leader->fencingToken == a.fencingToken; });
@@ -122,9 +122,9 @@
     EXPECT_EQ(b.election.voteForExtension("two", a.fencingToken, later), 0ms);
     const auto duration = b.election.voteForExtension("one", a.fencingToken, later);
     ASSERT_GT(duration, 0ms);
-    a.election.noteVote("two", duration, later);
+    a.election.recordVote("two", duration, later);
     EXPECT_FALSE(a.election.valid(later));  // only one of two peers has voted
-    a.election.noteVote("three", duration, later);
+    a.election.recordVote("three", duration, later);
     EXPECT_TRUE(a.election.valid(later + duration / 2));
     EXPECT_FALSE(a.election.valid(later + duration));
     stub.store.revokeLease(stub.store.leases.begin()->first);
@@ -134,7 +134,7 @@
     EXPECT_EQ(b.fencingToken, 0u);
     while (!b.fencingToken) b.election.tick(later + 2 * duration), io.run_one_for(5ms);
     // A restarted process does not know whether it voted before, so it waits as if it had.
-    ServiceController c(io, stub, "three");
+    ControllerHarness c(io, stub, "three");
     c.runUntil([&] { return c.replica.leader && c.replica.leader->node == "two"; });
     stub.store.revokeLease(stub.store.leases.rbegin()->first);
     stub.answerWatches();
@@ -147,11 +147,11 @@
 // A leader whose lease is renewed while its reads fail does not see the cancellations that other controllers
 // confirm, so it must stop.
 TEST_F(Leadership, ReadsFailThenLeaderStopsThoughItsLeaseIsRenewed) {
-    ServiceController a(io, stub);
+    ControllerHarness a(io, stub);
     a.config.workerLease = Seconds(10);
     a.config.cancelTimeout = Seconds(14);
     coordination::Election election(
-        a.config, a.policy, a.state, a.replica, a.watcher, [&](std::uint64_t t) { a.fencingToken = t; },
+        a.config, a.policy, a.store, a.replica, a.watcher, [&](std::uint64_t t) { a.fencingToken = t; },
         [] {});
     while (!a.fencingToken) election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_TRUE(election.valid(Clock::now()));
@@ -167,7 +167,7 @@
     EXPECT_TRUE(election.leading());
     EXPECT_FALSE(stub.store.leases.empty());
     stub.failReads = false;
-    a.watcher.readLatest([](coordination::FreshRead) {});
+    a.watcher.readLatest([](coordination::FreshReadResult) {});
     while (!election.valid(Clock::now())) election.tick(Clock::now()), io.run_one_for(20ms);
 }
 
@@ -175,7 +175,7 @@
 // longest permitted time without a read still end within the cancel timeout.
 TEST_F(Leadership, NoReadsThenWorkerLeasesEndWithinTheCancelTimeout) {
     for (const auto& [lease, cancel] : {std::pair(26.5, 46.5), {13, 33}, {24, 44}, {10, 30}, {30, 40}}) {
-        auto s = serviceSettings("one");
+        auto s = controllerSettings("one");
         s.workerLease = Seconds(lease);
         s.cancelTimeout = Seconds(cancel);
         EXPECT_LT(coordination::Election::maxTimeWithoutRead(s) + s.workerLease * 1.002 + Seconds(4),
@@ -186,7 +186,7 @@
 // While the key-value store refuses all writes, a leader stays leader. A candidate keeps trying and wins as
 // soon as writes are accepted.
 TEST_F(Leadership, WritesRefusedThenLeaderStaysAndCandidateKeepsTrying) {
-    ServiceController a(io, stub, "one", Seconds(1));
+    ControllerHarness a(io, stub, "one", Seconds(1));
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
     const auto unrenewed = Clock::now() + 1s;
     stub.store.limits = {32, 2048, 0};
@@ -194,7 +194,7 @@
     while (Clock::now() < unrenewed) a.election.tick(Clock::now()), io.run_one_for(5ms);
     EXPECT_EQ(a.fencingToken, fencingToken);
     EXPECT_TRUE(a.election.valid(Clock::now()));
-    ServiceController b(io, stub, "two", Seconds(1));
+    ControllerHarness b(io, stub, "two", Seconds(1));
     b.runUntil([&] { return b.watcher.synced(); });
     a.election.resign(Clock::now(), coordination::Election::Resignation::deferToPeers);
     const auto before = stub.store.rateLimited;
--- a/tests/leadership/lease_votes_test.cpp
+++ b/tests/leadership/lease_votes_test.cpp
@@ -19,11 +19,11 @@
     LeaseVotes votes;
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
     EXPECT_FALSE(votes.allInForce({}, kStart));  // without peers there are no votes
-    votes.noteReceived("two", LeaseVotes::kVoteDuration, kStart);
+    votes.recordReceivedVote("two", LeaseVotes::kVoteDuration, kStart);
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
-    votes.noteReceived("four", LeaseVotes::kVoteDuration, kStart);
+    votes.recordReceivedVote("four", LeaseVotes::kVoteDuration, kStart);
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
-    votes.noteReceived("three", LeaseVotes::kVoteDuration, kStart);
+    votes.recordReceivedVote("three", LeaseVotes::kVoteDuration, kStart);
     EXPECT_TRUE(votes.allInForce(kPeers, kStart));
     votes.discardReceived();
     EXPECT_FALSE(votes.allInForce(kPeers, kStart));
@@ -34,7 +34,7 @@
 TEST(LeaseVotes, VoteReceivedThenItEndsBeforeThePeerIsUnbound) {
     LeaseVotes leader, peer;
     const auto duration = peer.giveVote(7, kStart);
-    leader.noteReceived("two", duration, kStart);
+    leader.recordReceivedVote("two", duration, kStart);
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
     EXPECT_TRUE(leader.allInForce(two, kStart + duration - 200ms));
     EXPECT_FALSE(leader.allInForce(two, kStart + duration - 150ms));
@@ -46,10 +46,10 @@
 TEST(LeaseVotes, LongVoteThenCappedAndALaterRefusalLeavesItInForce) {
     LeaseVotes votes;
     const std::vector<protocol::Peer> two{{"two", "z", ""}};
-    votes.noteReceived("two", 60s, kStart);
+    votes.recordReceivedVote("two", 60s, kStart);
     EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
     EXPECT_FALSE(votes.allInForce(two, kStart + LeaseVotes::kVoteDuration));
-    votes.noteReceived("two", 0ms, kStart + 1s);
+    votes.recordReceivedVote("two", 0ms, kStart + 1s);
     EXPECT_TRUE(votes.allInForce(two, kStart + 2s));
 }
 
--- a/tests/leadership/overload_monitor_test.cpp
+++ b/tests/leadership/overload_monitor_test.cpp
@@ -18,12 +18,12 @@
         while (now < end) {
             const auto due = now + 100ms;
             now = due + late;
-            monitor.noteTick(due, now);
+            monitor.recordTick(due, now);
         }
     }
     bool resignIfDue() {
         const bool should = monitor.shouldResign(now);
-        if (should) monitor.noteResigned(now);
+        if (should) monitor.recordResignation(now);
         return should;
     }
 
@@ -34,14 +34,14 @@
 }  // namespace
 
 TEST_F(Overload, TicksInTimeThenLeaderStays) {
-    monitor.noteLeading(now);
+    monitor.recordLeadershipStart(now);
     tickLate(50ms, 60s);
     EXPECT_FALSE(monitor.isOverloaded(now));
     EXPECT_FALSE(resignIfDue());
 }
 
 TEST_F(Overload, TicksLateForLongThenLeaderShouldResign) {
-    monitor.noteLeading(now);
+    monitor.recordLeadershipStart(now);
     tickLate(0ms, 20s);
     tickLate(300ms, 1s);
     EXPECT_FALSE(resignIfDue());  // one long batch of work is no overload
@@ -50,7 +50,7 @@
 }
 
 TEST_F(Overload, OneTickInTimeThenOverloadEnds) {
-    monitor.noteLeading(now);
+    monitor.recordLeadershipStart(now);
     tickLate(0ms, 20s);
     for (int i = 0; i < 10; ++i) {
         tickLate(300ms, 1s);
@@ -61,7 +61,7 @@
 
 // A new leader has much work to do at once. If that counted as overload, no controller would stay leader.
 TEST_F(Overload, TicksLateAfterFailoverThenLeaderStays) {
-    monitor.noteLeading(now);
+    monitor.recordLeadershipStart(now);
     tickLate(300ms, 6s);
     EXPECT_TRUE(monitor.isOverloaded(now));
     EXPECT_FALSE(resignIfDue());
--- a/tests/leadership/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -16,7 +16,7 @@
 void apply(bookkeeping::StateReplica& replica, const std::string& key, const std::string& value,
            std::uint64_t version) {
     const auto handle = protocol::unpackBody(value);
-    std::vector<bookkeeping::Change> changes;
+    std::vector<bookkeeping::ReplicaChange> changes;
     ASSERT_TRUE(replica.apply({key, &handle.get(), version}, changes));
 }
 
@@ -57,22 +57,22 @@
 }  // namespace
 
 TEST_F(PeerExchangeTest, UnknownPeerThenItsStatusIsIgnored) {
-    EXPECT_FALSE(exchange.noteStatus(status("four"), start));
+    EXPECT_FALSE(exchange.recordStatus(status("four"), start));
     EXPECT_FALSE(exchange.inTouch("four", start));
     EXPECT_FALSE(exchange.inTouch("two", start));
-    EXPECT_TRUE(exchange.noteStatus(status("two"), start));
+    EXPECT_TRUE(exchange.recordStatus(status("two"), start));
     EXPECT_TRUE(exchange.inTouch("two", start + 2499ms));
     EXPECT_FALSE(exchange.inTouch("two", start + 2500ms));
 }
 
 TEST_F(PeerExchangeTest, LeaderOutOfTouchThenNamesAPeerInTouchWithThatLeader) {
-    exchange.noteStatus(status("three", 7), start);
+    exchange.recordStatus(status("three", 7), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // there is no leader
     storeLeader("two", 8);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // it is in touch with an earlier leader
-    exchange.noteStatus(status("two", 8), start);
+    exchange.recordStatus(status("two", 8), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // the leader itself
-    exchange.noteStatus(status("three", 8), start);
+    exchange.recordStatus(status("three", 8), start);
     EXPECT_EQ(exchange.peerInTouchWithLeader(start), "three");
     EXPECT_EQ(exchange.peerInTouchWithLeader(start + 3s), "");
 }
@@ -84,31 +84,31 @@
     storeLeader("one", 7);
     auto claim = status("two", 8);
     claim.fencingToken = 8;
-    exchange.noteStatus(claim, start);
+    exchange.recordStatus(claim, start);
     ASSERT_TRUE(exchange.knownLeader(start));
     EXPECT_EQ(exchange.knownLeader(start)->node, "two");
     EXPECT_EQ(exchange.knownLeader(start)->fencingToken, 8u);
     EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other is no longer in touch
     claim.fencingToken = 6;
-    exchange.noteStatus(claim, start);
+    exchange.recordStatus(claim, start);
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored leader has the higher fencing token
-    exchange.noteStatus(status("two"), start);
+    exchange.recordStatus(status("two"), start);
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the other no longer leads
 }
 
 TEST_F(PeerExchangeTest, PeerAnsweredLongerThenIsolatedFromStore) {
-    const auto lastAnswer = start;
+    const auto lastAnswerAt = start;
     const auto now = start + 4s;
-    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now));  // no peer is in touch
-    exchange.noteStatus(status("two", 0, 2100), now);
-    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now));  // the peer is no longer answered either
-    exchange.noteStatus(status("two", 0, 100), now);
-    EXPECT_TRUE(exchange.isolatedFromStore(lastAnswer, now));
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now));  // no peer is in touch
+    exchange.recordStatus(status("two", 0, 2100), now);
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now));  // the peer is no longer answered either
+    exchange.recordStatus(status("two", 0, 100), now);
+    EXPECT_TRUE(exchange.isolatedFromStore(lastAnswerAt, now));
     EXPECT_FALSE(exchange.isolatedFromStore(now - 2s, now));  // the store's silence is too short
-    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now + 3s));
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now + 3s));
     // An outage that directly follows a refusal: the store answered the peer for less than 2 s longer.
-    exchange.noteStatus(status("two", 0, 1900), now - 300ms);
-    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswer, now - 300ms));
+    exchange.recordStatus(status("two", 0, 1900), now - 300ms);
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now - 300ms));
 }
 
 TEST_F(PeerExchangeTest, ManyCancellationsThenSentInPartsAndOnlyOnce) {
--- a/tests/scheduling/fetch_pacing_test.cpp
+++ b/tests/scheduling/fetch_pacing_test.cpp
@@ -39,7 +39,7 @@
         machine.lease.active = true;
         machine.agent.acknowledged = true;
         machine.lease.lastHeartbeat = now;
-        for (const auto& image : images) fleet.useImage(machine, image, 1, kCacheGb);
+        for (const auto& image : images) fleet.recordImageUse(machine, image, 1, kCacheGb);
         return machine;
     }
     Job& job(const std::string& image, std::uint32_t tasks) {
@@ -87,7 +87,7 @@
     pacing.admit(paced, fleet);
     EXPECT_TRUE(paced.run->admitted);
     EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);
-    fleet.useImage(first, "i", 1, kCacheGb);
+    fleet.recordImageUse(first, "i", 1, kCacheGb);
     refresh();
     pacing.admit(paced, fleet);
     EXPECT_DOUBLE_EQ(paced.run->expectedPacedFetches, 10);  // Md stays as set at admission
@@ -148,7 +148,8 @@
     EXPECT_FALSE(pacing.allows(other, busy, now));
     EXPECT_TRUE(pacing.allows(other, lighter, now));  // its ts equals the mean
     EXPECT_TRUE(pacing.allows(other, idle, now));
-    fleet.useImage(lighter, "x", 1, kCacheGb);  // x now takes 5 s on both; E[ts] is still 10 s, ts = 15 s
+    fleet.recordImageUse(lighter, "x", 1,
+                         kCacheGb);  // x now takes 5 s on both; E[ts] is still 10 s, ts = 15 s
     refresh();
     EXPECT_FALSE(pacing.allows(other, lighter, now));
 }
--- a/tests/scheduling/gang_planner_test.cpp
+++ b/tests/scheduling/gang_planner_test.cpp
@@ -79,7 +79,7 @@
 TEST_F(GangPlannerTest, MachinesWithTheImageArePreferredIfTheyTakeTheWholeGang) {
     auto& job = accept(gang());
     for (const char* id : {"m1", "m2", "m3", "m4"}) machine(id);
-    for (const char* id : {"m2", "m4"}) giveImage(*fleet.find(id), job);
+    for (const char* id : {"m2", "m4"}) addCachedImage(*fleet.find(id), job);
     plan();
     EXPECT_EQ(placed(job), (Names{"m2:2", "m4:2"}));
 }
@@ -102,7 +102,7 @@
     for (const char* id : {"m1", "m2", "m3", "m4"}) machine(id);
     for (const char* id : {"m3", "m4"}) {
         fleet.find(id)->spot = true;
-        giveImage(*fleet.find(id), job);
+        addCachedImage(*fleet.find(id), job);
     }
     plan();
     EXPECT_EQ(placed(job), (Names{"m3:2", "m4:2"}));
--- a/tests/scheduling/job_queue_test.cpp
+++ b/tests/scheduling/job_queue_test.cpp
@@ -155,7 +155,7 @@
     placed.run->waiting = 0;
     job("waits");
     EXPECT_EQ(order(), "waits");
-    EXPECT_EQ(jobQueue.open().size(), 2u);
+    EXPECT_EQ(jobQueue.openJobs().size(), 2u);
 }
 
 TEST_F(JobQueueTest, MinCpusIsTheSmallestNeedOfTheWaitingJobs) {
@@ -171,7 +171,7 @@
     job("second");
     EXPECT_EQ(order(), "first second");
     jobQueue.remove(first);
-    EXPECT_EQ(jobQueue.open().size(), 1u);
+    EXPECT_EQ(jobQueue.openJobs().size(), 1u);
     EXPECT_EQ(jobQueue.waiting().size(), 2u);
     EXPECT_EQ(order(), "second");
 }
--- a/tests/scheduling/placement_constraints_test.cpp
+++ b/tests/scheduling/placement_constraints_test.cpp
@@ -64,21 +64,21 @@
 }  // namespace
 
 TEST_F(PlacementConstraintsTest, MachineThatIsUpAndRegisteredIsUsable) {
-    EXPECT_TRUE(usable(machine("m"), now));
+    EXPECT_TRUE(isUsable(machine("m"), now));
 }
 
 // The next leader would not know the tasks on such a machine.
 TEST_F(PlacementConstraintsTest, MachineOutsideTheStoredRegistryIsNotUsable) {
     auto& unstored = machine("m");
     fleet.setRegistration(unstored, RegistrationState::writing);
-    EXPECT_FALSE(usable(unstored, now));
+    EXPECT_FALSE(isUsable(unstored, now));
 }
 
 TEST_F(PlacementConstraintsTest, MachineThatLeavesOrFailsOrIsUnreachableIsNotUsable) {
     const auto usableAfter = [&](const std::string& id, const std::function<void(Machine&)>& change) {
         auto& changed = machine(id);
         change(changed);
-        return usable(changed, now);
+        return isUsable(changed, now);
     };
     EXPECT_FALSE(usableAfter("not acknowledged", [](Machine& m) { m.agent.acknowledged = false; }));
     EXPECT_FALSE(usableAfter("no heartbeats", [](Machine& m) { m.lease.active = false; }));
@@ -95,8 +95,8 @@
 TEST_F(PlacementConstraintsTest, MachineThatRefusedAStartIsUsableAfterItsBackoff) {
     auto& refusing = machine("m");
     refusing.history.startBackoffUntil = now + 2s;
-    EXPECT_FALSE(usable(refusing, now));
-    EXPECT_TRUE(usable(refusing, now + 2s));
+    EXPECT_FALSE(isUsable(refusing, now));
+    EXPECT_TRUE(isUsable(refusing, now + 2s));
 }
 
 TEST_F(PlacementConstraintsTest, OwnerRestrictsTypeZoneAndSpot) {
--- a/tests/scheduling/placement_fixture.h
+++ b/tests/scheduling/placement_fixture.h
@@ -75,7 +75,7 @@
         const storage::JobRecord record{accepted, storage::TerminalState::none, 0, 0, accepted.tasks};
         const auto body = storage::encodeJob(record);
         const auto packed = protocol::unpackBody(body);
-        std::vector<bookkeeping::Change> changes;
+        std::vector<bookkeeping::ReplicaChange> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(accepted.id), &packed.get(), ++revision}, changes));
         auto& job = *replica.find(accepted.id);
         activator.begin(job, bookkeeping::JobOrigin::accepted, now);
@@ -89,10 +89,10 @@
         std::vector<const Machine*> up;
         for (const auto& [id, each] : fleet.machines()) up.push_back(each.get());
         pacing.refresh(jobQueue.waiting(), up, fleet, now);
-        for (auto* job : jobQueue.open()) pacing.admit(*job, fleet);
+        for (auto* job : jobQueue.openJobs()) pacing.admit(*job, fleet);
     }
-    void giveImage(Machine& holder, const Job& job) {
-        fleet.useImage(holder, job.spec.image, job.spec.imageGb, holder.typeInfo->cacheGb);
+    void addCachedImage(Machine& holder, const Job& job) {
+        fleet.recordImageUse(holder, job.spec.image, job.spec.imageGb, holder.typeInfo->cacheGb);
     }
     bookkeeping::Placement& place(Machine& host, Job& job, std::uint32_t task,
                                   bookkeeping::PlacementState state = bookkeeping::PlacementState::running) {
--- a/tests/scheduling/scheduling_test.cpp
+++ b/tests/scheduling/scheduling_test.cpp
@@ -28,7 +28,7 @@
 TEST_F(SchedulerTest, CachedTasksFillAMachineThatHasTheImage) {
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
-    giveImage(host, job);
+    addCachedImage(host, job);
     EXPECT_EQ(schedule(host), (Names{"wk-1/0", "wk-1/1", "wk-1/2", "wk-1/3"}));
     EXPECT_EQ(job.run->launchedTasks, 4u);
     EXPECT_EQ(job.run->pacedFetches, 0u);
@@ -53,7 +53,7 @@
     Job* jobs[] = {&accept(spec("wk-1")), &accept(other)};
     for (const auto* job : jobs) {
         auto& cached = machine("cached-" + job->spec.image);
-        giveImage(cached, *job);
+        addCachedImage(cached, *job);
         auto busy = spec("wk-20" + std::to_string(fleet.machines().size()));
         busy.tasks = 1;
         place(cached, accept(busy), 0);
@@ -71,7 +71,7 @@
 
 TEST_F(SchedulerTest, LeftoverCapacityStaysFreeWhileMachinesWithTheImageSuffice) {
     auto& job = accept(spec("wk-1"));
-    giveImage(machine("cached"), job);
+    addCachedImage(machine("cached"), job);
     EXPECT_EQ(schedule(machine("m1")), Names{});
 }
 
@@ -81,7 +81,7 @@
     high.priority = Priority::high;
     high.image = "high";
     auto& host = machine("m1");
-    giveImage(host, accept(low));
+    addCachedImage(host, accept(low));
     accept(high);
     EXPECT_EQ(schedule(host), (Names{"wk-102/0", "wk-102/1", "wk-102/2", "wk-102/3"}));
 }
@@ -169,7 +169,7 @@
     wide.tasks = 20;
     auto& job = accept(wide);
     auto& cached = machine("cached");
-    giveImage(cached, job);
+    addCachedImage(cached, job);
     machine("without");
     EXPECT_EQ(images.capacityWithImage(job, now), 4u);
     now += 250ms;  // the cached result has expired
@@ -179,7 +179,7 @@
 
 TEST_F(ImageLocalityTest, CapacityIsCachedForAQuarterOfASecond) {
     auto& job = accept(spec("wk-1"));
-    giveImage(machine("m1"), job);
+    addCachedImage(machine("m1"), job);
     images.capacityWithImage(job, now);
     const auto scansBefore = scans.total();
     images.capacityWithImage(job, now + 249ms);
@@ -194,7 +194,7 @@
     EXPECT_FALSE(images.waitsForImage(job, now));  // no machine has the image
     now += 250ms;
     auto& cached = machine("cached");
-    giveImage(cached, job);
+    addCachedImage(cached, job);
     EXPECT_TRUE(images.waitsForImage(job, now));
     EXPECT_FALSE(images.waitsForImage(job, now + 3s));  // the objective is missed anyway
 }
@@ -202,7 +202,7 @@
 TEST_F(ImageLocalityTest, LongWaitObjectiveAllowsAFetch) {
     settings.objectives = {{"wait", "class", Seconds(30)}};
     auto& job = accept(spec("wk-1"));
-    giveImage(machine("cached"), job);
+    addCachedImage(machine("cached"), job);
     EXPECT_FALSE(images.waitsForImage(job, now));
 }
 
@@ -210,6 +210,6 @@
     policy.preempt = false;
     settings.objectives = {{"wait", "class", Seconds(3)}};
     auto& job = accept(spec("wk-1", JobKind::service));
-    giveImage(machine("cached"), job);
+    addCachedImage(machine("cached"), job);
     EXPECT_FALSE(images.waitsForImage(job, now));
 }
--- a/tests/simulation/invariant_checker.cpp
+++ b/tests/simulation/invariant_checker.cpp
@@ -104,7 +104,7 @@
     std::vector<bool> done(record.spec.tasks);
     const std::size_t chunk = attempt.task / record.chunkTasks;
     const auto& values = store_.contents().values;
-    const auto found = values.find(storage::keys::doneChunk(attempt.job, chunk));
+    const auto found = values.find(storage::keys::bitmapChunk(attempt.job, chunk));
     if (found != values.end())
         storage::decodeBits(protocol::unpackBody(found->second.data).get(), done, chunk * record.chunkTasks,
                             record.chunkTasks);
@@ -176,7 +176,7 @@
     for (const auto& [id, worker] : workers_.all()) {
         if (!mayHost(worker, spec)) continue;
         const auto& type = environment_.machineTypes.at(worker.type == "gpu" ? 1 : 0);
-        const auto freeResources = bookkeeping::sizeOf(type) - usage.machines[id];
+        const auto freeResources = bookkeeping::capacityOf(type) - usage.machines[id];
         placeablePerZone[worker.zone] += freeResources.fitCount(needOf(spec));
     }
     std::uint32_t total = 0, largest = 0;
--- a/tests/simulation/simulated_leaders.cpp
+++ b/tests/simulation/simulated_leaders.cpp
@@ -98,7 +98,7 @@
     leadership.lastRead = environment_.now();
     coordination::JobsChanged jobs;
     for (const auto& change : store_.readChanges(leadership.replica, leadership.replicaPosition))
-        if (change.kind == bookkeeping::ChangeKind::job) jobs.ids.push_back(change.id);
+        if (change.kind == bookkeeping::ReplicaChangeKind::job) jobs.ids.push_back(change.id);
     if (leadership.leader && !jobs.ids.empty()) handle(std::move(jobs));
 }
 
--- a/tests/simulation/simulated_network.cpp
+++ b/tests/simulation/simulated_network.cpp
@@ -121,7 +121,7 @@
 void SimulatedNetwork::sendCommands(const coordination::SendCommands& action, const Requester& leader) {
     auto& random = environment_.random;
     const auto& faults = environment_.faults;
-    const CommandsAnswered noAnswer{action.machine, std::nullopt, action.known};
+    const CommandsAnswered noAnswer{action.machine, std::nullopt, action.latestVersionAtSend};
     const bool late = random.chance(faults.lateExecutionProbability);
     if (late || random.chance(faults.messageLossProbability)) {
         leader.respond(kCommandResponseTimeout, noAnswer);
@@ -139,8 +139,8 @@
             environment_.occurrences.commandsWithoutOutboundLink += !outboundLinkUp;
         if (late) return;
         const auto answerDelay = environment_.random.delay(0, 0.2);
-        leader.respond(answerDelay,
-                       CommandsAnswered{action.machine, workers_.nextHeartbeat(*worker), action.known});
+        leader.respond(answerDelay, CommandsAnswered{action.machine, workers_.nextHeartbeat(*worker),
+                                                     action.latestVersionAtSend});
     });
 }
 
--- a/tests/simulation/simulated_store.cpp
+++ b/tests/simulation/simulated_store.cpp
@@ -15,9 +15,9 @@
 
 constexpr auto kWriteTimeout = 1500ms;  // the leader's timeout for a transaction
 
-StateWritten refused() {
+StateWritten unavailable() {
     StateWritten written;
-    written.result.status = TransactionStatus::refused;
+    written.result.status = TransactionStatus::unavailable;
     return written;
 }
 
@@ -77,7 +77,7 @@
     }
     if (latency_ > Seconds(0)) return commitSlowly(action, requester);
     if (isUnavailable() || random.chance(faults.messageLossProbability))
-        return requester.respond(10ms, refused());
+        return requester.respond(10ms, unavailable());
     environment_.events.schedule(random.delay(0, 0.1), [this, action, requester] {
         requester.respond(5ms, StateWritten{apply(action)});
     });
@@ -90,15 +90,15 @@
     const auto responseDelay = environment_.random.delay(0, latency_.count());
     const bool answeredInTime = requestDelay + responseDelay <= kWriteTimeout;
     environment_.events.schedule(requestDelay, [this, action, requester, responseDelay, answeredInTime] {
-        const auto written = isUnavailable() ? refused() : StateWritten{apply(action)};
+        const auto written = isUnavailable() ? unavailable() : StateWritten{apply(action)};
         if (answeredInTime) requester.respond(responseDelay, written);
     });
     if (!answeredInTime) requester.respond(kWriteTimeout, StateWritten{});
 }
 
-std::vector<bookkeeping::Change> SimulatedStore::readChanges(bookkeeping::StateReplica& replica,
-                                                             std::size_t& position) const {
-    std::vector<bookkeeping::Change> changes;
+std::vector<bookkeeping::ReplicaChange> SimulatedStore::readChanges(bookkeeping::StateReplica& replica,
+                                                                    std::size_t& position) const {
+    std::vector<bookkeeping::ReplicaChange> changes;
     for (; position < store_.log.size(); ++position) {
         const auto& event = store_.log[position];
         msgpack::object_handle handle;
--- a/tests/simulation/simulated_store.h
+++ b/tests/simulation/simulated_store.h
@@ -41,8 +41,8 @@
     void commitImmediately(const std::vector<protocol::KeyCondition>& conditions,
                            const std::vector<protocol::KeyWrite>& writes);
     /// Applies the changes after `position` in the log to the replica and moves `position` to the end.
-    std::vector<bookkeeping::Change> readChanges(bookkeeping::StateReplica& replica,
-                                                 std::size_t& position) const;
+    std::vector<bookkeeping::ReplicaChange> readChanges(bookkeeping::StateReplica& replica,
+                                                        std::size_t& position) const;
 
     std::uint64_t fencingToken() const;
     storage::JobRecord recordOf(const std::string& job) const;
--- a/tests/state/lowered_limits_fixture.h
+++ b/tests/state/lowered_limits_harness.h
@@ -86,7 +86,7 @@
         writesPerSecond = perSecond;
     }
     static void apply(const Store& store, std::size_t& from, bookkeeping::StateReplica& replica,
-                      std::vector<bookkeeping::Change>& changed) {
+                      std::vector<bookkeeping::ReplicaChange>& changed) {
         for (; from < store.log.size(); ++from) {
             const auto& event = store.log[from];
             msgpack::object_handle handle;
@@ -97,11 +97,11 @@
     }
     /// Brings the replica up to date with the store, and notifies the leader of changed jobs.
     void syncReplica() {
-        std::vector<bookkeeping::Change> changed;
+        std::vector<bookkeeping::ReplicaChange> changed;
         apply(store, eventsRead, replica, changed);
         coordination::JobsChanged jobs;
         for (const auto& change : changed)
-            if (change.kind == bookkeeping::ChangeKind::job) jobs.ids.push_back(change.id);
+            if (change.kind == bookkeeping::ReplicaChangeKind::job) jobs.ids.push_back(change.id);
         if (leader && !jobs.ids.empty()) deliver(jobs);
     }
     void startLeader() {
@@ -147,7 +147,7 @@
     /// The job's bitmap as a newly started controller reads it.
     std::vector<bool> storedBitmap(const std::string& id) const {
         bookkeeping::StateReplica fresh;
-        std::vector<bookkeeping::Change> changed;
+        std::vector<bookkeeping::ReplicaChange> changed;
         for (const auto& [key, value] : store.values) {
             const auto handle = protocol::unpackBody(value.data);
             EXPECT_TRUE(fresh.apply({key, &handle.get(), value.version}, changed));
--- a/tests/state/lowered_limits_test.cpp
+++ b/tests/state/lowered_limits_test.cpp
@@ -2,7 +2,7 @@
 // settings. Everything must be stored eventually, and the leader must adapt to the limits.
 #include <gtest/gtest.h>
 
-#include "state/lowered_limits_fixture.h"
+#include "state/lowered_limits_harness.h"
 
 using namespace burlpoint;
 using namespace burlpoint::tests;
--- a/tests/state/machine_registry_test.cpp
+++ b/tests/state/machine_registry_test.cpp
@@ -30,8 +30,8 @@
         return machine;
     }
     void store(const bookkeeping::Machine& machine, std::uint64_t revision) {
-        registry.additionSent(machine.id);
-        registry.additionStored(machine.id, MachineRegistry::recordOf(machine), revision);
+        registry.recordAdditionSent(machine.id);
+        registry.recordAdditionStored(machine.id, MachineRegistry::expectedEntry(machine), revision);
     }
 };
 
@@ -42,9 +42,9 @@
     registry.ensureEntry(machine);
     EXPECT_TRUE(registry.additions().contains("m1"));
     EXPECT_EQ(machine.registry.state, RegistrationState::absent);
-    registry.additionSent("m1");
+    registry.recordAdditionSent("m1");
     EXPECT_EQ(machine.registry.state, RegistrationState::writing);
-    registry.additionNotStored("m1");
+    registry.recordAdditionNotStored("m1");
     EXPECT_EQ(machine.registry.state, RegistrationState::absent);
     EXPECT_TRUE(registry.additions().contains("m1"));
     store(machine, 7);
@@ -57,7 +57,7 @@
 TEST_F(RegistryTest, EntryWithoutHeartbeatThenNoTasksAreAllowed) {
     auto& machine = withoutHeartbeat("m1");
     machine.address = std::string("m1");
-    registry.noteRequested("m1");
+    registry.scheduleAddition("m1");
     store(machine, 7);
     EXPECT_EQ(machine.registry.state, RegistrationState::absent);
     EXPECT_FALSE(registry.mayHoldTasks("m1"));
@@ -72,10 +72,10 @@
 TEST_F(RegistryTest, AddressChangedDuringWriteThenEntryIsWrittenAgain) {
     auto& machine = withHeartbeat("m1");
     registry.ensureEntry(machine);
-    registry.additionSent("m1");
-    const auto sent = MachineRegistry::recordOf(machine);
+    registry.recordAdditionSent("m1");
+    const auto sent = MachineRegistry::expectedEntry(machine);
     machine.address = std::string("m2");
-    registry.additionStored("m1", sent, 7);
+    registry.recordAdditionStored("m1", sent, 7);
     EXPECT_TRUE(registry.additions().contains("m1"));
 }
 
@@ -87,7 +87,7 @@
     registry.scheduleRemoval(*fleet.find("m1"));
     fleet.erase("m1");
     EXPECT_TRUE(registry.removals().contains("m1"));
-    registry.removalSent("m1");
+    registry.recordRemovalSent("m1");
     auto& back = withHeartbeat("m1");
     registry.ensureEntry(back);
     EXPECT_EQ(back.registry.state, RegistrationState::absent);
@@ -99,15 +99,15 @@
 
 TEST_F(RegistryTest, EntryStoredAfterItsMachineLeftThenDeleted) {
     registry.ensureEntry(withHeartbeat("m1"));
-    registry.additionSent("m1");
-    const auto sent = MachineRegistry::recordOf(*fleet.find("m1"));
+    registry.recordAdditionSent("m1");
+    const auto sent = MachineRegistry::expectedEntry(*fleet.find("m1"));
     registry.scheduleRemoval(*fleet.find("m1"));
     fleet.erase("m1");
     EXPECT_TRUE(registry.additions().empty());
-    registry.additionStored("m1", sent, 7);
+    registry.recordAdditionStored("m1", sent, 7);
     EXPECT_TRUE(registry.removals().contains("m1"));
-    registry.removalSent("m1");
-    registry.removalStored("m1");
+    registry.recordRemovalSent("m1");
+    registry.recordRemovalStored("m1");
     EXPECT_TRUE(registry.removals().empty());
     EXPECT_EQ(registry.versionOf("m1"), 0u);
 }
