--- a/tests/state/state_writer_test.cpp
+++ b/tests/state/state_writer_test.cpp
@@ -57,22 +57,22 @@
         record.chunkTasks = chunkTasks;
         const auto body = storage::encodeJob(record);
         const auto packed = protocol::unpackBody(body);
-        std::vector<bookkeeping::Change> changes;
+        std::vector<bookkeeping::ReplicaChange> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(id), &packed.get(), ++revision}, changes));
         auto& job = *replica.find(id);
         job.beginRun(bookkeeping::JobOrigin::accepted, now);
         return job;
     }
-    void finish(Job& job, std::uint32_t task) {
-        ASSERT_TRUE(job.finish(task));
-        writer().noteUnstored(job);
+    void setFinished(Job& job, std::uint32_t task) {
+        ASSERT_TRUE(job.setFinished(task));
+        writer().markUnstored(job);
     }
     /// `incarnation`: 0 for a machine that has not sent a heartbeat.
     void addMachine(const std::string& id, std::uint64_t incarnation) {
         auto& machine = fleet.add(id, now);
         machine.address = id;
         machine.agent.incarnation = incarnation;
-        registry.noteRequested(id);
+        registry.scheduleAddition(id);
     }
     StateWriter::WriteOutcome handleResult(TransactionStatus status, std::vector<std::string> failed = {}) {
         StateWritten written;
@@ -98,8 +98,8 @@
 
 TEST_F(StateWriterTest, EachWriteIsConditionalOnTheTokenAndOnItsKeyVersion) {
     auto& job = accept("wk-1", 2);
-    finish(job, 0);
-    finish(job, 1);
+    setFinished(job, 0);
+    setFinished(job, 1);
     const auto write = writer().nextWrite(now);
     ASSERT_TRUE(write);
     ASSERT_EQ(write->writes.size(), 1u);
@@ -112,8 +112,8 @@
 
 TEST_F(StateWriterTest, TerminalRecordStoredThenJobIsDone) {
     auto& job = accept("wk-1", 2);
-    finish(job, 0);
-    finish(job, 1);
+    setFinished(job, 0);
+    setFinished(job, 1);
     now += 5s;
     ASSERT_TRUE(writer().nextWrite(now));
     EXPECT_EQ(job.terminalState, TerminalState::none);
@@ -128,26 +128,26 @@
 
 TEST_F(StateWriterTest, BitmapStoredThenTasksAreDoneAndTheNextWaitsASecond) {
     auto& job = accept("wk-1", 10);
-    finish(job, 3);
-    ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
+    setFinished(job, 3);
+    ASSERT_EQ(nextKeys(), Keys{storage::keys::bitmapChunk("wk-1", 0)});
     EXPECT_FALSE(job.isDone(3));
     EXPECT_TRUE(handleResult(TransactionStatus::applied).ended.empty());
     EXPECT_TRUE(job.isDone(3));
-    finish(job, 4);
+    setFinished(job, 4);
     EXPECT_EQ(nextKeys(), Keys{});
     now += 1s;
-    EXPECT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
+    EXPECT_EQ(nextKeys(), Keys{storage::keys::bitmapChunk("wk-1", 0)});
 }
 
 TEST_F(StateWriterTest, FencingTokenRaisedThenResign) {
-    finish(accept("wk-1", 1), 0);
+    setFinished(accept("wk-1", 1), 0);
     ASSERT_TRUE(writer().nextWrite(now));
     EXPECT_EQ(handleResult(TransactionStatus::conflict, {storage::keys::kToken}).followUp, FollowUp::resign);
 }
 
 // After a conflict or an unknown outcome, only a read can determine the stored state.
 TEST_F(StateWriterTest, ConflictOrUnknownOutcomeThenNoWriteBeforeTheReplicaIsRead) {
-    finish(accept("wk-1", 1), 0);
+    setFinished(accept("wk-1", 1), 0);
     const auto key = storage::keys::job("wk-1");
     for (const auto status :
          {TransactionStatus::conflict, TransactionStatus::unknown, TransactionStatus::leaseExpired}) {
@@ -155,14 +155,14 @@
         EXPECT_EQ(handleResult(status, {key}).followUp, FollowUp::refreshReplica);
         now += 10s;
         EXPECT_EQ(nextKeys(), Keys{});
-        writer().replicaRefreshed();
+        writer().resumeAfterRefresh();
     }
     EXPECT_EQ(nextKeys(), Keys{key});
 }
 
 TEST_F(StateWriterTest, TransactionRefusedThenSentAgainAfterAPause) {
-    finish(accept("wk-1", 1), 0);
-    for (const auto status : {TransactionStatus::refused, TransactionStatus::rateLimited}) {
+    setFinished(accept("wk-1", 1), 0);
+    for (const auto status : {TransactionStatus::unavailable, TransactionStatus::rateLimited}) {
         ASSERT_EQ(nextKeys().size(), 1u);
         EXPECT_EQ(handleResult(status).followUp, FollowUp::none);
         EXPECT_EQ(nextKeys(), Keys{});  // 200 ms later
@@ -199,12 +199,12 @@
 
 TEST_F(StateWriterTest, SingleBitmapTooLargeThenCutIntoSmallerRanges) {
     auto& job = accept("wk-1", 2000, 2000);
-    finish(job, 0);
-    ASSERT_EQ(nextKeys(), Keys{storage::keys::doneChunk("wk-1", 0)});
+    setFinished(job, 0);
+    ASSERT_EQ(nextKeys(), Keys{storage::keys::bitmapChunk("wk-1", 0)});
     handleResult(TransactionStatus::tooLarge);
     const auto keys = nextKeys();
     ASSERT_EQ(keys.size(), 1u);
-    EXPECT_NE(keys.front(), storage::keys::doneChunk("wk-1", 0));
+    EXPECT_NE(keys.front(), storage::keys::bitmapChunk("wk-1", 0));
     handleResult(TransactionStatus::applied);
     EXPECT_TRUE(job.isDone(0));
 }
@@ -212,12 +212,12 @@
 TEST_F(StateWriterTest, EntriesOfMachinesWithoutHeartbeatAreWrittenLast) {
     addMachine("m0", 0);
     addMachine("m1", 1);
-    finish(accept("wk-1", 1), 0);
-    finish(accept("wk-2", 10), 0);
+    setFinished(accept("wk-1", 1), 0);
+    setFinished(accept("wk-2", 10), 0);
     types["cpu"].name = std::string("cpu");
-    writer().noteTypesChanged();
+    writer().markTypesUnstored();
     EXPECT_EQ(nextKeys(), (Keys{storage::keys::machine("m1"), storage::keys::job("wk-1"),
-                                storage::keys::kTypes, storage::keys::doneChunk("wk-2", 0)}));
+                                storage::keys::kTypes, storage::keys::bitmapChunk("wk-2", 0)}));
     handleResult(TransactionStatus::applied);
     EXPECT_EQ(replica.types.size(), 1u);
     EXPECT_EQ(nextKeys(), Keys{storage::keys::machine("m0")});
@@ -235,7 +235,7 @@
 
 TEST_F(StateWriterTest, JobForgottenThenItsWritesAreDiscarded) {
     auto& job = accept("wk-1", 1);
-    finish(job, 0);
-    writer().forget(job);
+    setFinished(job, 0);
+    writer().discardWrites(job);
     EXPECT_EQ(nextKeys(), Keys{});
 }
--- a/tests/storage/store_limits_test.cpp
+++ b/tests/storage/store_limits_test.cpp
@@ -6,7 +6,7 @@
 
 #include <sstream>
 
-#include "leadership/service_controller.h"
+#include "leadership/controller_harness.h"
 #include "protocol/msgpack_codec.h"
 
 using namespace burlpoint;
@@ -15,14 +15,14 @@
 
 namespace {
 
-using StoreLimits = ServiceControllerTest;
+using StoreLimits = ControllerHarnessTest;
 
 }  // namespace
 
 // A job whose record exceeds the lower of the current and the next limit must be rejected before anything is
 // stored, unless it was already accepted under the higher limit. Bitmap chunks must fit the lower limit.
 TEST_F(StoreLimits, SubmissionBeyondTheNextLimitsIsRefused) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.config.nextStoreLimits = protocol::StoreLimits{28, 2, 10};
     node.runUntil([&] { return node.watcher.synced(); });
     const auto longTexts = [](const std::string& id) {
@@ -61,7 +61,7 @@
 // When the store's value limit is lower than in the settings, no accepted job may be lost, and no job may be
 // accepted without being stored.
 TEST_F(StoreLimits, UnannouncedLowerLimitLosesNoAcceptedJob) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     auto spec = protocol::JobSpec{};
     spec.id = "wk-1";
@@ -89,7 +89,7 @@
 // A submission whose write exceeds the store's rate limit is retried a few times and then answered with 503
 // and Retry-After. A later submission of the job must succeed.
 TEST_F(StoreLimits, RateLimitedSubmissionIsRetriedBeforeItIsRefused) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     node.runUntil([&] { return node.watcher.synced(); });
     stub.store.limits.changes = 0;
     const auto rejected = node.callApi("POST", "/submissions", submission("wk-1"));
@@ -105,7 +105,7 @@
 // Each reason for which the store rejects a transaction has its own status. The first rejection for the size
 // and for the rate limit is logged, later ones are not.
 TEST_F(StoreLimits, EachRefusalOfATransactionHasItsOwnStatus) {
-    ServiceController node(io, stub);
+    ControllerHarness node(io, stub);
     std::ostringstream log;
     const auto previousLogger = spdlog::default_logger();
     const auto capturingLogger =
@@ -119,7 +119,7 @@
     };
     const auto status = [&](const protocol::KeyWrite& write) {
         std::optional<storage::TransactionStatus> out;
-        node.state.transact({}, {write}, 1s,
+        node.store.transact({}, {write}, 1s,
                             [&](const storage::TransactionResult& result) { out = result.status; });
         node.runUntil([&] { return out.has_value(); });
         return *out;
@@ -135,7 +135,7 @@
     EXPECT_EQ(status({"bp/x", MessagePacker().value("0123456789b").str(), 0}),
               storage::TransactionStatus::tooLarge);
     stub.outage = true;
-    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::refused);
+    EXPECT_EQ(status({"bp/x", value, 0}), storage::TransactionStatus::unavailable);
     // Each kind of rejection is logged once.
     EXPECT_EQ(count("[error] key-value store rejected a transaction over its size limit writes=1 bytes="),
               1u);
--- a/tests/storage/task_bitmap_test.cpp
+++ b/tests/storage/task_bitmap_test.cpp
@@ -10,7 +10,7 @@
 
 #include "protocol/errors.h"
 #include "protocol/msgpack_codec.h"
-#include "state/lowered_limits_fixture.h"
+#include "state/lowered_limits_harness.h"
 #include "storage/keys.h"
 #include "storage/store_stub.h"
 
@@ -118,23 +118,23 @@
     harness.accept(spec, kChunkTasksFor8KiB);
     const auto earlierBits = bitmapOf(everyNth(7, 0, 40'000), 40'000);
     for (std::size_t chunk = 0; chunk < 3; ++chunk)
-        harness.put(storage::keys::doneChunk("wk-1", chunk),
+        harness.put(storage::keys::bitmapChunk("wk-1", chunk),
                     storage::encodeBits(earlierBits, chunk * kChunkTasksFor8KiB, kChunkTasksFor8KiB));
-    const auto chunkBefore = harness.store.values.at(storage::keys::doneChunk("wk-1", 0)).data;
+    const auto chunkBefore = harness.store.values.at(storage::keys::bitmapChunk("wk-1", 0)).data;
     harness.startLeader();
     harness.heartbeat("wk-1", everyNth(7, 1, 40'000));
     harness.run(5);
     auto expectedBits = bitmapOf(everyNth(7, 1, 40'000), 40'000);
     for (std::size_t t = 0; t < expectedBits.size(); t += 7) expectedBits[t] = true;
     EXPECT_EQ(harness.storedBitmap("wk-1"), expectedBits);
-    EXPECT_EQ(harness.store.values.at(storage::keys::doneChunk("wk-1", 0)).data, chunkBefore);
+    EXPECT_EQ(harness.store.values.at(storage::keys::bitmapChunk("wk-1", 0)).data, chunkBefore);
     const auto readByPrevious = readByPreviousVersion(harness.store, spec, kChunkTasksFor8KiB);
     EXPECT_TRUE(contains(readByPrevious, earlierBits));
     EXPECT_TRUE(contains(expectedBits, readByPrevious));
     // A leader of the previous version stores the bits that it knows and one more.
     auto more = readByPrevious;
     more[5] = true;
-    harness.put(storage::keys::doneChunk("wk-1", 0), storage::encodeBits(more, 0, kChunkTasksFor8KiB));
+    harness.put(storage::keys::bitmapChunk("wk-1", 0), storage::encodeBits(more, 0, kChunkTasksFor8KiB));
     expectedBits[5] = true;
     EXPECT_EQ(harness.storedBitmap("wk-1"), expectedBits);
 }
--- a/tests/upgrade/store_check_test.cpp
+++ b/tests/upgrade/store_check_test.cpp
@@ -30,7 +30,7 @@
         write(storage::keys::job(id), storage::encodeJob(record));
     }
     void writeBitmap(const std::vector<bool>& bits) {
-        write(storage::keys::doneChunk(kJob, 0), storage::encodeBits(bits, 0, bits.size()));
+        write(storage::keys::bitmapChunk(kJob, 0), storage::encodeBits(bits, 0, bits.size()));
     }
     void complete(std::initializer_list<std::uint32_t> tasks) { oracle.job(kJob).completed = tasks; }
 
@@ -49,7 +49,7 @@
     writeBitmap({true, false});
     complete({0, 1});
     writeRecord(TerminalState::done);
-    write(storage::keys::doneChunk(kJob, 0), std::nullopt);
+    write(storage::keys::bitmapChunk(kJob, 0), std::nullopt);
     write(storage::keys::kToken, storage::encodeToken(2));
     EXPECT_EQ(oracle.violations, std::vector<std::string>());
     EXPECT_EQ(check.leaderTerms(), 1u);
@@ -111,7 +111,7 @@
 TEST_F(StoreCheckTest, BitmapDeletedBeforeATerminalStateIsReported) {
     writeRecord(TerminalState::none);
     writeBitmap({false, false});
-    write(storage::keys::doneChunk(kJob, 0), std::nullopt);
+    write(storage::keys::bitmapChunk(kJob, 0), std::nullopt);
     EXPECT_EQ(firstViolation(oracle),
               std::string("the bitmap of ") + kJob + " was deleted before a terminal state");
 }
--- a/tests/workers/failure_detector_test.cpp
+++ b/tests/workers/failure_detector_test.cpp
@@ -23,14 +23,14 @@
 
     protocol::Settings settings;
     bookkeeping::Fleet fleet;
-    const Time began{1000s};
-    Time now = began;
+    const Time leadershipStart{1000s};
+    Time now = leadershipStart;
     std::uint64_t fencingToken = 5;
     std::optional<FailureDetector> created;
 
     /// The detector is created on first use, so that a test can set the fencing token before.
     FailureDetector& detector() {
-        if (!created) created.emplace(settings, fleet, fencingToken, began, 31s);
+        if (!created) created.emplace(settings, fleet, fencingToken, leadershipStart, 31s);
         return *created;
     }
     /// Adds a reconciled machine whose last heartbeat arrived at `now`.
@@ -45,7 +45,7 @@
     Machine& addUnreconciledMachine(const std::string& id) {
         auto& machine = fleet.add(id, now);
         machine.registry.reconciled = false;
-        machine.lease.lastHeartbeat = began;
+        machine.lease.lastHeartbeat = leadershipStart;
         return machine;
     }
     FailureDetector::Findings findings() {
@@ -74,17 +74,17 @@
 
 TEST_F(FailureDetectorTest, ProbesAreDelayedAfterLeadershipBegins) {
     auto& machine = addUnreconciledMachine("m1");
-    now = began + 1500ms;
+    now = leadershipStart + 1500ms;
     EXPECT_TRUE(findings().toProbe.empty());
-    now = began + 1501ms;
+    now = leadershipStart + 1501ms;
     EXPECT_EQ(findings().toProbe, Machines{&machine});
 }
 
 TEST_F(FailureDetectorTest, MachineWithoutProbeAnswerHasFailed) {
     auto& machine = addUnreconciledMachine("m1");
-    now = began + 12s;
+    now = leadershipStart + 12s;
     EXPECT_TRUE(findings().failedMachines.empty());
-    now = began + 12001ms;
+    now = leadershipStart + 12001ms;
     EXPECT_EQ(findings().failedMachines, Machines{&machine});
     machine.agent.probedAt = now - 1s;
     EXPECT_TRUE(findings().failedMachines.empty()) << "it has answered a probe";
@@ -114,7 +114,7 @@
 
 TEST_F(FailureDetectorTest, NoMachineFailsWhileManyAreSuspected) {
     for (const auto* id : {"m1", "m2", "m3"}) addUnreconciledMachine(id);
-    now = began + 13s;
+    now = leadershipStart + 13s;
     for (int i = 0; i < 8; ++i) addSendingMachine("up" + std::to_string(i));
     EXPECT_TRUE(findings().failedMachines.empty()) << "three of eleven";
     addSendingMachine("up8");
@@ -135,7 +135,7 @@
 TEST_F(FailureDetectorTest, LeaderWithoutHeartbeatsIsIsolated) {
     addUnreconciledMachine("m1");
     addUnreconciledMachine("m2");
-    now = began + 10500ms;  // the suspicion timeout of 4.5 s plus 6 s
+    now = leadershipStart + 10500ms;  // the suspicion timeout of 4.5 s plus 6 s
     EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
     EXPECT_EQ(findings().isolation, Isolation::lostWorkers);
@@ -145,7 +145,7 @@
     fencingToken = 8;  // with three controllers, one leadership in four stays: 8 is a multiple of 4
     addUnreconciledMachine("m1");
     addUnreconciledMachine("m2");
-    now = began + 51s;  // the lease bound of 31 s plus 20 s
+    now = leadershipStart + 51s;  // the lease bound of 31 s plus 20 s
     EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
     EXPECT_EQ(findings().isolation, Isolation::neverReached);
--- a/tests/workers/heartbeat_reconciler_test.cpp
+++ b/tests/workers/heartbeat_reconciler_test.cpp
@@ -128,7 +128,7 @@
     auto& job = accept(spec("wk-1"));
     auto& host = machine("m1");
     const auto running = task(place(host, job, 0), TaskState::running);
-    job.finish(0);
+    job.setFinished(0);
     apply(host, status(host, {running}));
     EXPECT_EQ(countStopping(host), 1u);
 }
--- a/tests/workers/worker_commands_test.cpp
+++ b/tests/workers/worker_commands_test.cpp
@@ -32,7 +32,7 @@
         record.terminalState = terminalState;
         const auto body = storage::encodeJob(record);
         const auto packed = protocol::unpackBody(body);
-        std::vector<bookkeeping::Change> changes;
+        std::vector<bookkeeping::ReplicaChange> changes;
         EXPECT_TRUE(replica.apply({storage::keys::job(id), &packed.get(), 1}, changes));
         auto& job = *replica.find(id);
         job.beginRun(bookkeeping::JobOrigin::accepted, Time{});
@@ -58,7 +58,7 @@
 TEST_F(WorkerCommandsTest, DoneTaskIsAcknowledgedOnlyOnceItsBitIsStored) {
     auto& job = accept("wk-1", TerminalState::none);
     addToHeartbeat("wk-1", 3, TaskState::exited, ExitReason::done);
-    job.finish(3);
+    job.setFinished(3);
     EXPECT_TRUE(cleanupCommands().empty());
     job.setDone(3);
     ASSERT_EQ(cleanupCommands().size(), 1u);
