--- a/src/bookkeeping/job_run.h
+++ b/src/bookkeeping/job_run.h
@@ -21,7 +21,7 @@
 enum class JobOrigin {
     /// Accepted under this leader: no earlier leader can have started its tasks.
     accepted,
-    /// Accepted before this leadership: its tasks may be on machines that this leader has not heard from.
+    /// Accepted before this leadership: its tasks may be on machines that have sent this leader no heartbeat.
     inherited
 };
 
--- a/src/bookkeeping/machine.h
+++ b/src/bookkeeping/machine.h
@@ -39,15 +39,15 @@
     std::uint64_t incarnation = 0;  // of the newest message
     std::uint64_t sequence = 0;     // of the newest message
     Time lastMessageAt{};           // when the newest message arrived
-    /// The worker has reported this leader's fencing token: no command of an earlier leader can start a task
-    /// any more, and the worker's list of tasks is complete.
+    /// The worker has reported this leader's fencing token: commands of earlier leaders can no longer start
+    /// tasks, and the worker's list of tasks is complete.
     bool acknowledged = false;
     /// Number of consecutive responses that did not reach the worker, as its next heartbeats showed.
     std::uint32_t undeliveredResponses = 0;
     /// Number of consecutive heartbeats that were older than the newest message.
     std::uint32_t staleHeartbeats = 0;
-    /// The worker's message counters restarted, so delayed copies cannot be told from new messages. All its
-    /// messages are ignored, and the machine is replaced.
+    /// The worker's message counters restarted, so delayed copies cannot be distinguished from new messages.
+    /// All its messages are ignored, and the machine is replaced.
     bool quarantined = false;
     std::optional<Time> unreachableSince;  // since when neither responses nor commands seem to reach it
     bool probing = false;                  // a probe is in progress
@@ -61,7 +61,7 @@
 struct WorkerLease {
     bool active = false;  // a heartbeat was answered, and the lease has not expired since
     Time lastHeartbeat{};
-    Time until = Time::max();  // by then the worker has stopped its tasks unless the lease is renewed
+    Time until = Time::max();  // by this time the worker has stopped its tasks unless the lease is renewed
 };
 
 /// The state of the machine in the cloud. Written by the modules that handle the cloud's lists of machines,
--- a/src/bookkeeping/machine_status.h
+++ b/src/bookkeeping/machine_status.h
@@ -18,8 +18,8 @@
     return stored != replica.registeredMachines.end() && !stored->second.record.address.empty();
 }
 
-/// True if the machine has sent a heartbeat to this or an earlier leader. If such a machine sends none any
-/// more, it is not booting but lost.
+/// True if the machine has sent a heartbeat to this or an earlier leader. If such a machine no longer
+/// sends any, it is not booting but lost.
 inline bool wasUp(const Machine& machine, const StateReplica& replica) {
     return machine.agent.incarnation > 0 || mayHoldTasks(replica, machine.id);
 }
--- a/src/coordination/api/job_cancellation.h
+++ b/src/coordination/api/job_cancellation.h
@@ -25,8 +25,8 @@
         : settings_(settings), store_(store), replica_(replica), watcher_(watcher), queries_(queries) {}
 
     /// Cancels the job unless it is in a terminal state, and replies with its state. Replies with 404 if no
-    /// such job was accepted, and with 503 if the key-value store does not answer or refuses the write, or if
-    /// another writer keeps changing the job's record.
+    /// such job was accepted, and with 503 if the key-value store does not answer or does not apply the
+    /// write, or if another writer keeps changing the job's record.
     void cancel(const std::string& id, const transport::Reply& reply);
 
   private:
--- a/src/coordination/api/submission_queue.h
+++ b/src/coordination/api/submission_queue.h
@@ -44,7 +44,8 @@
     /// Appends a submission to the queue of its team.
     void add(Submission submission);
 
-    /// Puts a submission whose write the key-value store refused back at the front of the queue of its team.
+    /// Puts a submission whose write was not applied, because the key-value store was unavailable or the
+    /// write exceeded its rate limit, back at the front of the queue of its team.
     void requeue(Submission submission);
 
     /// Removes and returns the submissions that have waited for longer than `kMaxWait`. The caller replies to
@@ -59,7 +60,7 @@
     /// Records that the write of a submission returned by `takeNext` has ended, whatever its outcome.
     void writeCompleted() { --writesInFlight_; }
 
-    /// Records that the key-value store refused a write because of its rate limit, which reduces the write
+    /// Records that the key-value store rejected a write because of its rate limit, which reduces the write
     /// budget for a while.
     void recordRateLimit(Time now) { writeBudget_.recordRejection(now); }
 
--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr auto kWriteTimeout = 1200ms;  // users wait for 2 s
-constexpr auto kRetryPause = 120ms;     // before a refused submission is written again
+constexpr auto kRetryPause = 120ms;     // before a requeued submission is written again
 constexpr auto kQueuePause = 50ms;      // before a queue that waits for the write budget is served again
 
 }  // namespace
--- a/src/coordination/api/submission_writer.h
+++ b/src/coordination/api/submission_writer.h
@@ -35,8 +35,9 @@
     void serveQueueAfter(Duration pause);
     void write(Submission submission);
     void writeCompleted(const Submission& submission, const storage::TransactionResult& result);
-    /// Handles a write that the key-value store refused temporarily: requeues the submission if it arrived
-    /// less than `SubmissionQueue::kMaxWait / 2` ago, and otherwise replies with 503.
+    /// Handles a write that was not applied because the key-value store was unavailable or the write exceeded
+    /// its rate limit: requeues the submission if it arrived less than `SubmissionQueue::kMaxWait / 2` ago,
+    /// and otherwise replies with 503.
     void retryOrGiveUp(const Submission& submission);
 
     const protocol::Settings& settings_;
--- a/src/coordination/autoscaling/autoscaler.h
+++ b/src/coordination/autoscaling/autoscaler.h
@@ -54,8 +54,8 @@
                const bookkeeping::StateReplica& replica, std::uint64_t fencingToken, Time now);
 
     /// Returns the requests to be sent now, within the budget of cloud requests: instance requests first,
-    /// then a deletion, then listings. Sets `deletionRequested` of the machines to delete, so that nothing is
-    /// started on them any more. The `typeInfo` of the fleet's machines points into `types`.
+    /// then a deletion, then listings. Sets `deletionRequested` of the machines to delete, so that no more
+    /// tasks are started on them. The `typeInfo` of the fleet's machines points into `types`.
     ScalingRequests decide(bookkeeping::Fleet& fleet, const bookkeeping::MachineTypes& types,
                            const WaitingWork& work, Time now);
 
--- a/src/coordination/autoscaling/capacity_plan.cpp
+++ b/src/coordination/autoscaling/capacity_plan.cpp
@@ -71,8 +71,8 @@
     planMissingMachines(demand);
 }
 
-/// Selects the zone for a gang without running tasks: a zone with room for the whole gang, or one where
-/// machines for the rest can be obtained. Empty if there is none.
+/// Selects the zone for a gang without running tasks: a zone with capacity for the whole gang, or one
+/// where machines for the rest can be obtained. Empty if there is none.
 std::optional<std::string> CapacityPlan::gangZone(const TaskDemand& demand) const {
     auto capacityPerZone = packing_.capacityPerZone(demand);
     for (const auto& zone : inputs_.settings.zones) capacityPerZone.try_emplace(zone, 0);
--- a/src/coordination/autoscaling/zone_rules.h
+++ b/src/coordination/autoscaling/zone_rules.h
@@ -33,7 +33,7 @@
     std::uint32_t requestedMachines = 0;  // not up yet, and needed by earlier jobs of the plan
 };
 
-/// Returns the zone with room for most of the gang's tasks; of several, the one with the fewest requested
+/// Returns the zone with capacity for most of the gang's tasks; of several, the one with the fewest requested
 /// machines, then the first. Empty if there is no candidate.
 std::optional<std::string> selectGangZone(const std::vector<GangZoneCandidate>& candidates);
 
--- a/src/coordination/controller/heartbeat_forwarder.cpp
+++ b/src/coordination/controller/heartbeat_forwarder.cpp
@@ -55,8 +55,8 @@
     const auto known = peers_.knownLeader(now);
     if (role == LocalRole::leader || heartbeat.origin == HeartbeatOrigin::peer || !known)
         return heartbeat.reply(redirectTo(""));
-    // A leader that has not been heard from recently may be down; a worker redirected to it would run into a
-    // timeout.
+    // A leader that has sent no status message recently may be down; a worker redirected to it would run into
+    // a timeout.
     const auto& leader = known->node;
     if (!peers_.inTouch(leader, now)) return heartbeat.reply(redirectTo(peers_.peerInTouchWithLeader(now)));
     std::string machine;
--- a/src/coordination/controller/heartbeat_handler.cpp
+++ b/src/coordination/controller/heartbeat_handler.cpp
@@ -38,7 +38,8 @@
 void HeartbeatHandler::handle(const HeartbeatReceived& event, Time now) {
     const Heartbeat& heartbeat = event.heartbeat;
     if (hasNewerToken(heartbeat)) {
-        // A higher fencing token proves that another controller has become leader, whoever reports it.
+        // A higher fencing token proves that another controller has become leader, whichever worker sent the
+        // heartbeat.
         refuse(event);
         context_.actions.emplace_back(Resign{ResignationReason::newerTokenSeen});
         return;
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -115,8 +115,8 @@
     if (!known || hasResigned(*replica_.leader)) return Duration(0);
     if (role_ == Role::leader || role_ == Role::candidate || !watcher_.synced()) return Duration(0);
     if (now - store_.lastAnswerAt() < kOutageAfter) return Duration(0);
-    // A delayed transaction of an earlier attempt of this controller cannot succeed any more: its conditions
-    // no longer hold, as this leader's key has been written since.
+    // A delayed transaction of an earlier attempt of this controller can no longer succeed: its conditions
+    // do not hold, as this leader's key has been written since.
     return votes_.giveVote(fencingToken, now);
 }
 
--- a/src/coordination/state/machine_registry.h
+++ b/src/coordination/state/machine_registry.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The machine registry: the stored list of machines, which tells the next leader where tasks of this leader
-// may run. Decides which entries must be written or deleted and when an entry counts as stored. Owns the
-// pending additions and removals. The replica holds the entries as stored, and a machine's `registry.state`
-// in the fleet decides whether tasks may be started on it. StateWriter sends the writes.
+// The machine registry: the stored list of machines, from which the next leader learns where tasks of this
+// leader may run. Decides which entries must be written or deleted and when an entry counts as stored. Owns
+// the pending additions and removals. The replica holds the entries as stored, and a machine's
+// `registry.state` in the fleet decides whether tasks may be started on it. StateWriter sends the writes.
 
 #include <cstdint>
 #include <set>
@@ -21,9 +21,9 @@
     MachineRegistry(bookkeeping::StateReplica& replica, bookkeeping::Fleet& fleet);
 
     /// Returns the entry that the machine should have. The entry has no address until the machine has sent a
-    /// heartbeat. An entry without an address only tells the next leader that the machine exists. No task may
-    /// be started on the machine while its stored entry has no address, so that a new leader need not assume
-    /// tasks, and thus an active lease, on machines that are still booting.
+    /// heartbeat. An entry without an address only informs the next leader that the machine exists. No task
+    /// may be started on the machine while its stored entry has no address, so that a new leader need not
+    /// assume tasks, and thus an active lease, on machines that are still booting.
     static storage::MachineRecord expectedEntry(const bookkeeping::Machine& machine);
     /// True if an earlier leader may have started a task on the machine, that is, if its stored entry has an
     /// address.
--- a/src/coordination/state/transaction_draft.h
+++ b/src/coordination/state/transaction_draft.h
@@ -33,7 +33,7 @@
     };
     struct TerminalRecord {
         bookkeeping::Job* job;
-        std::uint64_t endedMs;  // time of day, in milliseconds since 1970
+        std::uint64_t endedMs;  // wall-clock time, in milliseconds since 1970
     };
     struct Bitmap {
         bookkeeping::Job* job;
--- a/src/coordination/workers/isolation_detector.cpp
+++ b/src/coordination/workers/isolation_detector.cpp
@@ -28,8 +28,8 @@
 void IsolationDetector::recordSuspension(Time now) { lastHeartbeat_ = now; }
 
 /// If every controller in turn finds itself cut off, the machines are really gone. Some leader must then stay
-/// until the machines' leases have expired, or the controllers would resign in favour of each other for ever.
-/// Such a leader resigns as well if not even the replacement machines reach it.
+/// until the machines' leases have expired, or the controllers would resign in favour of each other without
+/// end. Such a leader resigns as well if not even the replacement machines reach it.
 Isolation IsolationDetector::evaluate(std::size_t alive, std::size_t suspected, Time now) {
     if (allWorkersSilent(alive, suspected, now)) {
         leadsWithoutWorkers_ = mayLeadWithoutWorkers();
--- a/src/coordination/workers/isolation_detector.h
+++ b/src/coordination/workers/isolation_detector.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// Decides whether a leader is cut off from the workers. If no machine sends heartbeats any more, a fault of
-// this controller's network is more likely than a failure of all machines at once, so another controller
-// should lead. Owns the record of whether and when any worker last reached this leader. Used on the thread
-// that owns the leader.
+// Decides whether a leader is cut off from the workers. If no machine sends heartbeats, a fault of this
+// controller's network is more likely than a failure of all machines at once, so another controller should
+// lead. Owns the record of whether and when any worker last reached this leader. Used on the thread that owns
+// the leader.
 
 #include <cstddef>
 #include <cstdint>
--- a/src/protocol/settings.h
+++ b/src/protocol/settings.h
@@ -68,7 +68,7 @@
     Seconds workerLease{30};       ///< duration of a worker's lease, from its last acknowledged heartbeat
     Seconds gangWaitTimeout{40};   ///< how long a task of a gang waits for the others
     Seconds gangPeerTimeout{8};    ///< time within which a gang ends after one of its tasks has exited
-    Seconds cancelTimeout{45};     ///< time after which no task of a cancelled job runs any more
+    Seconds cancelTimeout{45};     ///< time after which no task of a cancelled job still runs
 
     // Limits of the key-value store, for all controllers together.
     double storeRequestsPerSecond = 100;
--- a/src/protocol/worker_messages.h
+++ b/src/protocol/worker_messages.h
@@ -36,7 +36,7 @@
     unknownAttempt  ///< the worker does not know the attempt
 };
 
-/// What a command tells a worker to do with an attempt.
+/// What a command requests of a worker for an attempt.
 enum class CommandKind {
     start,
     stop,
--- a/src/storage/keys.h
+++ b/src/storage/keys.h
@@ -29,8 +29,8 @@
 /// Older versions of the controller know only chunks. They can't parse this key as a chunk number, and skip
 /// it without an error. They see fewer finished tasks than are stored, as if the other tasks had not been
 /// written yet. That is safe: a task that such a version restarts exits with "done" as soon as its image has
-/// been fetched; the job is recorded as done only after every task was seen as done, which is true by then;
-/// and chunks are stored under other keys, so no bit is lost.
+/// been fetched; the job is recorded as done only after every task was seen as done, and then all of them are
+/// done; and chunks are stored under other keys, so no bit is lost.
 ///
 /// The bits can't be stored under a chunk's key instead. Older versions assign the first digit of a value to
 /// the first task of its chunk, so a value within the limit could not cover the later tasks of the chunk. A
--- a/src/storage/task_bitmap.h
+++ b/src/storage/task_bitmap.h
@@ -17,7 +17,7 @@
 /// of the four is in the digit's lowest bit.
 std::string encodeBits(const std::vector<bool>& bits, std::size_t first, std::size_t count);
 /// Sets the bits of [first, first + count) that are set in `value`, and leaves all others unchanged. Throws
-/// `protocol::MalformedMessage` if the value is malformed; some bits may have been set by then.
+/// `protocol::MalformedMessage` if the value is malformed; some bits may already have been set.
 void decodeBits(const msgpack::object& value, std::vector<bool>& bits, std::size_t first, std::size_t count);
 
 }  // namespace burlpoint::storage
--- a/src/storage/token_bucket.h
+++ b/src/storage/token_bucket.h
@@ -18,7 +18,7 @@
   public:
     /// `ratePerSecond`: the maximum and initial rate.
     /// `announcedRatePerSecond`: a limit that the service has announced for an unspecified later time. It
-    /// caps the rate from the first rejection on: either the lower limit is in force by then, or too many
+    /// caps the rate from the first rejection on: either the lower limit is already in force, or too many
     /// clients share the higher one.
     TokenBucket(double ratePerSecond, Time now, double announcedRatePerSecond = kNoAnnouncedRate)
         : maxRatePerSecond_(ratePerSecond),
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -35,7 +35,8 @@
 
     asio::ip::tcp::endpoint localEndpoint() const { return acceptor_.local_endpoint(); }
     std::size_t connections() const { return connections_.size(); }
-    /// True if so many connections are open that each is closed after its response.
+    /// True if the number of open connections is close to the limit. Each connection is then closed after
+    /// its response.
     bool isNearConnectionLimit() const;
 
   private:
--- a/tests/controller/leader_waiting_test.cpp
+++ b/tests/controller/leader_waiting_test.cpp
@@ -223,7 +223,7 @@
 namespace {
 
 /// Returns the time in seconds until the first task of `job` starts on one of the machines, while the listed
-/// tasks keep running. Returns 150 if none starts by then.
+/// tasks keep running. Returns 150 if none starts within 150 s.
 double secondsUntilStartWhileOthersRun(LeaderHarness& harness, const std::string& job,
                                        const std::map<std::string, std::vector<TaskStatus>>& machines) {
     for (int second = 0; second < 150; ++second) {
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -52,7 +52,8 @@
               0u);
 }
 
-// A candidate whose attempt began while nobody led must not depose a controller that won in the meantime.
+// A candidate whose attempt began while no controller led must not depose a controller that won in the
+// meantime.
 TEST_F(Leadership, AnotherWinsDuringAttemptThenCandidateDoesNotDeposeIt) {
     ControllerHarness a(io, stub);
     a.runUntil([&] { return a.watcher.synced(); });
@@ -89,8 +90,8 @@
     EXPECT_EQ(a.fencingToken, 0u);
 }
 
-// A leader that the key-value store refuses cannot end its lease there. Once it has told its peers that it
-// resigned, they need not wait until the lease expires.
+// A leader that the key-value store refuses cannot end its lease there. Once it has notified its peers of
+// its resignation, they need not wait until the lease expires.
 TEST_F(Leadership, LeaderResignedThenPeerLeadsBeforeTheLeaseEnds) {
     ControllerHarness a(io, stub), b(io, stub, "two");
     while (!a.fencingToken) a.election.tick(Clock::now()), io.run_one_for(5ms);
--- a/tests/state/state_writer_test.cpp
+++ b/tests/state/state_writer_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr std::uint64_t kTokenVersion = 5;
-constexpr std::uint64_t kStartMs = 1'000'000;  // time of day at the start of a test
+constexpr std::uint64_t kStartMs = 1'000'000;  // wall-clock time at the start of a test
 
 struct StateWriterTest : testing::Test {
     StateWriterTest() {
--- a/tests/storage/key_value_client_test.cpp
+++ b/tests/storage/key_value_client_test.cpp
@@ -45,7 +45,7 @@
 }  // namespace
 
 // A controller that was disconnected while many large bitmaps were stored must read all keys by pages instead
-// of retrying the same watch for ever.
+// of retrying the same watch without end.
 TEST(KeyValueClient, OversizedWatchResponseRequiresFullRead) {
     OversizedResponses store;
     EXPECT_EQ(store.awaitRead([&](auto done) { store.client.watch("bp/", 7, 0ms, 5000ms, std::move(done)); }),
--- a/tests/upgrade/cancellation_upgrade_test.cpp
+++ b/tests/upgrade/cancellation_upgrade_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// The key-value store refuses the leader, another controller confirms a cancellation, and then the store
-/// fails for all controllers. The leader can stay leader on the votes of its peers, which tell it of the
+/// fails for all controllers. The leader can stay leader on the votes of its peers, which also report the
 /// cancellation. Waits until the cancelled job has no active tasks under this leader, and returns true.
 /// Returns false if the leader lease expired first: then no controller can lead until the outage is over.
 bool cancellationIsObeyedDuringOutage(Upgrade& test, std::size_t leading, std::size_t confirming) {
--- a/tests/upgrade/test_oracle.h
+++ b/tests/upgrade/test_oracle.h
@@ -24,7 +24,7 @@
         protocol::JobSpec spec;
         bool accepted = false;
         bool cancelRequested = false;                       // for the job or a dependency
-        std::optional<Time> cancelConfirmed{};              // when a user was first told of the cancellation
+        std::optional<Time> cancelConfirmed{};              // when the API first confirmed the cancellation
         std::optional<protocol::JobState> terminalState{};  // as a controller reported it to a user
         std::set<std::uint32_t> completed{};                // task numbers
         std::uint32_t completionLimit = 0;                  // number of tasks that the workers may complete
--- a/tests/workers/failure_detector_test.cpp
+++ b/tests/workers/failure_detector_test.cpp
@@ -145,7 +145,7 @@
     fencingToken = 8;  // with three controllers, one leadership in four stays: 8 is a multiple of 4
     addUnreconciledMachine("m1");
     addUnreconciledMachine("m2");
-    now = leadershipStart + 51s;  // the lease bound of 31 s plus 20 s
+    now = leadershipStart + 51s;  // the maximum lease duration of 31 s plus 20 s
     EXPECT_EQ(findings().isolation, Isolation::none);
     now += 1ms;
     EXPECT_EQ(findings().isolation, Isolation::neverReached);
