--- a/src/coordination/api/submission_writer.cpp
+++ b/src/coordination/api/submission_writer.cpp
@@ -19,9 +19,9 @@
 
 namespace {
 
-constexpr auto kWriteTimeout = 1200ms;  // users wait for 2 s
-constexpr auto kRetryPause = 120ms;     // before a requeued submission is written again
-constexpr auto kQueuePause = 50ms;      // before a queue that waits for the write budget is served again
+constexpr auto kWriteTimeout = 1200ms;     // users wait for 2 s
+constexpr auto kRetryPause = 120ms;        // before a requeued submission is written again
+constexpr auto kQueuePollInterval = 50ms;  // before a queue that waits for the write budget is served again
 
 }  // namespace
 
@@ -42,7 +42,7 @@
     for (const auto& expired : queue_.takeExpired(now))
         expired.reply(protocol::makeRetryLaterResponse(503, "the state service is busy"));
     while (auto submission = queue_.takeNext(now)) write(std::move(*submission));
-    if (!queue_.empty()) serveQueueAfter(kQueuePause);
+    if (!queue_.empty()) serveQueueAfter(kQueuePollInterval);
 }
 
 void SubmissionWriter::serveQueueAfter(Duration pause) {
--- a/src/coordination/controller/heartbeat_endpoint.cpp
+++ b/src/coordination/controller/heartbeat_endpoint.cpp
@@ -19,7 +19,7 @@
     if (request.method != "POST") return reply(protocol::makeMethodNotAllowedResponse("POST"));
     const auto now = Clock::now();
     if (!election_.valid(now) || !leader_.leader()) {
-        const auto role = election_.leading() ? LocalRole::leader : LocalRole::follower;
+        const auto role = election_.isLeader() ? LocalRole::leader : LocalRole::follower;
         return forwarder_.answer({std::move(request.body), origin, std::move(reply)}, role, now);
     }
     HeartbeatReceived event;
--- a/src/coordination/controller/heartbeat_forwarder.cpp
+++ b/src/coordination/controller/heartbeat_forwarder.cpp
@@ -58,7 +58,8 @@
     // A leader that has sent no status message recently may be down; a worker redirected to it would run into
     // a timeout.
     const auto& leader = known->node;
-    if (!peers_.inTouch(leader, now)) return heartbeat.reply(redirectTo(peers_.peerInTouchWithLeader(now)));
+    if (!peers_.hasRecentStatus(leader, now))
+        return heartbeat.reply(redirectTo(peers_.peerInTouchWithLeader(now)));
     std::string machine;
     try {
         machine = protocol::decodeHeartbeat(heartbeat.body).machine;
--- a/src/coordination/controller/peer_messenger.cpp
+++ b/src/coordination/controller/peer_messenger.cpp
@@ -29,10 +29,10 @@
     return context_.peers.isolatedFromStore(context_.store.lastAnswerAt(), now);
 }
 
-bool PeerMessenger::anyPeerInTouch(Time now) const {
+bool PeerMessenger::hasRecentPeerStatus(Time now) const {
     const auto& peers = context_.settings.peers;
     return std::any_of(peers.begin(), peers.end(),
-                       [&](const auto& peer) { return context_.peers.inTouch(peer.name, now); });
+                       [&](const auto& peer) { return context_.peers.hasRecentStatus(peer.name, now); });
 }
 
 PeerStatus PeerMessenger::ownStatus(Time now) const {
@@ -43,7 +43,7 @@
         std::chrono::duration_cast<std::chrono::milliseconds>(now - context_.store.lastAnswerAt());
     status.stateAgeMs = static_cast<std::uint64_t>(std::max<std::int64_t>(0, age.count()));
     const auto known = context_.peers.knownLeader(now);
-    if (known && context_.peers.inTouch(known->node, now)) status.leaderToken = known->fencingToken;
+    if (known && context_.peers.hasRecentStatus(known->node, now)) status.leaderToken = known->fencingToken;
     if (const auto* leader = context_.leader.leader(); leader && context_.election.valid(now)) {
         status.fencingToken = status.leaderToken = leader->fencingToken();
         status.running = leader->runningCounts();
--- a/src/coordination/controller/peer_messenger.h
+++ b/src/coordination/controller/peer_messenger.h
@@ -52,7 +52,7 @@
     bool onlyThisControllerRefused(Time now) const;
 
     /// True if a status of any peer arrived within the last 2.5 s.
-    bool anyPeerInTouch(Time now) const;
+    bool hasRecentPeerStatus(Time now) const;
 
   private:
     /// A sent status message, to which a peer's response is matched.
--- a/src/coordination/controller/periodic_tasks.cpp
+++ b/src/coordination/controller/periodic_tasks.cpp
@@ -43,7 +43,7 @@
 void PeriodicTasks::keepReplicaFresh(Time now) {
     if (now < nextRead_) return;
     const bool leading = context_.leader.leader() != nullptr;
-    const bool tooOldToLead = leading && now - context_.watcher.asOf() > kLeaderMaxReadAge;
+    const bool tooOldToLead = leading && now - context_.watcher.currentAsOf() > kLeaderMaxReadAge;
     if (!tooOldToLead && now - context_.store.lastAnswerAt() <= kMaxReadAge) return;
     nextRead_ = now + (leading ? kLeaderMaxReadAge : kMaxReadAge);
     context_.watcher.readLatest([](auto) {});
@@ -64,7 +64,7 @@
     // During an outage of the key-value store no peer could become leader, and a peer that cannot reach the
     // other controllers should not become leader.
     if (now - context_.store.lastAnswerAt() > kMaxStoreResponseAge) return;
-    if (!context_.peers.anyPeerInTouch(now)) return;
+    if (!context_.peers.hasRecentPeerStatus(now)) return;
     context_.overload.recordResignation(now);
     resign(ResignationReason::overloaded, now);
 }
--- a/src/coordination/leadership/election.cpp
+++ b/src/coordination/leadership/election.cpp
@@ -207,7 +207,7 @@
 }
 
 void Election::resign(Time now, Resignation resignation) {
-    if (!leading()) return;
+    if (!isLeader()) return;
     store_.revokeLease(lease_);
     stopLeading();
     if (resignation == Resignation::deferToPeers) earliestAttempt_ = now + kDeferralTime;
--- a/src/coordination/leadership/election.h
+++ b/src/coordination/leadership/election.h
@@ -51,15 +51,16 @@
 
     /// True if this controller may act as leader at `now`.
     bool valid(Time now) const {
-        return leading() && ((leaderLease_.valid(now) && now - watcher_.asOf() < maxTimeWithoutRead_) ||
-                             extendedByVotes(now));
+        return isLeader() &&
+               ((leaderLease_.valid(now) && now - watcher_.currentAsOf() < maxTimeWithoutRead_) ||
+                extendedByVotes(now));
     }
 
     /// True if this leader knows the recent cancellations: its last successful read was sent less than 1.5 s
     /// before `now`, or the votes of all peers are in force, which arrive with the cancellations that the
     /// peers know. If false, the leader must not start any task.
     bool cancellationsCurrent(Time now) const {
-        return now - watcher_.asOf() < kCancellationFreshness || extendedByVotes(now);
+        return now - watcher_.currentAsOf() < kCancellationFreshness || extendedByVotes(now);
     }
 
     /// How long a leader may act without a successful read of the key-value store while only the renewals of
@@ -82,7 +83,7 @@
     }
 
     /// True if this controller has the leader role. To act it also needs an unexpired lease, see `valid`.
-    bool leading() const { return role_ == Role::leader; }
+    bool isLeader() const { return role_ == Role::leader; }
 
     /// Records that the leader with `fencingToken` has resigned, as its status message to this controller
     /// says. Its key may then be replaced even if its lease in the key-value store has not expired, as
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -53,7 +53,7 @@
     return true;
 }
 
-bool PeerExchange::inTouch(const std::string& peer, Time now) const {
+bool PeerExchange::hasRecentStatus(const std::string& peer, Time now) const {
     const auto view = peers_.find(peer);
     return view != peers_.end() && now - view->second.lastStatusAt < kPeerTimeout;
 }
@@ -64,7 +64,7 @@
 std::optional<storage::LeaderRecord> PeerExchange::knownLeader(Time now) const {
     auto leader = replica_.leader;
     for (const auto& [name, view] : peers_)
-        if (inTouch(name, now) && view.ownFencingToken > (leader ? leader->fencingToken : 0))
+        if (hasRecentStatus(name, now) && view.ownFencingToken > (leader ? leader->fencingToken : 0))
             leader = storage::LeaderRecord{name, view.ownFencingToken};
     return leader;
 }
@@ -73,7 +73,7 @@
     const auto leader = knownLeader(now);
     if (!leader) return "";
     for (const auto& [name, view] : peers_)
-        if (name != leader->node && inTouch(name, now) && view.leaderToken >= leader->fencingToken)
+        if (name != leader->node && hasRecentStatus(name, now) && view.leaderToken >= leader->fencingToken)
             return name;
     return "";
 }
--- a/src/coordination/leadership/peer_exchange.h
+++ b/src/coordination/leadership/peer_exchange.h
@@ -34,7 +34,7 @@
     bool recordStatus(const protocol::PeerStatus& status, Time now);
 
     /// True if a status of the peer arrived within the last 2.5 s.
-    bool inTouch(const std::string& peer, Time now) const;
+    bool hasRecentStatus(const std::string& peer, Time now) const;
 
     /// The leader as far as this controller knows: the stored one, or a peer that is in touch and reports
     /// that it leads with a higher fencing token. Only for locating the leader, never a permission to act.
--- a/src/coordination/scheduling/degraded_first_scheduler.cpp
+++ b/src/coordination/scheduling/degraded_first_scheduler.cpp
@@ -21,7 +21,7 @@
 // below 64 KiB.
 constexpr std::size_t kMaxCommandsForStart = 250;
 // Heartbeat intervals for which capacity is reserved for a waiting job.
-constexpr int kReservedIntervals = 3;
+constexpr int kReservationIntervals = 3;
 
 WorkerCommand startCommand(const Job& job, std::uint32_t task, std::uint64_t attempt) {
     return {CommandKind::start, {job.spec.id, task, attempt}, Seconds(0)};
@@ -174,7 +174,7 @@
     if (!capacityWithPreemption(machine, job, now).covers(need)) return;
     if (!mayUse(machine, job, now)) return;
     if (context_.fleet.reservedMachineCount(job, now) >= run.waiting) return;
-    const auto until = now + toClockDuration(context_.settings.heartbeatInterval * kReservedIntervals);
+    const auto until = now + toClockDuration(context_.settings.heartbeatInterval * kReservationIntervals);
     context_.fleet.reserve(machine, job, until, ReservationKind::waiting);
 }
 
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -33,14 +33,14 @@
 
 // Heartbeat intervals for which freed capacity is reserved, in addition to the save time of the job for which
 // it is freed.
-constexpr int kReservedIntervals = 4;
-constexpr int kReservedIntervalsForGang = 3;
+constexpr int kReservationIntervals = 4;
+constexpr int kGangReservationIntervals = 3;
 
 // How long a job waits for capacity to become free without preemption, in heartbeat intervals. Capacity that
 // becomes free is seen within 1.5 heartbeat intervals.
 constexpr double kIntervalsUntilFree = 1.5;
 // A job with a wait objective waits for this share of the objective instead.
-constexpr double kShareOfObjective = 0.35;
+constexpr double kWaitShareOfObjective = 0.35;
 // An urgent job (a production job or one that needs accelerators) waits for this time, or for this share of
 // its wait objective if that is shorter.
 constexpr Seconds kUrgentWait{0.2};
@@ -54,7 +54,7 @@
 constexpr double kFetchLoss = 150;
 // Subtracted from the loss on a machine that is reserved for the gang, in processor seconds. It is far larger
 // than usual losses, so that such machines are preferred.
-constexpr double kReservedBonus = 1e6;
+constexpr double kOwnReservationBonus = 1e6;
 
 }  // namespace
 
@@ -113,7 +113,7 @@
     if (!objective) return wait;
     if (urgent || *objective < heartbeat * kShortObjectiveIntervals)
         return std::min(wait, *objective * kUrgentShareOfObjective);
-    return *objective * kShareOfObjective;
+    return *objective * kWaitShareOfObjective;
 }
 
 Time Preemption::reservationEnd(const Job& job, int heartbeatIntervals, Time now) const {
@@ -143,7 +143,7 @@
     auto survey = surveyCapacity(job, now);
     if (survey.expected >= job.run->waiting) return 0;
     const auto wanted = std::min(job.run->waiting - survey.expected, kMaxTasks);
-    const auto reservedUntil = reservationEnd(job, kReservedIntervals, now);
+    const auto reservedUntil = reservationEnd(job, kReservationIntervals, now);
     const auto maxInZone = maxTasksInZone(job.spec);
     std::size_t preempted = 0;
     for (const auto& plan : plansOn(survey.candidates, job, now)) {
@@ -232,7 +232,7 @@
     std::size_t used = 0;
     while (used < plans.size() && planned < size) planned += plans[used++].tasks;
     if (planned < size) return false;
-    const auto reservedUntil = reservationEnd(job, kReservedIntervalsForGang, now);
+    const auto reservedUntil = reservationEnd(job, kGangReservationIntervals, now);
     for (std::size_t i = 0; i < used; ++i) execute(plans[i], job, reservedUntil);
     return true;
 }
@@ -243,7 +243,7 @@
     for (const auto& [machine, tasks] : capacity.machines) {
         auto plan = planOn(*machine, job, std::min(tasks, job.spec.tasks), now);
         if (!plan) continue;
-        if (machine->reservation.job == &job) plan->loss -= kReservedBonus;
+        if (machine->reservation.job == &job) plan->loss -= kOwnReservationBonus;
         if (machine->spot) plan->loss += kSpotLoss * plan->tasks;
         if (!machine->hasImage(job.image())) plan->loss += kFetchLoss * plan->tasks;
         plans.push_back(std::move(*plan));
--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -135,7 +135,7 @@
     replica_.revision = std::max(replica_.revision, page.revision);
     replica_.updateEffectivePriorities();
     notifyChanges(changes);
-    asOf_ = std::max(asOf_, sent);
+    currentAsOf_ = std::max(currentAsOf_, sent);
 }
 
 void StateWatcher::applyCancellation(const std::string& id, std::uint64_t version) {
--- a/src/coordination/state/state_watcher.h
+++ b/src/coordination/state/state_watcher.h
@@ -44,7 +44,7 @@
     void readLatest(ReadCallback done);
     /// Returns the time up to which the replica holds everything that was stored: the latest time at which an
     /// answered read was sent.
-    Time asOf() const { return asOf_; }
+    Time currentAsOf() const { return currentAsOf_; }
     /// Applies a cancellation that this controller or a peer has confirmed and that no read has returned yet.
     void applyCancellation(const std::string& id, std::uint64_t version);
 
@@ -84,7 +84,7 @@
     bookkeeping::StateReplica& replica_;
     ChangeCallback onChange_;
     bool synced_ = false;
-    Time asOf_{};
+    Time currentAsOf_{};
 
     Load load_;
 
--- a/src/coordination/workers/failure_detector.cpp
+++ b/src/coordination/workers/failure_detector.cpp
@@ -66,7 +66,7 @@
     nextEvaluation_ = now + kEvaluationInterval;
     HealthSummary summary;
     for (auto& [id, machine] : fleet_.machines()) {
-        if (isMonitored(*machine)) ++(suspectedFor(*machine, now) ? summary.suspected : summary.alive);
+        if (isMonitored(*machine)) ++(suspicionDuration(*machine, now) ? summary.suspected : summary.alive);
         const bool mayHoldTasks = isMonitored(*machine) || !machine->placements.empty();
         if (now > machine->lease.until && mayHoldTasks) summary.expired.push_back(machine.get());
     }
@@ -91,7 +91,7 @@
 /// unreachable, or since the start of this leadership. Empty if the machine is not suspected. Heartbeats do
 /// not end the suspicion of a machine that has not shown this leader's fencing token or that does not receive
 /// what is sent to it.
-std::optional<Clock::duration> FailureDetector::suspectedFor(const Machine& machine, Time now) const {
+std::optional<Clock::duration> FailureDetector::suspicionDuration(const Machine& machine, Time now) const {
     if (isUnreconciled(machine)) return now - leadershipStart_;
     if (!machine.lease.active) return std::nullopt;
     if (machine.agent.unreachableSince) return now - *machine.agent.unreachableSince;
@@ -101,7 +101,7 @@
 
 void FailureDetector::evaluateMachine(Machine& machine, FailurePolicy policy, Time now,
                                       Findings& findings) const {
-    const auto suspected = suspectedFor(machine, now);
+    const auto suspected = suspicionDuration(machine, now);
     if (!suspected) return;
     // A probe carries the fencing token, so its answer reconciles a machine that can be reached. After a
     // failover most workers send a heartbeat without a probe and their responses are urgent, so probes are
--- a/src/coordination/workers/failure_detector.h
+++ b/src/coordination/workers/failure_detector.h
@@ -62,7 +62,7 @@
         suspend  // many are suspected at once, so the machines are probably not the cause
     };
     static FailurePolicy failurePolicy(const HealthSummary& summary);
-    std::optional<Clock::duration> suspectedFor(const bookkeeping::Machine& machine, Time now) const;
+    std::optional<Clock::duration> suspicionDuration(const bookkeeping::Machine& machine, Time now) const;
     void evaluateMachine(bookkeeping::Machine& machine, FailurePolicy policy, Time now,
                          Findings& findings) const;
     bool hasFailed(const bookkeeping::Machine& machine, Clock::duration suspected, Time now) const;
--- a/tests/leadership/leadership_test.cpp
+++ b/tests/leadership/leadership_test.cpp
@@ -158,14 +158,14 @@
     EXPECT_TRUE(election.valid(Clock::now()));
     EXPECT_TRUE(election.cancellationsCurrent(Clock::now()));
     // It may act for longer after the last read than it may start tasks.
-    EXPECT_FALSE(election.cancellationsCurrent(a.watcher.asOf() + 1900ms));
-    EXPECT_TRUE(election.valid(a.watcher.asOf() + 1500ms));
+    EXPECT_FALSE(election.cancellationsCurrent(a.watcher.currentAsOf() + 1900ms));
+    EXPECT_TRUE(election.valid(a.watcher.currentAsOf() + 1500ms));
     stub.failReads = true;
     int rounds = 0;
     for (; election.valid(Clock::now()) && rounds < 1000; ++rounds)
         election.tick(Clock::now()), io.run_one_for(20ms);
     EXPECT_LT(rounds, 1000);
-    EXPECT_TRUE(election.leading());
+    EXPECT_TRUE(election.isLeader());
     EXPECT_FALSE(stub.store.leases.empty());
     stub.failReads = false;
     a.watcher.readLatest([](coordination::FreshReadResult) {});
--- a/tests/leadership/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -58,11 +58,11 @@
 
 TEST_F(PeerExchangeTest, UnknownPeerThenItsStatusIsIgnored) {
     EXPECT_FALSE(exchange.recordStatus(status("four"), start));
-    EXPECT_FALSE(exchange.inTouch("four", start));
-    EXPECT_FALSE(exchange.inTouch("two", start));
+    EXPECT_FALSE(exchange.hasRecentStatus("four", start));
+    EXPECT_FALSE(exchange.hasRecentStatus("two", start));
     EXPECT_TRUE(exchange.recordStatus(status("two"), start));
-    EXPECT_TRUE(exchange.inTouch("two", start + 2499ms));
-    EXPECT_FALSE(exchange.inTouch("two", start + 2500ms));
+    EXPECT_TRUE(exchange.hasRecentStatus("two", start + 2499ms));
+    EXPECT_FALSE(exchange.hasRecentStatus("two", start + 2500ms));
 }
 
 TEST_F(PeerExchangeTest, LeaderOutOfTouchThenNamesAPeerInTouchWithThatLeader) {
