--- a/src/coordination/controller/heartbeat_forwarder.cpp
+++ b/src/coordination/controller/heartbeat_forwarder.cpp
@@ -59,7 +59,7 @@
     // a timeout.
     const auto& leader = known->node;
     if (!peers_.hasRecentStatus(leader, now))
-        return heartbeat.reply(redirectTo(peers_.peerInTouchWithLeader(now)));
+        return heartbeat.reply(redirectTo(peers_.peerWithRecentLeaderStatus(now)));
     std::string machine;
     try {
         machine = protocol::decodeHeartbeat(heartbeat.body).machine;
--- a/src/coordination/controller/leader.cpp
+++ b/src/coordination/controller/leader.cpp
@@ -97,14 +97,10 @@
     return std::exchange(actions_, {});
 }
 
-// --- workers ----------------------------------------------------------------------------------------------
-
 void Leader::on(const HeartbeatReceived& event) { heartbeatHandler_.handle(event, now_); }
 
 void Leader::on(const CommandsAnswered& event) { heartbeatHandler_.handle(event, now_); }
 
-// --- jobs and the key-value store -------------------------------------------------------------------------
-
 void Leader::on(const JobsChanged& event) { jobChangeHandler_.apply(event.ids, now_); }
 
 void Leader::on(const StateWritten& event) {
@@ -134,8 +130,6 @@
     registry_.ensureEntriesOfMachinesWithHeartbeat();
 }
 
-// --- the cloud provider -----------------------------------------------------------------------------------
-
 void Leader::on(const ScaleOutCompleted& event) { cloudResponseHandler_.handle(event, now_); }
 
 void Leader::on(const ScaleInCompleted& event) { cloudResponseHandler_.handle(event, now_); }
@@ -144,8 +138,6 @@
 
 void Leader::on(const TypesListed& event) { cloudResponseHandler_.handle(event); }
 
-// --- periodic work ----------------------------------------------------------------------------------------
-
 void Leader::on(const Tick&) {
     healthCheck_.tick(now_);
     inputs_.refresh(now_);
--- a/src/coordination/leadership/peer_exchange.cpp
+++ b/src/coordination/leadership/peer_exchange.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A peer is in touch if its last status is more recent than this. Each peer is sent a status message every
+// A peer's last status is recent if it is younger than this. Each peer is sent a status message every
 // second, so after this time two messages have gone unanswered.
 constexpr auto kPeerTimeout = 2500ms;
 // This and the next two constants are thresholds of `PeerExchange::isolatedFromStore`. The key-value store's
@@ -69,7 +69,7 @@
     return leader;
 }
 
-std::string PeerExchange::peerInTouchWithLeader(Time now) const {
+std::string PeerExchange::peerWithRecentLeaderStatus(Time now) const {
     const auto leader = knownLeader(now);
     if (!leader) return "";
     for (const auto& [name, view] : peers_)
--- a/src/coordination/leadership/peer_exchange.h
+++ b/src/coordination/leadership/peer_exchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
-// The status that controllers exchange: the leader that each is in touch with, when the key-value store last
-// answered each, and the cancellations that a leader may not know. Owns the last status of each peer and the
-// id of this controller's cancellation log, which is the list `StateReplica::cancelled`. It does no I/O: the
-// controller sends and answers the messages, on the event loop's thread.
+// The status that controllers exchange: the leader from which each has a recent status, when the key-value
+// store last answered each, and the cancellations that a leader may not know. Owns the last status of each
+// peer and the id of this controller's cancellation log, which is the list `StateReplica::cancelled`. It does
+// no I/O: the controller sends and answers the messages, on the event loop's thread.
 
 #include <cstdint>
 #include <functional>
@@ -36,14 +36,14 @@
     /// True if a status of the peer arrived within the last 2.5 s.
     bool hasRecentStatus(const std::string& peer, Time now) const;
 
-    /// The leader as far as this controller knows: the stored one, or a peer that is in touch and reports
+    /// The leader as far as this controller knows: the stored one, or a peer whose recent status reports
     /// that it leads with a higher fencing token. Only for locating the leader, never a permission to act.
     std::optional<storage::LeaderRecord> knownLeader(Time now) const;
 
-    /// The name of a peer that is in touch with the leader, empty if there is none. A worker that this
-    /// controller cannot serve is referred to that peer. If it tried all controllers in turn instead, its
-    /// lease could expire while it tries those that are cut off by the same network partition.
-    std::string peerInTouchWithLeader(Time now) const;
+    /// The name of a peer that reports a recent status from the leader, empty if there is none. A worker that
+    /// this controller cannot serve is referred to that peer. If it tried all controllers in turn instead,
+    /// its lease could expire while it tries those that are cut off by the same network partition.
+    std::string peerWithRecentLeaderStatus(Time now) const;
 
     /// True if the key-value store answers at least one peer but not this controller, which received its last
     /// answer at `lastAnswerAt`. False if it answers no controller, as in an outage that affects all of them.
@@ -69,7 +69,7 @@
         Time lastStatusAt{};                  // when its last status arrived
         Time storeAnsweredAt{};               // when the key-value store last answered it, as it reports
         std::uint64_t ownFencingToken = 0;    // the fencing token that it leads with, 0: it does not lead
-        std::uint64_t leaderToken = 0;        // the fencing token of the leader that it is in touch with
+        std::uint64_t leaderToken = 0;        // the fencing token of the leader whose recent status it has
         std::uint64_t cancellationLogId = 0;  // 0: not known
         std::uint64_t cancellationLogPosition = 0;  // entries of its log before this position are known here
     };
--- a/src/coordination/scheduling/preemption.cpp
+++ b/src/coordination/scheduling/preemption.cpp
@@ -135,10 +135,8 @@
     context_.fleet.reserve(machine, job, reservedUntil, ReservationKind::preempting, plan.tasks);
 }
 
-// --- jobs whose tasks start separately --------------------------------------------------------------------
-
-/// Preempts on the machines where the loss is smallest. Returns the number of the job's tasks that it freed
-/// capacity for.
+/// Preempts for a job whose tasks start separately, on the machines where the loss is smallest. Returns the
+/// number of the job's tasks that it freed capacity for.
 std::size_t Preemption::preemptForTasks(Job& job, Time now) {
     auto survey = surveyCapacity(job, now);
     if (survey.expected >= job.run->waiting) return 0;
@@ -211,12 +209,10 @@
     return plans;
 }
 
-// --- gangs of several tasks -------------------------------------------------------------------------------
-
-/// Preempts for the whole gang or not at all: only if free capacity and preemptible tasks together suffice
-/// for all of its tasks. If the zone would suffice only after other tasks have ended, requests a zone
-/// reservation instead. Until the gang has enough machines there, competing jobs are kept off such machines,
-/// while jobs of lower priority continue to start. Returns whether it preempted.
+/// Preempts for a whole gang of several tasks or not at all: only if free capacity and preemptible tasks
+/// together suffice for all of its tasks. If the zone would suffice only after other tasks have ended,
+/// requests a zone reservation instead. Until the gang has enough machines there, competing jobs are kept off
+/// such machines, while jobs of lower priority continue to start. Returns whether it preempted.
 bool Preemption::preemptForGang(Job& job, Time now) {
     if (job.run->placedTotal > 0) return false;
     const auto size = job.spec.tasks;
--- a/src/coordination/state/pending_writes.cpp
+++ b/src/coordination/state/pending_writes.cpp
@@ -43,8 +43,6 @@
                              const WallClock& wallClock)
     : replica_(replica), fleet_(fleet), registry_(registry), types_(types), wallClock_(wallClock) {}
 
-// --- due writes --------------------------------------------------------------------------------------------
-
 void PendingWrites::fill(TransactionDraft& draft, Time now) {
     putRegistryAdditions(draft, Machines::withHeartbeat);
     putTerminalRecords(draft, now);
@@ -122,8 +120,6 @@
     }
 }
 
-// --- outcomes ---------------------------------------------------------------------------------------------
-
 PendingWrites::Effects PendingWrites::handleApplied(const TransactionContents& transaction,
                                                     std::uint64_t revision) {
     Effects effects;
--- a/src/coordination/state/state_watcher.cpp
+++ b/src/coordination/state/state_watcher.cpp
@@ -34,8 +34,6 @@
       watchTimer_(io),
       freshReadTimer_(io) {}
 
-// --- full load --------------------------------------------------------------------------------------------
-
 void StateWatcher::load() {
     if (load_.inProgress) return;
     load_ = Load{};
@@ -74,8 +72,6 @@
     readLatest([](FreshReadResult) {});
 }
 
-// --- watch ------------------------------------------------------------------------------------------------
-
 void StateWatcher::watch() {
     if (watchOpen_ || load_.inProgress) return;
     if (!store_.requestBudget().tryTake(0, kReservedRequests, Clock::now()))
@@ -93,8 +89,6 @@
 
 void StateWatcher::scheduleWatch(Duration pause) { runAfter(watchTimer_, pause, &StateWatcher::watch); }
 
-// --- fresh reads ------------------------------------------------------------------------------------------
-
 void StateWatcher::readLatest(ReadCallback done) {
     nextReadCallbacks_.push_back(std::move(done));
     if (!freshReadInFlight_ && !freshReadPaused_) sendFreshRead();
@@ -126,8 +120,6 @@
     runAfter(freshReadTimer_, minReadInterval_, &StateWatcher::sendFreshRead);
 }
 
-// --- replica ----------------------------------------------------------------------------------------------
-
 void StateWatcher::applyChanges(const KeyPage& page, Time sent) {
     std::vector<ReplicaChange> changes;
     for (const auto& entry : page.entries)
--- a/tests/autoscaling/capacity_plan_test.cpp
+++ b/tests/autoscaling/capacity_plan_test.cpp
@@ -82,7 +82,7 @@
     static Offering plain(const std::string& zone = "z", bool spot = false) { return {"plain", zone, spot}; }
 };
 
-TEST_F(CapacityPlanTest, ExistingRoomIsUsedBeforeMachinesAreRequested) {
+TEST_F(CapacityPlanTest, ExistingCapacityIsUsedBeforeMachinesAreRequested) {
     machine("m1");
     machine("m2");
     machine("m3");
@@ -117,7 +117,7 @@
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 1}}));
 }
 
-TEST_F(CapacityPlanTest, LeavingOrLostMachinesHaveNoRoom) {
+TEST_F(CapacityPlanTest, LeavingOrLostMachinesHaveNoCapacity) {
     machine("m1").cloud.draining = true;
     machine("m2").cloud.deletionRequested = true;
     machine("m3").cloud.failed = true;
@@ -139,7 +139,7 @@
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
-TEST_F(CapacityPlanTest, ReservedRoomIsUsedByItsJobOnly) {
+TEST_F(CapacityPlanTest, ReservedCapacityIsUsedByItsJobOnly) {
     auto& reserved = machine("m1");
     auto& first = job(makeSpec("wk-1", 1, 8));
     auto& second = job(makeSpec("wk-2", 1, 8));
@@ -189,7 +189,7 @@
     EXPECT_EQ(plan().missingMachines(), (MissingMachines{{plain(), 30}}));
 }
 
-TEST_F(CapacityPlanTest, GangGoesToTheZoneWithMostRoomWhereTheRestIsObtainable) {
+TEST_F(CapacityPlanTest, GangGoesToTheZoneWithMostCapacityWhereTheRestIsObtainable) {
     types["plain"].zones = {"y", "z"};
     machine("m1", "plain", "z");
     auto spec = makeSpec("wk-1", 3, 8, JobKind::gang);
@@ -205,7 +205,7 @@
     EXPECT_EQ(plan().neededMachines(), Names{});
 }
 
-TEST_F(CapacityPlanTest, GangsWithoutRoomAreSpreadOverZones) {
+TEST_F(CapacityPlanTest, GangsWithoutCapacityAreSpreadOverZones) {
     types["plain"].zones = {"y", "z"};
     auto spec = makeSpec("wk-1", 2, 8, JobKind::gang);
     spec.singleZone = true;
--- a/tests/controller/controller_test.cpp
+++ b/tests/controller/controller_test.cpp
@@ -97,7 +97,7 @@
 
 // Guards against workers behind a network partition losing their leases because they try one controller after
 // the other without reaching the leader.
-TEST_F(ControllerTest, FollowerCutOffFromLeaderThenNamesPeerInTouchWithIt) {
+TEST_F(ControllerTest, FollowerCutOffFromLeaderThenNamesPeerWithRecentLeaderStatus) {
     one.peers = {peer(two), unreachable(three)};
     two.peers = {peer(one), peer(three)};
     three.peers = {unreachable(one), peer(two)};
--- a/tests/controller/heartbeat_forwarder_test.cpp
+++ b/tests/controller/heartbeat_forwarder_test.cpp
@@ -97,7 +97,7 @@
     EXPECT_EQ(forwarded.size(), 1u);
 }
 
-TEST_F(HeartbeatForwarderTest, LeaderNotInTouchThenPeerInTouchWithItIsNamed) {
+TEST_F(HeartbeatForwarderTest, NoRecentLeaderStatusThenPeerWithOneIsNamed) {
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "");
     receiveStatus("three", 7);
     EXPECT_EQ(redirectTarget(answer(heartbeat("m1"))), "three");
--- a/tests/controller/leader_messages_test.cpp
+++ b/tests/controller/leader_messages_test.cpp
@@ -294,17 +294,17 @@
 // A leader without workers keeps the leadership only if it never received a heartbeat, and only for a limited
 // time, as its own network may have failed.
 TEST(Leader, LeaderStaysWithoutWorkersThenEventuallyResigns) {
-    for (const bool heard : {false, true}) {
+    for (const bool heartbeatReceived : {false, true}) {
         LeaderHarness harness;
         harness.settings.peers = {{"two", "z", ""}, {"three", "y", ""}};
         for (const char* id : {"m1", "m2", "m3", "m4"}) harness.registerMachine(id);
         harness.leader =
             std::make_unique<Leader>(harness.settings, harness.policy, harness.replica, 8, harness.now, 0);
-        if (heard) harness.heartbeat("m1", {}, 8);
+        if (heartbeatReceived) harness.heartbeat("m1", {}, 8);
         int seconds = 0;
         for (bool leading = true; leading && seconds < 120; ++seconds)
             for (const auto& action : harness.tick(1s)) leading &= !std::holds_alternative<Resign>(action);
-        if (heard) {
+        if (heartbeatReceived) {
             EXPECT_LT(seconds, 15);
         } else {
             EXPECT_GT(seconds, 25);  // longer than the leases plus the time to request new machines
--- a/tests/leadership/peer_exchange_test.cpp
+++ b/tests/leadership/peer_exchange_test.cpp
@@ -65,16 +65,16 @@
     EXPECT_FALSE(exchange.hasRecentStatus("two", start + 2500ms));
 }
 
-TEST_F(PeerExchangeTest, LeaderOutOfTouchThenNamesAPeerInTouchWithThatLeader) {
+TEST_F(PeerExchangeTest, LeaderKnownThenNamesPeerWithRecentLeaderStatus) {
     exchange.recordStatus(status("three", 7), start);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // there is no leader
+    EXPECT_EQ(exchange.peerWithRecentLeaderStatus(start), "");  // there is no leader
     storeLeader("two", 8);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // it is in touch with an earlier leader
+    EXPECT_EQ(exchange.peerWithRecentLeaderStatus(start), "");  // it reports an earlier leader
     exchange.recordStatus(status("two", 8), start);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "");  // the leader itself
+    EXPECT_EQ(exchange.peerWithRecentLeaderStatus(start), "");  // the leader itself
     exchange.recordStatus(status("three", 8), start);
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start), "three");
-    EXPECT_EQ(exchange.peerInTouchWithLeader(start + 3s), "");
+    EXPECT_EQ(exchange.peerWithRecentLeaderStatus(start), "three");
+    EXPECT_EQ(exchange.peerWithRecentLeaderStatus(start + 3s), "");
 }
 
 // A follower that the key-value store refuses learns of the new leader from its peers only. In a simulation
@@ -88,7 +88,7 @@
     ASSERT_TRUE(exchange.knownLeader(start));
     EXPECT_EQ(exchange.knownLeader(start)->node, "two");
     EXPECT_EQ(exchange.knownLeader(start)->fencingToken, 8u);
-    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other is no longer in touch
+    EXPECT_EQ(exchange.knownLeader(start + 3s)->node, "one");  // the other's status is no longer recent
     claim.fencingToken = 6;
     exchange.recordStatus(claim, start);
     EXPECT_EQ(exchange.knownLeader(start)->node, "one");  // the stored leader has the higher fencing token
@@ -99,7 +99,7 @@
 TEST_F(PeerExchangeTest, PeerAnsweredLongerThenIsolatedFromStore) {
     const auto lastAnswerAt = start;
     const auto now = start + 4s;
-    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now));  // no peer is in touch
+    EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now));  // no peer has a recent status
     exchange.recordStatus(status("two", 0, 2100), now);
     EXPECT_FALSE(exchange.isolatedFromStore(lastAnswerAt, now));  // the peer is no longer answered either
     exchange.recordStatus(status("two", 0, 100), now);
--- a/tests/scheduling/scheduling_test.cpp
+++ b/tests/scheduling/scheduling_test.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// --- degraded-first scheduling ----------------------------------------------------------------------------
+// Tests of degraded-first scheduling.
 
 TEST_F(SchedulerTest, CachedTasksFillAMachineThatHasTheImage) {
     auto& job = accept(spec("wk-1"));
@@ -115,7 +115,7 @@
     EXPECT_TRUE(host.reservation.withoutPreemption);
 }
 
-// --- placement constraints --------------------------------------------------------------------------------
+// Tests of placement constraints.
 
 TEST_F(MayStartTest, OwnerConstraintsOnTypeZoneAndSpotAreKept) {
     auto restricted = spec("wk-1");
@@ -162,7 +162,7 @@
     EXPECT_TRUE(mayStart(job, host));
 }
 
-// --- machines with the image ------------------------------------------------------------------------------
+// Tests of the preference for machines that have the image.
 
 TEST_F(ImageLocalityTest, CapacityCountsOnlyMachinesWithTheImageThatHeartbeatSoon) {
     auto wide = spec("wk-1");
--- a/tests/simulation/combined_failures/scenario.h
+++ b/tests/simulation/combined_failures/scenario.h
@@ -37,7 +37,7 @@
 /// histories.
 void checkScenario(const Scenario& scenario);
 
-// --- helpers for fault scripts ---
+// Helper functions for fault scripts.
 
 /// Cancels up to `count` random jobs that have a task on a machine.
 void cancelRunningJobs(simulation::SimulatedCluster& cluster, int count);
--- a/tests/simulation/faults.h
+++ b/tests/simulation/faults.h
@@ -8,7 +8,7 @@
 /// events per second, for each worker or for the leader. A fault whose default is 0 draws no random number
 /// while it is 0, so the histories of existing seeds do not change when such a fault is added.
 struct Faults {
-    // --- messages and requests ---
+    // Faults of messages and requests.
 
     double messageLossProbability = 0.03;
     /// A direct command, transaction or cloud request gets no response in time and is executed up to 40 s
@@ -24,7 +24,7 @@
     /// A direct command or a heartbeat response is held back until its machine's hang or partition has ended.
     double messageHeldUntilRecoveryProbability = 0;
 
-    // --- workers ---
+    // Faults of workers, their network connections and their tasks.
 
     double workerDeathsPerSecond = 0.002;
     double workerHangsPerSecond = 0.003;  // each for 1 to 18 s; the default lease is 12 s
@@ -41,7 +41,7 @@
     double spotInterruptionsPerSecond = 0.002;
     double taskErrorProbability = 0.02;
 
-    // --- the leader and the users ---
+    // Faults of the leader, and actions of users.
 
     double leaderCrashesPerSecond = 0.01;
     /// The leader loses its connection to the key-value store, but not to its workers.
--- a/tests/simulation/invariant_checker.h
+++ b/tests/simulation/invariant_checker.h
@@ -26,7 +26,7 @@
     InvariantChecker(Environment& environment, const SimulatedStore& store, const SimulatedWorkers& workers)
         : environment_(environment), store_(store), workers_(workers) {}
 
-    // --- called at single events ---
+    // Checks to be called at single events.
 
     /// To be called when a task starts to fetch its image or finishes fetching it. The task must not be on
     /// any other worker, and quotas, placement constraints, dependencies and cancellations must allow it.
@@ -40,7 +40,7 @@
     /// terminal state is.
     void checkAcknowledgement(const protocol::Attempt& attempt);
 
-    // --- called at each time step ---
+    // Checks to be called at each time step.
 
     /// The tasks of a cancelled job must have exited within `cancelTimeout`, even on unreachable or hung
     /// machines.
--- a/tests/simulation/simulated_leaders.h
+++ b/tests/simulation/simulated_leaders.h
@@ -33,7 +33,7 @@
     void step(double seconds);
     void receiveHeartbeat(const protocol::Heartbeat& heartbeat, std::uint64_t request);
 
-    // --- faults injected by a test ---
+    // Faults that a test injects.
 
     /// Ends the leadership; the next election takes place after the pause.
     void endLeadership(Seconds pause);
@@ -46,7 +46,7 @@
     /// votes during a store outage.
     void readStoreBeforeOutage();
 
-    // --- state of the current leader ---
+    // The state of the current leader.
 
     bool exists() const { return leadership_ != nullptr; }
     bookkeeping::StateReplica& replica() { return leadership_->replica; }
--- a/tests/simulation/simulated_workers.h
+++ b/tests/simulation/simulated_workers.h
@@ -63,20 +63,20 @@
     Seconds minRunTime{2}, maxRunTime{12}, maxFetchTime{3};
     std::size_t maxMachines = 12;
 
-    // --- for the cloud ---
+    // Functions that the simulated cloud provider calls.
 
     /// Creates a machine, which boots within 0.5 to 8 s, and returns its id.
     std::string create(const std::string& type, const std::string& zone, bool spot);
     void remove(const std::string& id);
     std::size_t aliveCount() const;
 
-    // --- time and messages ---
+    // Advance of the simulated time, heartbeats and commands.
 
     void step(double seconds);
     protocol::Heartbeat nextHeartbeat(SimulatedWorker& worker) const;
     void execute(SimulatedWorker& worker, const protocol::WorkerCommand& command);
 
-    // --- faults injected by a test; those with a `time` last that long from now on ---
+    // Faults that a test injects. A fault with a `time` lasts that long from now on.
 
     void hang(const std::string& id, Seconds time) { workers_.at(id).hungUntil = until(time); }
     void partition(const std::string& id, Seconds time) { workers_.at(id).partitionedUntil = until(time); }
@@ -89,7 +89,7 @@
     /// The machine dies with its tasks.
     void kill(const std::string& id);
 
-    // --- current state ---
+    // Queries of the current state.
 
     const std::map<std::string, SimulatedWorker>& all() const { return workers_; }
     const SimulatedWorker& at(const std::string& id) const { return workers_.at(id); }
--- a/tests/upgrade/machines.cpp
+++ b/tests/upgrade/machines.cpp
@@ -36,8 +36,6 @@
 
 }  // namespace
 
-// --- Worker -----------------------------------------------------------------------------------------------
-
 Worker::Worker(asio::io_context& io, Machines& machines, std::string id, protocol::MachineType type,
                std::string zone)
     : machines_(machines),
@@ -249,8 +247,6 @@
     reply(response);
 }
 
-// --- Machines ---------------------------------------------------------------------------------------------
-
 struct Machines::Gang {
     std::vector<std::pair<Worker*, Attempt>> members;  // tasks that have not exited
     std::uint32_t waiting = 0;                         // members in state `waiting`
--- a/tests/upgrade/upgrade_fixture.cpp
+++ b/tests/upgrade/upgrade_fixture.cpp
@@ -40,8 +40,6 @@
     return spec;
 }
 
-// --- cluster ----------------------------------------------------------------------------------------------
-
 void Upgrade::startOldCluster(StoreLimits limits) {
     cluster = std::make_unique<Cluster>(limits);
     cluster->startAll(oldVersion());
@@ -90,8 +88,6 @@
     return true;
 }
 
-// --- jobs -------------------------------------------------------------------------------------------------
-
 void Upgrade::submit(const JobSpec& spec, std::size_t controller, std::uint32_t completionLimit) {
     cluster->users.submit(spec, controller);
     cluster->oracle.job(spec.id).completionLimit = completionLimit;
--- a/tests/upgrade/upgrade_fixture.h
+++ b/tests/upgrade/upgrade_fixture.h
@@ -40,8 +40,6 @@
 /// All helpers are public, because free functions in the test files use them.
 class Upgrade : public testing::TestWithParam<OldVersion> {
   public:
-    // --- cluster ---
-
     /// Starts all controllers in the old version, submits the service job, and waits until it runs.
     void startOldCluster(StoreLimits limits = {});
     /// Starts the new version on every controller that does not run it yet, one after the other.
@@ -55,8 +53,6 @@
     /// same terminal states. Expects no violations and no active tasks.
     void finishAndCheck();
 
-    // --- jobs ---
-
     std::string newJobId() { return "wk-" + std::to_string(++lastId_); }
     /// Submits a job and waits until it is accepted. Workers complete at most `completionLimit` of its tasks;
     /// the others keep running until the limit is raised.
